--- /dev/null
+++ b/crates/aldercrank-fleet/tests/golden_scenarios/decoded.rs
@@ -0,0 +1,274 @@
+//! A scenario as plain text, by the names that scenario files use; spans in milliseconds.
+
+use aldercrank_fleet::edges::Choose;
+use aldercrank_fleet::index;
+use aldercrank_fleet::judge::Effect;
+use aldercrank_fleet::lane::Spoil;
+use aldercrank_fleet::list;
+use aldercrank_fleet::scenario::{Bounds, Fault, Product, Sabotage, Scenario, Spoilt, Step, Target};
+use std::fmt::{Debug, Write};
+use std::time::Duration;
+
+/// Milliseconds, exact to the nanosecond.
+fn millis(span: Duration) -> String {
+    format!("{}", span.as_nanos() as f64 / 1e6)
+}
+
+fn or_none<T: Debug>(value: Option<T>) -> String {
+    value.map_or("none".to_string(), |value| format!("{value:?}"))
+}
+
+fn millis_or_none(span: Option<Duration>) -> String {
+    span.map_or("none".to_string(), millis)
+}
+
+/// All of a scenario, one part a line.
+pub fn text(scenario: &Scenario) -> String {
+    let mut lines = format!("name {:?}\nseed {}\n", scenario.name, scenario.seed);
+    writeln!(lines, "span-ms {}", millis(scenario.span)).unwrap();
+    writeln!(lines, "from-start {}", scenario.from_start).unwrap();
+    lines += &fleet(scenario);
+    scenario.products.iter().for_each(|one| lines += &product(one));
+    lines += &callers(scenario);
+    lines += &services_below(scenario);
+    writeln!(lines, "start tell-share={}", scenario.start.tell_share).unwrap();
+    for (number, one) in scenario.timeline.iter().enumerate() {
+        lines += &step(one);
+        let reached: Vec<String> = scenario.reached(number).iter().map(|server| server.to_string()).collect();
+        writeln!(lines, "  reaches {}", reached.join(" ")).unwrap();
+    }
+    lines += &bounds(&scenario.bounds);
+    writeln!(lines, "sabotage {}", scenario.sabotage.map_or("none", sabotage)).unwrap();
+    lines
+}
+
+fn fleet(scenario: &Scenario) -> String {
+    let f = &scenario.fleet;
+    format!(
+        "fleet servers={} zones={} cores={} memory-kb={} cold={} cold-from={} warm-ms={} warms-times={}\n\
+         fleet stop-ms={} grace-ms={} slack-ms={} memory-mb={} sockets={}\n",
+        f.servers,
+        f.zones,
+        f.cores,
+        f.memory_kb,
+        f.cold,
+        f.cold_from,
+        millis(f.warm_after),
+        f.warms_times,
+        millis(f.stop),
+        millis(f.grace),
+        millis(f.slack),
+        f.memory_mb,
+        f.sockets
+    )
+}
+
+fn product(p: &Product) -> String {
+    let effect = match p.effect {
+        Effect::Idempotent => "inquiry-like",
+        Effect::Keyed => "referenced",
+        Effect::Unsafe => "once-only",
+    };
+    format!(
+        "product {:?} effect={effect} share={} value={} late={} work-ms={} calls={} without={}\n\
+         product {:?} sla-ms={} expiry-ms={} window-ms={} memory-kb={} body={}\n",
+        p.name,
+        p.share,
+        p.value,
+        p.late,
+        millis(p.work),
+        p.calls,
+        p.without,
+        p.name,
+        millis(p.sla),
+        millis(p.expiry),
+        millis(p.window),
+        p.memory_kb,
+        p.body
+    )
+}
+
+fn callers(scenario: &Scenario) -> String {
+    let (c, h) = (&scenario.callers, &scenario.callers.habits);
+    let choose = match h.choose {
+        Choose::RoundRobin => "round-robin",
+        Choose::Least => "least-open",
+        Choose::TwoChoices => "two-choices",
+        Choose::Sticky => "sticky",
+    };
+    format!(
+        "callers rate={} edges={} choose={choose} tries={} patience-ms={} heeds={} retry-budget={}\n\
+         callers checks-ms={} connections={} idle-ms={} leave={} again={}\n",
+        c.rate,
+        c.edges,
+        h.tries,
+        millis_or_none(h.patience),
+        h.heeds,
+        h.retry_budget,
+        millis_or_none(h.checks),
+        h.connections,
+        millis(h.idle),
+        h.leave,
+        h.again
+    )
+}
+
+/// The index service, the list service and the rule book.
+fn services_below(scenario: &Scenario) -> String {
+    let (i, c) = (&scenario.index, &scenario.callers);
+    let mut lines = format!(
+        "index slots={} limit={} take-ms={} cold={} warming={}\nlist capacity={} lag-ms={} learn-ms={}\n",
+        i.slots,
+        i.limit,
+        millis(i.take),
+        i.cold,
+        i.warming,
+        scenario.list_capacity,
+        millis(c.lag),
+        millis(c.learn)
+    );
+    lines += &match &scenario.rules {
+        None => "rules none\n".to_string(),
+        Some(r) => format!(
+            "rules committee={} within-ms={} alone-ms={} disks={} set={:?}\n",
+            r.committee,
+            millis(r.within),
+            millis(r.alone),
+            r.disks,
+            r.set
+        ),
+    };
+    lines
+}
+
+fn step(step: &Step) -> String {
+    let target = match &step.target {
+        Target::All => "all".to_string(),
+        Target::Server(server) => format!("server {server}"),
+        Target::Share(share) => format!("share {share}"),
+        Target::Zone(zone) => format!("zone {zone}"),
+    };
+    format!(
+        "at-ms {} {:?} for-ms={} each-ms={} target={target} once-for-all={}\n  {}\n",
+        millis(step.at),
+        step.word,
+        millis_or_none(step.lasts),
+        millis(step.each),
+        step.fault_is_shared(),
+        fault(&step.fault)
+    )
+}
+
+fn fault(fault: &Fault) -> String {
+    match fault {
+        Fault::Kill => "kill".into(),
+        Fault::Leave => "leave".into(),
+        Fault::Stop => "stop".into(),
+        Fault::BadConfig => "bad-config".into(),
+        Fault::BadStart => "bad-start".into(),
+        Fault::Slow(to) => format!("slow to={to}"),
+        Fault::Err(share) => format!("err share-of-runs={share}"),
+        Fault::PoolGone => "pool-gone".into(),
+        Fault::PoolLate(by) => format!("pool-late by-ms={}", millis(*by)),
+        Fault::PoolResets(every) => format!("pool-resets every-ms={}", millis(*every)),
+        Fault::Pair(with, to, from) => {
+            format!("pair with={} to=[{}] from=[{}]", with.word(), spoil(to.as_ref()), spoil(from.as_ref()))
+        }
+        Fault::Refuse(with) => format!("refuse with={}", with.word()),
+        Fault::Index(state) => format!("index state={}", index_state(*state)),
+        Fault::IndexCold => "index-cold".into(),
+        Fault::List(state) => format!("list state={}", list_state(*state)),
+        Fault::ListForgets => "list-forgets".into(),
+        Fault::ListCapacity(to) => format!("list-capacity to={to}"),
+        Fault::ListWrong => "list-wrong".into(),
+        Fault::ListOld(by) => format!("list-old by-ms={}", millis(*by)),
+        Fault::EdgesRestart(share) => format!("edges-restart share-of-edges={share}"),
+        Fault::Rate(times) => format!("rate times={times}"),
+        Fault::Publish(p) => {
+            format!("rules set={:?} every-ms={} two={}", p.set, millis_or_none(p.every), p.two)
+        }
+        Fault::Withdraw => "rules-withdraw".into(),
+        Fault::RulesBroken(kind) => format!("rules-broken kind={}", broken_kind(*kind)),
+        Fault::RulesOld => "rules-old".into(),
+    }
+}
+
+/// What is done to one direction of a connection.
+fn spoil(spoil: Option<&Spoil>) -> String {
+    let Some(s) = spoil else { return "untouched".to_string() };
+    format!(
+        "delay-ms={} jitter={} cut={} reset-after={} silent-after={} rate={} share-of-pieces={} unread={}",
+        millis(s.delay),
+        s.jitter,
+        s.dead,
+        or_none(s.reset_after),
+        or_none(s.silent_after),
+        or_none(s.trickle),
+        s.garble,
+        s.unread
+    )
+}
+
+fn index_state(state: index::State) -> String {
+    match state {
+        index::State::Well => "well".into(),
+        index::State::Slow(by) => format!("slow by={by}"),
+        index::State::Hung => "hung".into(),
+        index::State::Shedding => "shedding".into(),
+        index::State::Half => "half".into(),
+        index::State::Dead => "dead".into(),
+    }
+}
+
+fn list_state(state: list::State) -> &'static str {
+    match state {
+        list::State::Up => "up",
+        list::State::Down => "down",
+        list::State::Silent => "silent",
+        list::State::Closing => "closing",
+    }
+}
+
+fn broken_kind(kind: Spoilt) -> &'static str {
+    match kind {
+        Spoilt::Cut => "cut",
+        Spoilt::Long => "long",
+        Spoilt::Field => "field",
+        Spoilt::Later => "later",
+    }
+}
+
+fn bounds(b: &Bounds) -> String {
+    let listed_by = millis_or_none(b.listed_by);
+    let all = [
+        ("value", or_none(b.value)),
+        ("of-calm", or_none(b.of_calm)),
+        ("inquiry-of-calm", or_none(b.inquiry_of_calm)),
+        ("across", or_none(b.across)),
+        ("list-second", or_none(b.list_second)),
+        ("list-tenth", or_none(b.list_tenth)),
+        ("list-refused", or_none(b.list_refused)),
+        ("listed-by-ms", listed_by),
+        ("acted", or_none(b.acted)),
+        ("free-p99-ms", or_none(b.free_p99_ms)),
+        ("fenced-p99-ms", or_none(b.fenced_p99_ms)),
+        ("cut-inquiry-of-calm", or_none(b.cut_inquiry_of_calm)),
+        ("index-most", or_none(b.index_most)),
+        ("collapses", or_none(b.collapses)),
+        ("steady", or_none(b.steady)),
+        ("crowded", or_none(b.crowded)),
+        ("flaps", or_none(b.flaps)),
+    ];
+    all.iter().map(|(name, value)| format!("bounds {name}={value}\n")).collect()
+}
+
+fn sabotage(sabotage: Sabotage) -> &'static str {
+    match sabotage {
+        Sabotage::LoseAnswer => "lose-answer",
+        Sabotage::DoubleRun => "double-run",
+        Sabotage::LateStart => "late-start",
+        Sabotage::SwapResult => "swap-result",
+        Sabotage::Overrun => "overrun",
+        Sabotage::DoubleAnswer => "double-answer",
+    }
+}
--- /dev/null
+++ b/crates/aldercrank-fleet/tests/golden_scenarios/written.rs
@@ -0,0 +1,35 @@
+//! Golden file of the service files that the live fleet writes for its servers, read back by the program's own reader.
+
+use crate::compare;
+use aldercrank_fleet::config::{service, start};
+use aldercrank_fleet::ids::ServerNo;
+use aldercrank_service::{parse, Start};
+use std::path::Path;
+
+/// What the reader makes of it, by the file's own names.
+fn decoded(text: &str) -> String {
+    let read = parse(text).unwrap_or_else(|faults| panic!("{}", faults[0]));
+    let mut lines = format!("  start: tell-share {}\n", read.start.tell_share);
+    if let Some(rules) = read.rules {
+        lines += &format!("  rules: book {:?}, dir {:?}, ", rules.book, rules.dir);
+        lines += &format!("read-list {}\n", rules.read_list);
+        lines.extend(rules.reach.iter().map(|(member, at)| format!("  rules: reach {member:?} at {at}\n")));
+    }
+    lines
+}
+
+#[test]
+fn the_service_files_that_the_fleet_writes_are_read_as_recorded() {
+    let book = Path::new("/run/a \"b\"/rules.kdl");
+    let reach = |server: u16| (ServerNo(server), ([127, 0, 0, 1], 7100 + server).into());
+    let texts = [
+        start(&Start { tell_share: true }),
+        start(&Start { tell_share: false }),
+        service(book, None, Vec::new()),
+        service(book, Some(Path::new("/run/n1")), vec![reach(1), reach(2)]),
+    ];
+    let both = format!("{}{}", texts[3], texts[0]);
+    let all = texts.iter().chain([&both]);
+    let built: String = all.map(|text| format!("{text}--\n{}\n", decoded(text))).collect();
+    compare::check("service-file/written-by-the-fleet.txt", &built);
+}
--- /dev/null
+++ b/crates/aldercrank-lab/tests/suite/golden_command_line.rs
@@ -0,0 +1,74 @@
+//! Golden file of the laboratory's command line: which subcommands and flags it accepts. Help texts are not recorded.
+
+use crate::common::LAB;
+use crate::compare;
+use std::process::Command;
+
+/// A flag that no subcommand knows; it is the last word, so an error that names it means all before it was accepted,
+/// and nothing is started.
+const UNKNOWN: &str = "--no-such-flag";
+
+/// Each flag with a value, where it takes one.
+const ACCEPTED: [&str; 25] = [
+    "load",
+    "load --program FILE --rate 5 --seconds 1 --connections 2 --cores 3 --work-ms 4 --json",
+    "cost",
+    "cost --program FILE --against FILE --rounds 2 --plot FILE --json",
+    "instructions",
+    "check cost",
+    "check --write cost",
+    "check --long live",
+    "check --program FILE live",
+    "check --program FILE --against FILE coldstart",
+    "check --long --program FILE agree",
+    "check platform",
+    "check soak",
+    "fleet SCENARIO",
+    "fleet --program FILE --seed 5 --calm --json --quiet --report FILE --keep DIR SCENARIO",
+    "coldstart",
+    "coldstart --servers 5 --list-capacity 60.5 --index-slots 64.5 --rate 400.5 --seed 5",
+    "coldstart --program FILE --against FILE --report FILE --json",
+    "hunt",
+    "hunt --program FILE --seconds 5 --seed 5 --rules --into DIR",
+    "why DIR TXN",
+    "counted CONFIG",
+    "counted --service FILE CONFIG",
+    "broken MISTAKE serve CONFIG",
+    "broken --service FILE MISTAKE serve CONFIG",
+];
+
+fn run(line: &str, last: &str) -> (Option<i32>, String) {
+    let output = Command::new(LAB).args(line.split_whitespace()).arg(last).output().unwrap();
+    (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
+}
+
+#[test]
+fn the_recorded_flags_and_subcommands_are_accepted() {
+    for line in ACCEPTED {
+        let (code, said) = run(line, UNKNOWN);
+        assert_eq!(code, Some(1), "{line}: {said}");
+        assert!(said.contains(UNKNOWN), "{line}: not accepted: {said}");
+        assert_eq!(run(line, "--help").0, Some(0), "{line} --help");
+    }
+    let list: String = ACCEPTED.iter().map(|line| format!("{line}\n")).collect();
+    compare::check("command-line/laboratory-accepts.txt", &list);
+}
+
+/// The way of asking above tells a flag that is not known from one that is.
+#[test]
+fn a_flag_or_subcommand_that_is_not_known_is_not_accepted() {
+    for line in
+        ["laod", "load --rates 5", "cost --progam FILE", "check --lon live", "fleet --sed 5 S", "coldstarts"]
+    {
+        let (code, said) = run(line, UNKNOWN);
+        assert_eq!(code, Some(1), "{line}: {said}");
+        assert!(!said.contains(UNKNOWN), "{line}: {said}");
+    }
+}
+
+#[test]
+fn a_check_that_is_not_known_is_an_error_of_its_own() {
+    let (code, said) = run("check", "no-such-check");
+    assert_eq!(code, Some(2), "{said}");
+    assert!(said.contains("no-such-check"), "{said}");
+}
--- /dev/null
+++ b/crates/aldercrank-lab/tests/suite/golden_written_config.rs
@@ -0,0 +1,48 @@
+//! Golden file of the JSON configuration that the live fleet writes for its servers, and what a server reads in it.
+
+use crate::compare;
+use aldercrank::Value;
+use aldercrank_fleet::config::{config, Places};
+use aldercrank_fleet::ids::ServerNo;
+use aldercrank_fleet::scenario::Scenario;
+use aldercrank_server::config::Config;
+use std::fmt::Write;
+
+const SCENARIO: &str = "seed 171\nfleet servers=3 zones=2 cores=2 memory-kb=9000 stop-ms=2500 sockets=300\n\
+                        product \"third\" effect=\"once-only\" share=0.1 calls=0\nindex limit=96\n";
+
+fn setting(value: &Value) -> String {
+    match value {
+        Value::Num(n) => format!("number {n:?}"),
+        Value::Text(text) => format!("text {text:?}"),
+        Value::Flag(flag) => format!("flag {flag}"),
+    }
+}
+
+/// What a server reads, by the file's own names.
+fn decoded(config: &Config) -> String {
+    let mut lines = format!("  name {:?}\n  listen {}\n", config.name, config.listen);
+    writeln!(lines, "  pool {}\n  members {}\n  index {:?}", config.pool, config.members, config.index)
+        .unwrap();
+    writeln!(lines, "  stop {:?}\n  seed {:?}", config.stop, config.seed).unwrap();
+    writeln!(lines, "  memory {} bytes, sockets {}", config.memory, config.sockets).unwrap();
+    for (name, value) in &config.settings.0 {
+        writeln!(lines, "  settings.{name} = {}", setting(value)).unwrap();
+    }
+    lines
+}
+
+#[test]
+fn the_configuration_that_the_fleet_writes_is_read_as_recorded() {
+    let scenario = Scenario::parse(SCENARIO).unwrap();
+    let place = |port: u16| ([127, 0, 0, 1], port).into();
+    let places = Places { listen: place(7001), pool: place(9300), index: place(8900), list: place(8761) };
+    let mut built = String::new();
+    for (server, cold) in [(0, false), (1, true)] {
+        let json = config(&scenario, ServerNo(server), cold, &places);
+        let text = serde_json::to_string_pretty(&json).unwrap();
+        let read = Config::parse(&text, |_| None).unwrap();
+        writeln!(built, "== server {}, cold {cold}\n{text}\n--\n{}", server + 1, decoded(&read)).unwrap();
+    }
+    compare::check("config/written-by-the-fleet.txt", &built);
+}
--- a/crates/aldercrank-lab/tests/suite/main.rs
+++ b/crates/aldercrank-lab/tests/suite/main.rs
@@ -2,6 +2,12 @@
 
 mod common;
 mod fleet;
+mod golden_budget;
+mod golden_command_line;
+mod golden_written_config;
 mod known_red;
 mod rules;
 mod start;
+
+#[path = "../../../../tests/golden/compare.rs"]
+mod compare;
--- /dev/null
+++ b/crates/aldercrank-server/tests/suite/golden_config.rs
@@ -0,0 +1,216 @@
+//! Golden files of the platform's JSON configuration: each form with its decoded fields and settings, or its error.
+
+use crate::compare;
+use aldercrank::Value;
+use aldercrank_server::config::Config;
+use serde_json::{json, Value as Json};
+use std::fmt::{Debug, Write};
+
+pub const EXAMPLE: &str = include_str!("../../../../examples/config.json");
+
+pub fn or_none<T: Debug>(value: Option<T>) -> String {
+    value.map_or("none".to_string(), |value| format!("{value:?}"))
+}
+
+/// A setting with its kind.
+pub fn setting(value: &Value) -> String {
+    match value {
+        Value::Num(n) => format!("number {n:?}"),
+        Value::Text(text) => format!("text {text:?}"),
+        Value::Flag(flag) => format!("flag {flag}"),
+    }
+}
+
+/// The fields outside the settings, by the file's own names.
+fn fields(config: &Config) -> String {
+    let mut lines = format!("  name {:?}\n  listen {}\n", config.name, config.listen);
+    writeln!(lines, "  pool {}\n  members {}", config.pool, config.members).unwrap();
+    writeln!(lines, "  index {}", or_none(config.index)).unwrap();
+    writeln!(lines, "  stop {:?}", config.stop).unwrap();
+    writeln!(lines, "  memory {} bytes, sockets {}", config.memory, config.sockets).unwrap();
+    writeln!(lines, "  seed {:?}", config.seed).unwrap();
+    lines + &service_fields(config)
+}
+
+/// What the service file may have said.
+pub fn service_fields(config: &Config) -> String {
+    let mut lines = format!("  longest result {} bytes\n", config.result);
+    writeln!(lines, "  longest between reports {}", or_none(config.reports_longest)).unwrap();
+    writeln!(lines, "  log in JSON {}", config.json_log).unwrap();
+    lines += &rule_book(config);
+    writeln!(lines, "  start: tell-share {}", config.start.tell_share).unwrap();
+    lines
+}
+
+fn rule_book(config: &Config) -> String {
+    let Some(rules) = &config.rules else { return "  rules: none\n".to_string() };
+    let mut lines = format!("  rules: version {} ({})\n", rules.book.number, rules.book.digest());
+    writeln!(lines, "  rules: dir {}, read-list {}", or_none(rules.dir.as_ref()), rules.read_list).unwrap();
+    for (member, address) in &rules.reach {
+        writeln!(lines, "  rules: reach {member:?} at {address}").unwrap();
+    }
+    lines
+}
+
+pub fn decoded(config: &Config) -> String {
+    let mut lines = fields(config);
+    for (name, value) in &config.settings.0 {
+        writeln!(lines, "  settings.{name} = {}", setting(value)).unwrap();
+    }
+    lines
+}
+
+/// The example with this put, by a JSON pointer, in place of what stands there; null takes it away.
+pub fn changed(changes: &[(&str, Json)]) -> String {
+    let mut json: Json = serde_json::from_str(EXAMPLE).unwrap();
+    for (pointer, value) in changes {
+        let (parent, last) = pointer.rsplit_once('/').unwrap();
+        match json.pointer_mut(parent).unwrap() {
+            Json::Object(fields) if value.is_null() => drop(fields.remove(last)),
+            Json::Object(fields) => drop(fields.insert(last.to_string(), value.clone())),
+            Json::Array(items) if last == "-" => items.push(value.clone()),
+            Json::Array(items) if value.is_null() => drop(items.remove(last.parse().unwrap())),
+            Json::Array(items) => items[last.parse::<usize>().unwrap()] = value.clone(),
+            other => panic!("{pointer}: nothing can be put into {other}"),
+        }
+    }
+    json.to_string()
+}
+
+/// What a change does, as a line: `/limits/sockets = 31`.
+fn said(changes: &[(&str, Json)]) -> String {
+    changes.iter().map(|(pointer, value)| format!("{pointer} = {value}\n")).collect()
+}
+
+/// Stands in for what a configuration lacks.
+fn variables(name: &str) -> Option<String> {
+    match name {
+        "ROUTER_NAME" => Some("from-variable".to_string()),
+        "ROUTER_LISTEN" => Some("127.0.0.9:9009".to_string()),
+        _ => None,
+    }
+}
+
+fn no_variable(_: &str) -> Option<String> {
+    None
+}
+
+/// The fields of a good one, or the error's text.
+fn outcome(text: &str, variable: fn(&str) -> Option<String>) -> String {
+    match Config::parse(text, variable) {
+        Ok(config) => fields(&config),
+        Err(why) => format!("  error: {why}\n"),
+    }
+}
+
+#[test]
+fn the_example_decodes_as_recorded() {
+    let config = Config::parse(EXAMPLE, no_variable).unwrap();
+    compare::check("config/example.txt", &decoded(&config));
+}
+
+#[test]
+fn a_small_configuration_decodes_as_recorded() {
+    let small = json!({"pool": "1.1.1.1:1", "members": "[::1]:2", "stop_ms": 1.5, "unknown": {"a": 1},
+        "limits": {"memory_mb": 1, "sockets": 32.9}, "settings": {"family_info": {"below": "none"},
+        "extra": [null, true, "x", 1.25], "profiles": [{"name": "p", "points": 2}]}});
+    let built = match Config::parse(&small.to_string(), variables) {
+        Ok(config) => decoded(&config),
+        Err(why) => why,
+    };
+    compare::check("config/small.txt", &format!("{small}\n--\n{built}"));
+}
+
+/// Allowed forms, other than the example's.
+fn good_changes() -> Vec<Vec<(&'static str, Json)>> {
+    vec![
+        vec![("/seed", json!(null))],
+        vec![("/seed", json!(7))],
+        vec![("/stop_ms", json!(1))],
+        vec![("/stop_ms", json!(1e9))],
+        vec![("/limits/memory_mb", json!(1.5))],
+        vec![("/limits/sockets", json!(32))],
+        vec![("/limits/cores", json!("not read"))],
+        vec![("/index", json!(null)), ("/settings/family_info/below", json!("none"))],
+        vec![("/settings/family_info/below", json!("none"))],
+        vec![("/name", json!("A-b_c.9"))],
+        vec![("/listen", json!("[::1]:7001"))],
+        vec![("/more", json!({"not": "known"}))],
+    ]
+}
+
+/// Forms that can't be served, each with one field wrong or missing.
+fn bad_changes() -> Vec<Vec<(&'static str, Json)>> {
+    let mut all: Vec<Vec<(&str, Json)>> = Vec::new();
+    for field in ["/name", "/listen", "/pool", "/members", "/index", "/stop_ms", "/limits", "/settings"] {
+        all.push(vec![(field, json!(null))]);
+        all.push(vec![(field, json!(true))]);
+        all.push(vec![(field, json!(""))]);
+        all.push(vec![(field, json!("two words"))]);
+    }
+    for field in ["/limits/memory_mb", "/limits/sockets", "/stop_ms"] {
+        let values = [json!(null), json!("192"), json!(0), json!(0.99), json!(-1), json!(1.1e9)];
+        all.extend(values.map(|value| vec![(field, value)]));
+    }
+    all.push(vec![("/limits/sockets", json!(31))]);
+    all.push(vec![("/pool", json!("127.0.0.1"))]);
+    all.push(vec![("/pool", json!("localhost:9300"))]);
+    all.push(vec![("/index", json!("here")), ("/settings/family_info/below", json!("none"))]);
+    all.push(vec![("/settings", json!([]))]);
+    all.push(vec![("/settings", json!({}))]);
+    all.extend(senseless_settings());
+    all
+}
+
+fn senseless_settings() -> Vec<Vec<(&'static str, Json)>> {
+    let product = json!({"name": "map-extract", "effect": "retryable"});
+    vec![
+        vec![("/settings/profiles", json!([]))],
+        vec![("/settings/profiles/0/name", json!(1))],
+        vec![("/settings/profiles/1/name", json!("map-extract"))],
+        vec![("/settings/profiles/-", product.clone())],
+        vec![("/settings/profiles/-", product.clone()), ("/settings/profiles/-", product)],
+        vec![("/settings/profiles/0/points", json!("one"))],
+        vec![("/settings/profiles/1/effect", json!(3))],
+        vec![("/settings/profiles/0/window", json!(-5)), ("/settings/profiles/1/give_up", json!(true))],
+        vec![("/settings/family_info/cores", json!(-1))],
+        vec![("/settings/family_info/cold", json!("no"))],
+        vec![("/settings/family_info/halt", json!(1)), ("/settings/family_info/advert", json!(false))],
+        vec![("/settings/family_info/meters", json!([1]))],
+        vec![("/settings/limits/retry_after", json!(1)), ("/settings/rules/cold_from", json!("x"))],
+    ]
+}
+
+fn blocks(all: &[Vec<(&str, Json)>], variable: fn(&str) -> Option<String>) -> String {
+    let one = |changes: &Vec<(&str, Json)>| {
+        format!("== {}--\n{}\n", said(changes), outcome(&changed(changes), variable))
+    };
+    all.iter().map(one).collect()
+}
+
+#[test]
+fn other_allowed_forms_decode_as_recorded() {
+    compare::check("config/allowed-forms.txt", &blocks(&good_changes(), no_variable));
+}
+
+#[test]
+fn errors_of_malformed_forms_are_as_recorded() {
+    compare::check("config/errors.txt", &blocks(&bad_changes(), no_variable));
+}
+
+#[test]
+fn variables_stand_in_for_the_recorded_fields() {
+    let fields = ["/name", "/listen", "/pool", "/members", "/index"];
+    let mut all: Vec<Vec<(&str, Json)>> = fields.iter().map(|field| vec![(*field, json!(null))]).collect();
+    all.extend(["/name", "/listen"].map(|field| vec![(field, json!(""))]));
+    all.extend(["/name", "/listen"].map(|field| vec![(field, json!(5))]));
+    compare::check("config/variables.txt", &blocks(&all, variables));
+}
+
+#[test]
+fn errors_of_texts_that_are_no_json_are_as_recorded() {
+    let texts =
+        ["", "{", "[]", "7", "{\"name\": }", "{\"name\": \"a\",}", "not json", "{} {}", "{\"name\": NaN}"];
+    let one = |text: &&str| format!("== {text}\n--\n{}\n", outcome(text, no_variable));
+    compare::check("config/no-json.txt", &texts.iter().map(one).collect::<String>());
+}
--- /dev/null
+++ b/crates/aldercrank-service/tests/golden.rs
@@ -0,0 +1,113 @@
+//! Golden file of the service file: the KDL text, then its decoded values, or its faults by line and column.
+
+use aldercrank_service::{parse, Rules, Service};
+use std::fmt::Write;
+
+#[path = "../../../tests/golden/compare.rs"]
+mod compare;
+
+const GOOD: [(&str, &str); 12] = [
+    ("an empty file", ""),
+    ("a comment alone", "// nothing\n"),
+    ("results alone", "results {\n    longest-kb 65536\n}\n"),
+    ("reports alone", "reports {\n    longest-ms 250\n}\n"),
+    ("log alone", "log {\n    json #true\n}\n"),
+    ("start alone", "start {\n    tell-share #true\n}\n"),
+    ("rules alone, with a book only", "rules {\n    book \"rules.kdl\"\n}\n"),
+    (
+        "rules, all fields on one line",
+        "rules { book r.kdl; dir d; read-list #true; reach { n1 \"[::1]:7\"; }; }\n",
+    ),
+    (
+        "reach names two members, one twice",
+        "rules {\n book x\n reach { b \"1.2.3.4:5\"; a \"1.1.1.1:1\"; b \"9.9.9.9:9\" }\n}",
+    ),
+    ("all blocks empty but rules", "results { }\nreports { }\nlog { }\nstart { }\n"),
+    ("flags that are off", "log { json #false }\nstart { tell-share #false }\n"),
+    ("a block struck out, a number in hexadecimal", "/- log { json #true }\nresults { longest-kb 0x10 }\n"),
+];
+
+const BAD: [(&str, &str); 21] = [
+    ("a block that is not known, near to one", "resluts {\n}\n"),
+    ("a block that is not known, near to none", "zzzzzz 1\n"),
+    ("a block twice", "log { json #true }\nlog { json #false }\n"),
+    ("a block with a value", "results 3 {\n    longest-kb 4\n}\n"),
+    ("a block without braces", "results\nreports\nlog\nrules\nstart\n"),
+    (
+        "fields that are not known",
+        "results { a 1 }\nreports { b 1 }\nlog { jsno 1 }\nrules { book x; dri y }\nstart { c 1 }\n",
+    ),
+    ("a field twice", "results {\n    longest-kb 4\n    longest-kb 5\n}\n"),
+    ("longest-kb under its bound", "results { longest-kb 0 }\n"),
+    ("longest-kb over its bound", "results { longest-kb 65537 }\n"),
+    ("longest-kb no whole number", "results { longest-kb 1.5 }\n"),
+    ("longest-kb null", "results { longest-kb #null }\n"),
+    ("longest-ms out of bounds and a text", "reports {\n longest-ms 249\n}\nlog { json \"yes\" }\n"),
+    ("longest-ms over its bound", "reports { longest-ms 60001 }\n"),
+    (
+        "a field with two values, without one, with a named one",
+        "results { longest-kb 1 2 }\nreports { longest-ms }\nlog { json on=#true }\n",
+    ),
+    ("a field with a block", "log {\n    json #true { a; }\n}\n"),
+    ("tell-share no flag", "start {\n tell-share 1\n}\n"),
+    ("rules without a book", "rules {\n    dir \"d\"\n}\n"),
+    (
+        "rules with wrong kinds",
+        "rules {\n book 1\n dir #true\n read-list \"x\"\n reach 3 { n1 \"here\"; n2 5 }\n}\n",
+    ),
+    ("columns count characters", "/* \u{e9}\u{4e16} */ resluts { }\n"),
+    ("no KDL: a brace is not closed", "results {\n  longest-kb 4\n"),
+    ("no KDL: a text is not closed", "rules {\n  book \"x\n}\n"),
+];
+
+fn or_none<T: std::fmt::Debug>(value: Option<T>) -> String {
+    value.map_or("none".to_string(), |value| format!("{value:?}"))
+}
+
+fn rule_book(rules: &Rules) -> String {
+    let mut lines = format!("  rules: book {:?}, dir {}, ", rules.book, or_none(rules.dir.as_ref()));
+    writeln!(lines, "read-list {}", rules.read_list).unwrap();
+    for (member, address) in &rules.reach {
+        writeln!(lines, "  rules: reach {member:?} at {address}").unwrap();
+    }
+    lines
+}
+
+/// What the file says, by the file's own names.
+fn decoded(service: &Service) -> String {
+    let mut lines = format!("  results: longest-kb {}\n", or_none(service.results.longest_kb));
+    writeln!(lines, "  reports: longest-ms {}", or_none(service.reports.longest_ms)).unwrap();
+    writeln!(lines, "  log: json {}", service.log.json).unwrap();
+    lines += &service.rules.as_ref().map_or("  rules: none\n".to_string(), rule_book);
+    writeln!(lines, "  start: tell-share {}", service.start.tell_share).unwrap();
+    lines
+}
+
+fn read(text: &str) -> String {
+    match parse(text) {
+        Ok(service) => decoded(&service),
+        Err(faults) => faults.iter().map(|fault| format!("  fault {fault}\n")).collect(),
+    }
+}
+
+fn block(title: &str, text: &str) -> String {
+    format!("== {title}\n{}\n--\n{}\n", text.trim_end(), read(text))
+}
+
+#[test]
+fn the_example_is_read_as_recorded() {
+    let example = include_str!("../../../deploy/service.kdl");
+    compare::check("service-file/example.txt", &read(example));
+}
+
+#[test]
+fn good_service_files_are_read_as_recorded() {
+    let built: String = GOOD.iter().map(|(title, text)| block(title, text)).collect();
+    compare::check("service-file/good.txt", &built);
+}
+
+#[test]
+fn faults_of_service_files_stand_at_the_recorded_places() {
+    let built: String = BAD.iter().map(|(title, text)| block(title, text)).collect();
+    compare::check("service-file/faults.txt", &built);
+}
