--- a/crates/aldercrank-drill/src/lib.rs
+++ b/crates/aldercrank-drill/src/lib.rs
@@ -7,7 +7,7 @@
 
 /// Collects one instance's actions until the reply is written.
 #[derive(Default)]
-pub struct Outbox(Vec<Json>);
+pub struct Outbox(pub Vec<Json>);
 
 fn us(span: Duration) -> u64 {
     span.as_micros().min(u128::from(u64::MAX)) as u64
--- /dev/null
+++ b/crates/aldercrank-drill/tests/golden/settings.rs
@@ -0,0 +1,77 @@
+//! Settings in PowerOn: none, of other kinds, and one after another what is told of them and what follows.
+
+use crate::batches::{power_on, Talk};
+
+const REQUEST: &str =
+    r#"{"t":"NewRequest","request_id":1,"cls":"look","user_group":"a","by":17,"footprint":9.0}"#;
+
+/// A server's start with the settings given, a request, and the timer.
+fn life(talk: &mut Talk, title: &str, start: &str) {
+    talk.section(title);
+    talk.items("PowerOn", 1_000_000, start);
+    talk.items("a request", 1_100_000, REQUEST);
+    talk.items("the timer", 2_500_000, r#"{"t":"Alarm","tag":"tick","pressure":[0.62,3]}"#);
+}
+
+fn with_settings(env: &str) -> String {
+    format!(r#"{{"t":"PowerOn","salt":5,"env":{env}}}"#)
+}
+
+const OTHERS: [(&str, &str); 16] = [
+    ("empty settings", "{}"),
+    ("settings of null", "null"),
+    ("settings that are a list", "[1,2]"),
+    ("settings that are a number", "5"),
+    ("everything of another kind", r#"{"family_info":5,"rules":"x","profiles":{"name":"look"},"tick":"x"}"#),
+    ("a class by its name alone", r#"{"profiles":[{"name":"look"}]}"#),
+    ("a class without a name", r#"{"profiles":[{"effect":"dedup"},{"name":"look"}]}"#),
+    ("a class of an unknown effect", r#"{"profiles":[{"name":"look","effect":"magic"}]}"#),
+    ("a class that is not offered", r#"{"profiles":[{"name":"look","effect":"retryable","offered":false}]}"#),
+    ("out of service", r#"{"rules":{"in_service":false},"profiles":[{"name":"look","effect":"retryable"}]}"#),
+    (
+        "a caller turned away",
+        r#"{"rules":{"turned_away":[5,17]},"profiles":[{"name":"look","effect":"retryable"}]}"#,
+    ),
+    (
+        "a tenant beyond its share",
+        r#"{"over_share_worth":0.1,"peers_total":2,"tenants":[{"name":"a","quota_per_s":0}],"profiles":[{"name":"look","effect":"retryable"}]}"#,
+    ),
+    ("a tick of half a second", r#"{"tick":500000,"profiles":[{"name":"look","effect":"retryable"}]}"#),
+    (
+        "dedup with a window",
+        r#"{"profiles":[{"name":"look","effect":"dedup","window":7000000,"give_up":2000000,"goal_time":1000000}]}"#,
+    ),
+    (
+        "negative and huge numbers",
+        r#"{"tick":-5,"family_info":{"cores":-1,"memory_kb":1e300},"profiles":[{"name":"look","give_up":-1,"goal_time":1e300}]}"#,
+    ),
+    (
+        "memory for nothing",
+        r#"{"family_info":{"memory_kb":1.0},"profiles":[{"name":"look","effect":"retryable"}]}"#,
+    ),
+];
+
+/// One after another with and without a tenant, so that those beyond the tenant's share go first.
+fn tenants(talk: &mut Talk) {
+    talk.section("tenants, under load");
+    let env = r#"{"over_share_worth":0.01,"peers_total":2,"tenants":[{"name":"a","quota_per_s":2}],"family_info":{"cores":1},"profiles":[{"name":"look","effect":"retryable","goal_time":1000000,"give_up":3000000}]}"#;
+    talk.items("PowerOn", 0, &with_settings(env));
+    for id in 1..12 {
+        let tenant = ["", r#","user_group":"a""#, r#","user_group":"b""#][id % 3];
+        let item = format!(r#"{{"t":"NewRequest","request_id":{id},"cls":"look","precedence":0.5{tenant}}}"#);
+        talk.items("a request", 100_000, &item);
+    }
+}
+
+pub fn text() -> String {
+    let mut talk = Talk::default();
+    life(&mut talk, "usual settings", &power_on(""));
+    life(&mut talk, "usual settings, cold", &power_on(r#","cold":true"#));
+    life(&mut talk, "unknown settings beside", &power_on(r#","never_heard_of":[1,{"x":null}]"#));
+    life(&mut talk, "no settings at all", r#"{"t":"PowerOn"}"#);
+    for (title, env) in OTHERS {
+        life(&mut talk, title, &with_settings(env));
+    }
+    tenants(&mut talk);
+    talk.text
+}
--- /dev/null
+++ b/crates/aldercrank-wire/tests/golden/http.rs
@@ -0,0 +1,215 @@
+//! Answers and requests in HTTP: what we write, and what is read in what others write.
+
+use crate::text::{escaped, filler, Cases};
+use aldercrank_wire::http::{self, Question, Reader, Reply};
+use std::time::Duration;
+
+type Form = (&'static str, &'static str);
+
+pub fn answer_read(bytes: &[u8]) -> Result<Option<Reply>, &'static str> {
+    Reader::default().read(bytes)
+}
+
+fn answer_meaning(bytes: &[u8], read: Result<Option<Reply>, &'static str>) -> String {
+    match read {
+        Ok(None) => "not whole".to_string(),
+        Err(why) => format!("error: {why}"),
+        Ok(Some(Reply { status, shed, back_in, body })) => {
+            let text = escaped(&bytes[body.clone()]);
+            format!("answer status={status} shed={shed} retry-after={back_in:?} body at {body:?}: {text:?}")
+        }
+    }
+}
+
+/// One case of an answer: read at once, and by a reader that sees it grow byte by byte.
+fn answer(cases: &mut Cases, title: &str, bytes: &[u8]) {
+    let mut meaning = vec![answer_meaning(bytes, answer_read(bytes))];
+    let mut reader = Reader::default();
+    let grown = (0..=bytes.len()).map(|n| (n, reader.read(&bytes[..n]))).find(|(_, read)| *read != Ok(None));
+    meaning.push(match grown {
+        Some((n, read)) => format!("decided with {n} of {}: {}", bytes.len(), answer_meaning(bytes, read)),
+        None => "never decided".to_string(),
+    });
+    cases.case(title, &escaped(bytes), &meaning);
+}
+
+/// The lines that say what is read in a request.
+pub fn question_meaning(bytes: &[u8]) -> Vec<String> {
+    match http::question(bytes) {
+        Ok(None) => vec!["not whole".to_string()],
+        Err(why) => vec![format!("error: {why}")],
+        Ok(Some(Question { length, method, path, have, wait, parent, budget, body })) => vec![
+            format!("request of {length} bytes: {method} {path:?} body {:?}", escaped(&bytes[body])),
+            format!("if-none-match={have:?} wait={wait:?} x-parent-id={parent:?} x-budget-ms={budget:?}"),
+        ],
+    }
+}
+
+/// One case of a request.
+pub fn question(cases: &mut Cases, title: &str, bytes: &[u8]) {
+    let mut meaning = question_meaning(bytes);
+    let decided = (0..=bytes.len()).find(|n| http::question(&bytes[..*n]) != Ok(None));
+    meaning.push(match decided {
+        Some(n) => format!("decided with {n} of {} bytes", bytes.len()),
+        None => "never decided".to_string(),
+    });
+    cases.case(title, &escaped(bytes), &meaning);
+}
+
+fn write_our_answers(cases: &mut Cases) {
+    let answers: [(u16, bool, Option<u64>, &[u8]); 9] = [
+        (200, false, None, b"done\r\n\x00\xff"),
+        (200, false, None, b""),
+        (204, false, None, b""),
+        (304, false, None, b""),
+        (400, false, None, b"why"),
+        (409, true, None, b""),
+        (503, true, Some(0), b""),
+        (503, true, Some(1_999), b"later"),
+        (504, false, Some(86_400_000), b""),
+    ];
+    for (status, shed, back_in, body) in answers {
+        let mut bytes = Vec::new();
+        http::answer(&mut bytes, status, shed, back_in.map(Duration::from_millis), body);
+        answer(cases, &format!("{status}, shed {shed}, retry after {back_in:?} ms"), &bytes);
+    }
+}
+
+const ANSWERS: [Form; 44] = [
+    ("names in small letters", "HTTP/1.1 503 no\r\nx-shed: 1\r\nretry-after: 2\r\ncontent-length: 0\r\n\r\n"),
+    ("names in capitals", "HTTP/1.1 503 no\r\nX-SHED: 1\r\nRETRY-AFTER: 2\r\nCONTENT-LENGTH: 0\r\n\r\n"),
+    ("spaces around values", "HTTP/1.1 503 no\r\nX-Shed:  1 \r\nRetry-After:\t2\t\r\nContent-Length:   1  \r\n\r\nb"),
+    ("no spaces", "HTTP/1.1 503 no\r\nX-Shed:1\r\nRetry-After:2\r\nContent-Length:1\r\n\r\nb"),
+    ("no reason", "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n"),
+    ("an empty reason", "HTTP/1.1 200 \r\nContent-Length: 0\r\n\r\n"),
+    ("a reason of several words", "HTTP/1.1 404 Not Found Here\r\nContent-Length: 0\r\n\r\n"),
+    ("HTTP/1.0", "HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\nb"),
+    ("HTTP/2", "HTTP/2 200 OK\r\nContent-Length: 1\r\n\r\nb"),
+    ("line ends of one byte", "HTTP/1.1 200 OK\nContent-Length: 1\n\nb"),
+    ("unknown fields", "HTTP/1.1 200 OK\r\nServer: x\r\nDate: y\r\nContent-Length: 1\r\n\r\nb"),
+    ("shed 0", "HTTP/1.1 503 no\r\nX-Shed: 0\r\nContent-Length: 0\r\n\r\n"),
+    ("shed true", "HTTP/1.1 503 no\r\nX-Shed: true\r\nContent-Length: 0\r\n\r\n"),
+    ("shed 0 and 1", "HTTP/1.1 503 no\r\nX-Shed: 0\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n"),
+    ("retry after a date", "HTTP/1.1 503 no\r\nRetry-After: Wed, 21 Oct 2026 07:28:00 GMT\r\nContent-Length: 0\r\n\r\n"),
+    ("retry after a fraction", "HTTP/1.1 503 no\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n"),
+    ("retry after less than none", "HTTP/1.1 503 no\r\nRetry-After: -1\r\nContent-Length: 0\r\n\r\n"),
+    ("retry after two", "HTTP/1.1 503 no\r\nRetry-After: 3\r\nRetry-After: 4\r\nContent-Length: 0\r\n\r\n"),
+    ("retry after nothing", "HTTP/1.1 503 no\r\nRetry-After:\r\nContent-Length: 0\r\n\r\n"),
+    ("retry after too much", "HTTP/1.1 503 no\r\nRetry-After: 18446744073709551616\r\nContent-Length: 0\r\n\r\n"),
+    ("a length with zeros in front", "HTTP/1.1 200 OK\r\nContent-Length: 0001\r\n\r\nb"),
+    ("the same length twice", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nb"),
+    ("two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nbb"),
+    ("two lengths that differ in form", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 01\r\n\r\nb"),
+    ("a list of lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1, 1\r\n\r\nb"),
+    ("a length with a plus", "HTTP/1.1 200 OK\r\nContent-Length: +1\r\n\r\nb"),
+    ("a length below zero", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nb"),
+    ("a length of nothing", "HTTP/1.1 200 OK\r\nContent-Length:\r\n\r\nb"),
+    ("a length over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n"),
+    ("a length over all", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n"),
+    ("no length", "HTTP/1.1 200 OK\r\n\r\n"),
+    ("204 without a length", "HTTP/1.1 204 -\r\n\r\n"),
+    ("304 without a length", "HTTP/1.1 304 -\r\n\r\n"),
+    ("a body in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nb\r\n0\r\n\r\n"),
+    ("a body in chunks with a length", "HTTP/1.1 200 OK\r\nTransfer-Encoding: identity\r\nContent-Length: 1\r\n\r\nb"),
+    ("100 in between", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb"),
+    ("103 twice in between", "HTTP/1.1 103 -\r\nLink: x\r\n\r\nHTTP/1.1 103 -\r\n\r\nHTTP/1.1 503 -\r\nX-Shed: 1\r\nContent-Length: 2\r\n\r\nbc"),
+    ("100 alone", "HTTP/1.1 100 Continue\r\n\r\n"),
+    ("more behind the answer", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nbHTTP/1.1 500 -\r\n"),
+    ("a body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nb"),
+    ("a head cut short", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"),
+    ("a status of two digits", "HTTP/1.1 20 OK\r\nContent-Length: 0\r\n\r\n"),
+    ("a status of 999", "HTTP/1.1 999 -\r\nContent-Length: 0\r\n\r\n"),
+    ("something else", "+PONG\r\n\r\n"),
+];
+
+const QUESTIONS: [Form; 26] = [
+    ("a read", "GET /rules HTTP/1.1\r\nHost: h\r\n\r\n"),
+    ("a read with a tag and a wait", "GET /rules HTTP/1.1\r\nIf-None-Match: \"12\"\r\nPrefer: wait=20\r\n\r\n"),
+    ("a tag without quotes", "GET /rules HTTP/1.1\r\nIf-None-Match:  12 \r\n\r\n"),
+    ("a weak tag", "GET /rules HTTP/1.1\r\nIf-None-Match: W/\"12\"\r\n\r\n"),
+    ("an empty tag", "GET /rules HTTP/1.1\r\nIf-None-Match: \"\"\r\n\r\n"),
+    ("another preference", "GET /rules HTTP/1.1\r\nPrefer: respond-async\r\n\r\n"),
+    ("a wait among others", "GET /rules HTTP/1.1\r\nPrefer: respond-async, wait=20\r\n\r\n"),
+    ("a wait with a fraction", "GET /rules HTTP/1.1\r\nPrefer: wait=1.5\r\n\r\n"),
+    ("a wait of nothing", "GET /rules HTTP/1.1\r\nPrefer: wait=\r\n\r\n"),
+    ("a wait in capitals", "GET /rules HTTP/1.1\r\nPrefer: WAIT=20\r\n\r\n"),
+    ("a call", "POST /lookup HTTP/1.1\r\nX-Parent-Id: 0123456789abcdef\r\nX-Budget-Ms: 80\r\nContent-Length: 2\r\n\r\nab"),
+    ("names in small letters", "POST /lookup HTTP/1.1\r\nx-parent-id: p\r\nx-budget-ms: 80\r\ncontent-length: 2\r\n\r\nab"),
+    ("a budget that is no number", "POST /lookup HTTP/1.1\r\nX-Budget-Ms: soon\r\n\r\n"),
+    ("a budget below zero", "POST /lookup HTTP/1.1\r\nX-Budget-Ms: -1\r\n\r\n"),
+    ("a field twice: the first", "POST /lookup HTTP/1.1\r\nX-Budget-Ms: 1\r\nX-Budget-Ms: 2\r\n\r\n"),
+    ("more behind the request", "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n"),
+    ("HTTP/1.0", "GET /a HTTP/1.0\r\n\r\n"),
+    ("an unknown method", "BREW /pot HTTP/1.1\r\n\r\n"),
+    ("a query", "GET /a?b=c%20d HTTP/1.1\r\n\r\n"),
+    ("an empty line in front", "\r\nGET /a HTTP/1.1\r\n\r\n"),
+    ("a length that is no number", "PUT /a HTTP/1.1\r\nContent-Length: x\r\n\r\n"),
+    ("a length over the limit", "PUT /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"),
+    ("a body cut short", "PUT /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nb"),
+    ("a head cut short", "PUT /a HTTP/1.1\r\nContent-Length: 2\r\n"),
+    ("no path", "GET HTTP/1.1\r\n\r\n"),
+    ("something else", "\u{1}\u{2}\r\n\r\n"),
+];
+
+/// A head of so many bytes, its last field filled up.
+fn head_of(first: &str, length: usize) -> Vec<u8> {
+    let front = format!("{first}\r\nContent-Length: 0\r\nX-Filler: ");
+    [front.as_bytes(), &filler(length - front.len() - 4), b"\r\n\r\n"].concat()
+}
+
+fn fields_of(first: &str, count: usize) -> Vec<u8> {
+    format!("{first}\r\nContent-Length: 0\r\n{}\r\n", "X-A: b\r\n".repeat(count - 1)).into_bytes()
+}
+
+fn write_long_answers(cases: &mut Cases) {
+    cases.section("long heads and bodies");
+    let status = "HTTP/1.1 200 OK";
+    for length in [8_192, 8_193] {
+        answer(cases, &format!("a head of {length} bytes"), &head_of(status, length));
+        answer(cases, &format!("{length} bytes of a longer head"), &head_of(status, 9_000)[..length]);
+    }
+    for count in [64, 65] {
+        answer(cases, &format!("{count} fields"), &fields_of(status, count));
+    }
+    let between = "HTTP/1.1 100 -\r\n\r\n".repeat(500);
+    answer(cases, "words in between without end", between.as_bytes());
+    let longest = longest_body(status);
+    cases.case("the longest body", &escaped(&longest), &[answer_meaning(&longest, answer_read(&longest))]);
+}
+
+fn write_long_requests(cases: &mut Cases) {
+    cases.section("long heads and bodies");
+    let line = "GET /a HTTP/1.1";
+    for length in [8_192, 8_193] {
+        question(cases, &format!("a head of {length} bytes"), &head_of(line, length));
+        question(cases, &format!("{length} bytes of a longer head"), &head_of(line, 9_000)[..length]);
+    }
+    for count in [64, 65] {
+        question(cases, &format!("{count} fields"), &fields_of(line, count));
+    }
+    let longest = longest_body(line);
+    cases.case("the longest body", &escaped(&longest), &question_meaning(&longest));
+}
+
+fn longest_body(first: &str) -> Vec<u8> {
+    [first.as_bytes(), b"\r\nContent-Length: 65536\r\n\r\n", &filler(65_536)].concat()
+}
+
+pub fn write_answers(cases: &mut Cases) {
+    cases.section("answers, as we write them");
+    write_our_answers(cases);
+    cases.section("answers, in other forms and malformed");
+    for (title, text) in ANSWERS {
+        answer(cases, title, text.as_bytes());
+    }
+    write_long_answers(cases);
+}
+
+pub fn write_requests(cases: &mut Cases) {
+    cases.section("requests, in other forms and malformed");
+    for (title, text) in QUESTIONS {
+        question(cases, title, text.as_bytes());
+    }
+    question(cases, "a parent that is not UTF-8", b"POST /a HTTP/1.1\r\nX-Parent-Id: \xff\r\n\r\n");
+    write_long_requests(cases);
+}
--- /dev/null
+++ b/crates/aldercrank-wire/tests/golden/worker_commands.rs
@@ -0,0 +1,137 @@
+//! What a server tells its worker pool: the lines that we write, and what the pool reads.
+
+use crate::text::{escaped, filler, Cases};
+use aldercrank_wire::pool::{self, Backend, Notice, Rid};
+
+/// The lines of what the pool reads.
+#[derive(Default)]
+struct PoolReads(Vec<String>);
+
+impl Backend for PoolReads {
+    fn bind(&mut self, last: Notice) {
+        self.0.push(format!("bind last={}", last.0));
+    }
+    fn spawn(&mut self, rid: Rid, product: &str, body: &[u8]) {
+        self.0.push(format!("spawn rid={rid} class={product:?} body={:?}", escaped(body)));
+    }
+    fn suspend(&mut self, rid: Rid) {
+        self.0.push(format!("suspend rid={rid}"));
+    }
+    fn supply(&mut self, rid: Rid, reply: &[u8]) {
+        self.0.push(format!("supply rid={rid} reply={:?}", escaped(reply)));
+    }
+    fn pass(&mut self, rid: Rid, notice: Notice) {
+        self.0.push(format!("pass rid={rid} notice={}", notice.0));
+    }
+    fn poll(&mut self, tag: &str) {
+        self.0.push(format!("poll tag={tag:?}"));
+    }
+}
+
+fn sent_by_server(cases: &mut Cases, title: &str, bytes: &[u8]) {
+    let (mut reads, mut at) = (PoolReads::default(), 0);
+    loop {
+        match pool::command(&bytes[at..], &mut reads) {
+            Ok(Some(length)) => {
+                at += length;
+                reads.0.push(format!("{length} bytes taken"));
+            }
+            Ok(None) => break,
+            Err(why) => {
+                reads.0.push(format!("error: {why}"));
+                break;
+            }
+        }
+    }
+    reads.0.push(format!("{} bytes left", bytes.len() - at));
+    let nothing = |n: &usize| pool::command(&bytes[..*n], &mut PoolReads::default()) == Ok(None);
+    let decided = match bytes.len() {
+        0..1_000 => (0..=bytes.len()).find(|n| !nothing(n)),
+        // Long ones only near their end.
+        length => (length - 40..=length).find(|n| !nothing(n)),
+    };
+    reads.0.push(match decided {
+        Some(n) => format!("decided with {n} of {} bytes", bytes.len()),
+        None => "never decided".to_string(),
+    });
+    cases.case(title, &escaped(bytes), &reads.0);
+}
+
+fn written(write: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    write(&mut bytes);
+    bytes
+}
+
+pub fn request_id(text: &str) -> Rid {
+    Rid::new(text).expect("sixteen hex digits")
+}
+
+const MALFORMED: [(&str, &[u8]); 28] = [
+    ("several spaces", b"  suspend   0123456789abcdef  \r\n"),
+    ("an id in capitals", b"suspend 0123456789ABCDEF\r\n"),
+    ("a poll with a word for a tag", b"poll a-tag\r\n"),
+    ("line ends inside a body", b"spawn 0123456789abcdef look 4\r\n\r\n\r\n\r\n"),
+    ("a body with other bytes behind it", b"spawn 0123456789abcdef look 1\r\nbXX"),
+    ("a length with a plus", b"supply 0123456789abcdef +1\r\nb\r\n"),
+    ("no bytes", b""),
+    ("a line without its end", b"poll 1"),
+    ("a line with half of its end", b"poll 1\r"),
+    ("a line with the other end alone", b"poll 1\n"),
+    ("an empty line", b"\r\n"),
+    ("an unknown word", b"hello 1\r\n"),
+    ("a word in capitals", b"POLL 1\r\n"),
+    ("a poll without a tag", b"poll\r\n"),
+    ("a poll with two tags", b"poll 1 2\r\n"),
+    ("a bind without a number", b"bind x\r\n"),
+    ("a bind below zero", b"bind -1\r\n"),
+    ("a pass without a number", b"pass 0123456789abcdef x\r\n"),
+    ("a pass of one word", b"pass 0123456789abcdef\r\n"),
+    ("an id that is too short", b"suspend 0123456789abcde\r\n"),
+    ("an id that is too long", b"suspend 0123456789abcdef0\r\n"),
+    ("an id with another letter", b"suspend 0123456789abcdeg\r\n"),
+    ("a length that is a word", b"spawn 0123456789abcdef look x\r\n"),
+    ("a length below zero", b"supply 0123456789abcdef -1\r\n"),
+    ("a length over the limit", b"supply 0123456789abcdef 262145\r\n"),
+    ("a spawn of three words", b"spawn 0123456789abcdef 1\r\n"),
+    ("a bad id with a good length", b"supply x 1\r\nb\r\n"),
+    ("a line that is not UTF-8", b"poll \xff\r\n"),
+];
+
+pub fn write(cases: &mut Cases) {
+    let id = || request_id("0123456789abcdef");
+    cases.section("server to worker pool, as we write it");
+    for last in [0, 1, u64::MAX] {
+        sent_by_server(cases, &format!("bind {last}"), &written(|b| pool::bind(b, Notice(last))));
+    }
+    let spawn = |body: &[u8]| {
+        written(|b| {
+            pool::spawn(b, id(), "look", body.len());
+            b.extend(body);
+            pool::after(b);
+        })
+    };
+    sent_by_server(cases, "spawn without a body", &spawn(b""));
+    sent_by_server(cases, "spawn with a body", &spawn(b"a\r\n\x00\xff"));
+    sent_by_server(cases, "spawn with 2048 bytes", &spawn(&filler(2048)));
+    sent_by_server(cases, "suspend", &written(|b| pool::suspend(b, request_id("FEDCBA9876543210"))));
+    sent_by_server(cases, "supply without a reply", &written(|b| pool::supply(b, id(), b"")));
+    sent_by_server(cases, "supply with a reply", &written(|b| pool::supply(b, id(), b"r\r\n")));
+    let most = written(|b| pool::supply(b, id(), &filler(pool::BYTES)));
+    sent_by_server(cases, "supply with the longest reply", &most);
+    let more = written(|b| pool::supply(b, id(), &filler(pool::BYTES + 1)));
+    sent_by_server(cases, "supply with one byte more", &more);
+    sent_by_server(cases, "pass", &written(|b| pool::pass(b, id(), Notice(42))));
+    sent_by_server(cases, "poll", &written(|b| pool::poll(b, u64::MAX)));
+    let several = [spawn(b"ab"), written(|b| pool::poll(b, 1)), spawn(b"cd")].concat();
+    sent_by_server(cases, "three commands in one buffer", &several);
+    sent_by_server(cases, "three commands, the last cut short", &several[..several.len() - 1]);
+    cases.section("server to worker pool, in other forms and malformed");
+    for (title, bytes) in MALFORMED {
+        sent_by_server(cases, title, bytes);
+    }
+    let line = |length: usize| [&b"poll "[..], &filler(length - 5), b"\r\n"].concat();
+    sent_by_server(cases, "a line of 16384 letters", &line(16_384));
+    sent_by_server(cases, "a line of 16385 letters that has come whole", &line(16_385));
+    sent_by_server(cases, "16385 letters without an end", &line(16_385)[..16_385]);
+}
