--- /dev/null
+++ b/crates/aldercrank-agree/tests/golden.rs
@@ -0,0 +1,418 @@
+//! Golden files of the messages that servers send one another about the rule book: MessagePack bytes, the names that
+//! stand in them, and what the receiver reads. Written only where `RECORD_GOLDEN_FILES` is set.
+
+use aldercrank_agree::words::Bits;
+use aldercrank_agree::{Ask, Ballot, Decision, Name, Stamp, Standing, Tally, Told, Verdict};
+use serde::Serialize;
+use serde_json::{json, Value as Json};
+use std::fmt::Write;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// Compares a text with the golden file of this name; a failure names the first line that differs.
+fn compare(name: &str, actual: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../tests/golden/consensus").join(name);
+    if std::env::var_os("RECORD_GOLDEN_FILES").is_some() {
+        std::fs::write(&path, actual).unwrap();
+    }
+    let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
+    let (mut expected_lines, mut actual_lines) = (expected.split('\n'), actual.split('\n'));
+    for number in 1.. {
+        match (expected_lines.next(), actual_lines.next()) {
+            (None, None) => return,
+            (expected, actual) => {
+                assert_eq!(actual, expected, "{name}, line {number}: the left is actual, the right golden")
+            }
+        }
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// A version whose digest counts up from its number, so that the order of its bytes shows.
+fn version(number: u64) -> Stamp {
+    Stamp { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
+}
+
+fn standing(last: u64, number: u64) -> Standing {
+    Standing { last, book: version(number) }
+}
+
+fn ballot() -> Ballot {
+    Ballot { round: 300, by: Some(Name::new("n2")), life: 1_764_748_800_123_456_789 }
+}
+
+fn in_force(number: u64) -> Decision {
+    Decision { stamp: version(number), verdict: Verdict::InForce }
+}
+
+fn refused(number: u64, why: &str) -> Decision {
+    Decision { stamp: version(number), verdict: Verdict::Refused(why.to_string()) }
+}
+
+fn bits(places: &[usize]) -> Bits {
+    let mut bits = Bits::default();
+    places.iter().for_each(|place| bits.set(*place));
+    bits
+}
+
+fn full_tally() -> Tally {
+    Tally {
+        draft: Some(version(9)),
+        attached: 70_000,
+        hold: 128,
+        refuses: Some("n7: product.rent: this server has no such product".to_string()),
+        holders: bits(&[0, 7, 8, 21]),
+        loud: bits(&[31]),
+    }
+}
+
+fn requests() -> Vec<Ask> {
+    let renew = |last, weighed| Ask::Renew { from: Name::new("n1"), last, weighed };
+    let check = |standing, tally| Ask::Check { from: Name::new("n3"), standing, tally };
+    vec![
+        renew(0, None),
+        renew(u64::MAX, Some((version(9), Ok(())))),
+        renew(8, Some((version(9), Err("kein Produkt „rent“ \"here\"\n".to_string())))),
+        Ask::Renew { from: Name::new(""), last: 127, weighed: Some((version(250), Err(String::new()))) },
+        Ask::Renew { from: Name::new(&"n".repeat(64)), last: 128, weighed: None },
+        Ask::Fetch { stamp: version(9) },
+        Ask::Fetch { stamp: Stamp { number: 0, digest: [255; 32] } },
+        check(standing(8, 8), Tally::default()),
+        check(standing(9, 8), full_tally()),
+        Ask::Prepare { after: 8, ballot: Ballot::default() },
+        Ask::Prepare { after: 65_536, ballot: ballot() },
+        Ask::Accept { after: 8, ballot: ballot(), decision: in_force(9) },
+        Ask::Accept { after: 8, ballot: ballot(), decision: refused(9, "its number is used up") },
+        Ask::Learn { after: 8, decision: in_force(9) },
+        Ask::Learn { after: 8, decision: refused(9, "") },
+        Ask::Status,
+    ]
+}
+
+fn responses() -> Vec<Told> {
+    let accepted = |decision| Some((ballot(), decision));
+    let second = Duration::from_secs(1);
+    let span = Duration::new(86_400, 999_999_999);
+    vec![
+        Told::Lease { standing: standing(8, 8), age: None, stood: Duration::ZERO, draft: None },
+        Told::Lease { standing: standing(9, 8), age: Some(second), stood: span, draft: Some(version(10)) },
+        Told::Text { stamp: version(8), text: "rules 8 {\n    limits {\n    }\n}\n".to_string() },
+        Told::Text { stamp: version(8), text: "ä".repeat(200) },
+        Told::NoText,
+        Told::Checked { standing: standing(8, 8), sound: false, accepted: None, tally: Tally::default() },
+        Told::Checked {
+            standing: standing(9, 8),
+            sound: true,
+            accepted: accepted(in_force(10)),
+            tally: full_tally(),
+        },
+        Told::Promised { accepted: None },
+        Told::Promised { accepted: accepted(refused(9, "n7 can't go by it")) },
+        Told::Accepted,
+        Told::Outbid { ballot: ballot() },
+        Told::Outbid { ballot: Ballot::default() },
+        Told::Lacks { stamp: version(9) },
+        Told::Elsewhere { standing: standing(9, 8) },
+        Told::Silent,
+        Told::Fine,
+        Told::Status { text: "{\"server\":\"n1\"}".to_string() },
+    ]
+}
+
+// ---- what a message means, in the words of the protocol ----
+
+fn say_version(version: &Stamp) -> String {
+    format!("{} with digest {}", version.number, hex(&version.digest))
+}
+
+fn say_draft(draft: &Option<Stamp>) -> String {
+    draft.as_ref().map_or("none".to_string(), say_version)
+}
+
+fn say_standing(standing: &Standing) -> String {
+    format!("last {}, book {}", standing.last, say_version(&standing.book))
+}
+
+fn say_ballot(ballot: &Ballot) -> String {
+    let by = ballot.by.as_ref().map(|name| name.to_string());
+    format!("round {}, by {by:?}, life {}", ballot.round, ballot.life)
+}
+
+fn say_decision(decision: &Decision) -> String {
+    let verdict = match &decision.verdict {
+        Verdict::InForce => "InForce".to_string(),
+        Verdict::Refused(why) => format!("Refused {why:?}"),
+    };
+    format!("{verdict} for {}", say_version(&decision.stamp))
+}
+
+fn say_accepted(accepted: &Option<(Ballot, Decision)>) -> String {
+    let say = |(ballot, decision): &(Ballot, Decision)| {
+        format!("ballot [{}], decision [{}]", say_ballot(ballot), say_decision(decision))
+    };
+    accepted.as_ref().map_or("none".to_string(), say)
+}
+
+fn say_bits(bits: &Bits) -> String {
+    let places: Vec<usize> = (0..256).filter(|place| bits.has(*place)).collect();
+    format!("{places:?}")
+}
+
+fn say_tally(tally: &Tally) -> String {
+    let (holders, loud) = (say_bits(&tally.holders), say_bits(&tally.loud));
+    let draft = say_draft(&tally.draft);
+    let (attached, hold, refuses) = (tally.attached, tally.hold, &tally.refuses);
+    format!("draft {draft}, attached {attached}, hold {hold}, refuses {refuses:?}, holders {holders}, loud {loud}")
+}
+
+fn say_weighed(weighed: &Option<(Stamp, Result<(), String>)>) -> String {
+    let say = |(version, verdict): &(Stamp, Result<(), String>)| match verdict {
+        Ok(()) => format!("Ok for {}", say_version(version)),
+        Err(why) => format!("Err {why:?} for {}", say_version(version)),
+    };
+    weighed.as_ref().map_or("none".to_string(), say)
+}
+
+fn say_request(request: &Ask) -> String {
+    match request {
+        Ask::Renew { from, last, weighed } => {
+            format!("Renew: from {:?}, last {last}, weighed {}", from.to_string(), say_weighed(weighed))
+        }
+        Ask::Fetch { stamp } => format!("Fetch: {}", say_version(stamp)),
+        Ask::Check { from, standing, tally } => {
+            format!("Check: from {from}, standing [{}], tally [{}]", say_standing(standing), say_tally(tally))
+        }
+        Ask::Prepare { after, ballot } => format!("Prepare: after {after}, ballot [{}]", say_ballot(ballot)),
+        Ask::Accept { after, ballot, decision } => {
+            let (ballot, decision) = (say_ballot(ballot), say_decision(decision));
+            format!("Accept: after {after}, ballot [{ballot}], decision [{decision}]")
+        }
+        Ask::Learn { after, decision } => {
+            format!("Learn: after {after}, decision [{}]", say_decision(decision))
+        }
+        Ask::Status => "Status".to_string(),
+    }
+}
+
+fn say_response(response: &Told) -> String {
+    match response {
+        Told::Lease { standing, age, stood, draft } => {
+            let (standing, draft) = (say_standing(standing), say_draft(draft));
+            format!("Lease: standing [{standing}], age {age:?}, stood {stood:?}, draft {draft}")
+        }
+        Told::Text { stamp, text } => format!("Text: {}, text {text:?}", say_version(stamp)),
+        Told::NoText => "NoText".to_string(),
+        Told::Checked { standing, sound, accepted, tally } => {
+            let (standing, tally) = (say_standing(standing), say_tally(tally));
+            let accepted = say_accepted(accepted);
+            format!("Checked: standing [{standing}], sound {sound}, accepted {accepted}, tally [{tally}]")
+        }
+        Told::Promised { accepted } => format!("Promised: accepted {}", say_accepted(accepted)),
+        Told::Accepted => "Accepted".to_string(),
+        Told::Outbid { ballot } => format!("Outbid: ballot [{}]", say_ballot(ballot)),
+        Told::Lacks { stamp } => format!("Lacks: {}", say_version(stamp)),
+        Told::Elsewhere { standing } => format!("Elsewhere: standing [{}]", say_standing(standing)),
+        Told::Silent => "Silent".to_string(),
+        Told::Fine => "Fine".to_string(),
+        Told::Status { text } => format!("Status: {text:?}"),
+    }
+}
+
+/// Reads bytes and says what they mean.
+type ReadMessage = fn(&[u8]) -> String;
+
+/// The reader's result; servers pass its error on to nobody, so that only that there is one counts.
+fn read_request(bytes: &[u8]) -> String {
+    rmp_serde::from_slice::<Ask>(bytes).map_or("not readable".to_string(), |request| say_request(&request))
+}
+
+fn read_response(bytes: &[u8]) -> String {
+    rmp_serde::from_slice::<Told>(bytes).map_or("not readable".to_string(), |said| say_response(&said))
+}
+
+fn read_notification(bytes: &[u8]) -> String {
+    let read = rmp_serde::from_slice::<Option<Stamp>>(bytes);
+    read.map_or("not readable".to_string(), |draft| format!("draft {}", say_draft(&draft)))
+}
+
+/// One message: its bytes, the values and names that stand in them, and what the receiver reads; cut short it is not
+/// readable at all.
+fn block(out: &mut String, title: &str, message: &impl Serialize, read: ReadMessage) {
+    let bytes = rmp_serde::to_vec(message).unwrap();
+    let plain: Json = rmp_serde::from_slice(&bytes).unwrap();
+    let _ = writeln!(out, "{title}\n  bytes {}\n  holds {plain}\n  read  {}\n", hex(&bytes), read(&bytes));
+    for length in 0..bytes.len() {
+        assert_eq!(read(&bytes[..length]), "not readable", "{title} cut to {length} bytes");
+    }
+}
+
+#[test]
+fn messages_between_servers_are_as_recorded() {
+    let mut out = String::new();
+    for request in requests() {
+        let bytes = rmp_serde::to_vec(&request).unwrap();
+        assert_eq!(rmp_serde::from_slice::<Ask>(&bytes).unwrap(), request);
+        block(&mut out, "request", &request, read_request);
+    }
+    for response in responses() {
+        let bytes = rmp_serde::to_vec(&response).unwrap();
+        assert_eq!(rmp_serde::from_slice::<Told>(&bytes).unwrap(), response);
+        block(&mut out, "response", &response, read_response);
+    }
+    for draft in [None, Some(version(9)), Some(version(u64::MAX))] {
+        block(&mut out, "notification", &draft, read_notification);
+    }
+    compare("messages.txt", &out);
+}
+
+/// Values as another writer might send them, built without the program's own types.
+fn odd_requests() -> Vec<Json> {
+    let digest: Vec<u8> = (0..32).collect();
+    let book = json!([9, digest]);
+    let long_digest = [&digest[..], &[1]].concat();
+    let tally = json!([null, 0, 0, null, [], []]);
+    vec![
+        json!({"Renew": {"from": "n1", "last": 3, "weighed": null}}),
+        json!({"Renew": {"from": "n1", "last": 3}}),
+        json!({"Renew": {"from": "n1", "last": 3, "weighed": null, "later": 1}}),
+        json!({"Renew": ["n1", 3, [book, {"Ok": null}]]}),
+        json!({"Renew": ["n1", 3, [book, {"Err": "why"}]]}),
+        json!({"Renew": ["n1", 3, [book, {"Ok": 1}]]}),
+        json!({"Renew": ["n1", 3, [book, "Ok"]]}),
+        json!({"Renew": ["n1", 3, [book, {"Perhaps": null}]]}),
+        json!({"Renew": ["n1", 3, [{"number": 9, "digest": digest}, {"Ok": null}]]}),
+        json!({"Renew": [["n1"], 3, null]}),
+        json!({"Renew": [7, 3, null]}),
+        json!({"Renew": ["n1", -1, null]}),
+        json!({"Renew": ["n1", 3.0, null]}),
+        json!({"Renew": ["n1", "3", null]}),
+        json!({"Renew": ["n1", 3]}),
+        json!({"Renew": ["n1", 3, null, 4]}),
+        json!({"renew": ["n1", 3, null]}),
+        json!({"Fetch": [book], "Status": null}),
+        json!({"Fetch": book}),
+        json!({"Fetch": {"stamp": book}}),
+        json!({"Fetch": [[9, &digest[..31]]]}),
+        json!({"Fetch": [[9, long_digest]]}),
+        json!({"Fetch": [[9, vec![256; 32]]]}),
+        json!({"Check": ["n1", [8, book], tally]}),
+        json!({"Check": {"from": "n1", "standing": {"last": 8, "book": book}, "tally": {"draft": null,
+            "attached": 1, "hold": 2, "refuses": "x", "holders": [3], "loud": [0, 255]}}}),
+        json!({"Check": ["n1", [8, book], [null, 4294967296u64, 0, null, [], []]]}),
+        json!({"Check": ["n1", [8, book], [null, 0, 0, null, [256], []]]}),
+        json!({"Check": ["n1", [8, book], [null, 0, 0, null, [[1]], []]]}),
+        json!({"Prepare": [8, {"round": 1, "by": "n1", "life": 2}]}),
+        json!({"Accept": [8, [1, "n1", 2], [book, {"InForce": null}]]}),
+        json!({"Accept": {"after": 8, "ballot": [1, null, 2],
+            "decision": {"stamp": book, "verdict": {"Refused": "why"}}}}),
+        json!({"Accept": [8, [1, null, 2], [book, "Refused"]]}),
+        json!({"Accept": [8, [1, null, 2], [book, "Withdrawn"]]}),
+        json!({"Learn": {"after": 8, "decision": [book, "InForce"]}}),
+        json!({"Status": null}),
+        json!({"Status": []}),
+        json!({"Status": 4}),
+        json!(["Status"]),
+        json!("Renew"),
+        json!("Later"),
+        json!(0),
+        json!(6),
+        json!(7),
+        json!(null),
+        json!([]),
+        json!({}),
+    ]
+}
+
+fn odd_responses() -> Vec<Json> {
+    let digest: Vec<u8> = (0..32).collect();
+    let book = json!([9, digest]);
+    let standing = json!([9, book]);
+    vec![
+        json!({"Lease": {"standing": standing, "age": [1, 5], "stood": [2, 0], "draft": null}}),
+        json!({"Lease": [standing, {"secs": 1, "nanos": 5}, [2, 0], null]}),
+        json!({"Lease": [standing, null, [2, 4_000_000_000u32], null]}),
+        json!({"Lease": [standing, null, [u64::MAX, 1_000_000_000], null]}),
+        json!({"Lease": [standing, null, [1, -1], null]}),
+        json!({"Lease": [standing, null, 2, null]}),
+        json!({"Lease": [standing, null, [2, 0]]}),
+        json!({"Text": {"stamp": book, "text": "rules"}}),
+        json!({"Text": [book, null]}),
+        json!({"Checked": {"standing": standing, "sound": true, "accepted": null,
+            "tally": [null, 0, 0, null, [], []]}}),
+        json!({"Checked": [standing, 1, null, [null, 0, 0, null, [], []]]}),
+        json!({"Promised": {"accepted": [[1, "n1", 2], [book, "InForce"]]}}),
+        json!({"Promised": null}),
+        json!({"Promised": [null]}),
+        json!({"Outbid": {"ballot": [1, "n1", 2]}}),
+        json!({"Lacks": {"stamp": book}}),
+        json!({"Elsewhere": {"standing": standing}}),
+        json!({"Status": {"text": "{}"}}),
+        json!({"Status": "{}"}),
+        json!({"Accepted": null}),
+        json!("NoText"),
+        json!("accepted"),
+        json!("Lease"),
+        json!(2),
+        json!(11),
+        json!(12),
+    ]
+}
+
+fn odd_notifications() -> Vec<Json> {
+    let digest: Vec<u8> = (0..32).collect();
+    vec![
+        json!({"number": 9, "digest": digest}),
+        json!({"digest": digest, "number": 9}),
+        json!({"number": 9}),
+        json!([9]),
+        json!([9, digest, 1]),
+        json!([9, &digest[..31]]),
+        json!(9),
+        json!([]),
+        json!(false),
+    ]
+}
+
+/// Bytes that no JSON value stands for.
+fn odd_bytes() -> Vec<(&'static str, Vec<u8>)> {
+    let status = [&[0xa6][..], b"Status"].concat();
+    vec![
+        ("nothing", vec![]),
+        ("a reserved marker", vec![0xc1]),
+        ("a value with bytes behind it", [&status[..], &[0xc1]].concat()),
+        ("a name as a longer form of text", [&[0xd9, 6][..], b"Status"].concat()),
+        ("a name as binary", [&[0xc4, 6][..], b"Status"].concat()),
+        ("a name that is no UTF-8", vec![0xa2, 0xc3, 0x28]),
+        ("variants by their places: 1 with nothing", vec![0x81, 1, 0x90]),
+        ("variants by their places: 6 with nil", vec![0x81, 6, 0xc0]),
+        ("variants by their places: 9 with nil", vec![0x81, 9, 0xc0]),
+        ("a text without end", vec![0xdb, 0xff, 0xff, 0xff, 0xff]),
+        ("a list without end", [&[0x81, 0xa5][..], b"Renew", &[0xdd, 0xff, 0xff, 0xff, 0xff]].concat()),
+        ("deeply nested", vec![0x91; 5000]),
+    ]
+}
+
+#[test]
+fn odd_and_malformed_messages_are_read_as_recorded() {
+    let mut out = String::new();
+    let kinds: [(&str, Vec<Json>, ReadMessage); 3] = [
+        ("request", odd_requests(), read_request),
+        ("response", odd_responses(), read_response),
+        ("notification", odd_notifications(), read_notification),
+    ];
+    for (kind, values, read) in kinds {
+        for value in values {
+            let bytes = rmp_serde::to_vec(&value).unwrap();
+            let _ = writeln!(out, "{kind} {value}\n  bytes {}\n  read  {}\n", hex(&bytes), read(&bytes));
+        }
+        for (title, bytes) in odd_bytes() {
+            let shown = &bytes[..bytes.len().min(16)];
+            let (length, read) = (bytes.len(), read(&bytes));
+            let _ = writeln!(out, "{kind}: {title}\n  {length} bytes {}\n  read  {read}\n", hex(shown));
+        }
+    }
+    compare("messages-odd.txt", &out);
+}
--- /dev/null
+++ b/crates/aldercrank-rules/tests/golden.rs
@@ -0,0 +1,204 @@
+//! Golden files of rule books: each `tests/golden/rule-books/*.kdl` with what is read from it beside it. The expected
+//! files are written only where `RECORD_GOLDEN_FILES` is set.
+
+use aldercrank::{Settings, Value as Setting};
+use aldercrank_rules::{changes, tightens, Book, Role};
+use std::fmt::Write;
+use std::path::PathBuf;
+
+fn directory() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../tests/golden/rule-books")
+}
+
+fn input(name: &str) -> String {
+    std::fs::read_to_string(directory().join(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
+}
+
+/// Compares a text with the golden file of this name; a failure names the first line that differs.
+fn compare(name: &str, actual: &str) {
+    let path = directory().join(name);
+    if std::env::var_os("RECORD_GOLDEN_FILES").is_some() {
+        std::fs::write(&path, actual).unwrap();
+    }
+    let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
+    let (mut expected_lines, mut actual_lines) = (expected.split('\n'), actual.split('\n'));
+    for number in 1.. {
+        match (expected_lines.next(), actual_lines.next()) {
+            (None, None) => return,
+            (expected, actual) => {
+                assert_eq!(actual, expected, "{name}, line {number}: the left is actual, the right golden")
+            }
+        }
+    }
+}
+
+/// All golden books, in the order of their names.
+fn book_names() -> Vec<String> {
+    let files = std::fs::read_dir(directory()).unwrap();
+    let names = files.map(|file| file.unwrap().file_name().into_string().unwrap());
+    let mut names: Vec<String> = names.filter(|name| name.ends_with(".kdl")).collect();
+    names.sort();
+    names
+}
+
+fn readable(name: &str) -> Book {
+    Book::parse(&input(name)).unwrap_or_else(|faults| panic!("{name}: {faults:?}"))
+}
+
+fn role_name(role: Role) -> &'static str {
+    match role {
+        Role::Free => "free",
+        Role::Fenced => "fenced",
+        Role::Fixed => "fixed",
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// What one text means: the faults, or the book's content and its canonical text.
+fn meaning(text: &str) -> String {
+    match Book::parse(text) {
+        Ok(book) => content(&book),
+        Err(faults) => {
+            let mut out = "not readable\n".to_string();
+            for fault in faults {
+                let _ = writeln!(out, "line {} column {}: {}", fault.line, fault.column, fault.what);
+                assert_eq!(fault.to_string(), format!("{}:{}: {}", fault.line, fault.column, fault.what));
+            }
+            out
+        }
+    }
+}
+
+fn content(book: &Book) -> String {
+    let mut out = format!("version {}\ndigest {}\n", book.number, hex(&book.digest().0));
+    let _ = writeln!(out, "short digest {}", book.digest());
+    let _ = writeln!(out, "agree within {:?}", book.within());
+    let _ = writeln!(out, "alone for {:?}", book.alone());
+    for (name, address) in book.committee() {
+        let _ = writeln!(out, "committee: {name} at {address}");
+    }
+    match book.servers() {
+        None => out.push_str("servers: not named\n"),
+        Some(servers) => {
+            for (name, zone) in servers {
+                let _ = writeln!(out, "server {name} in zone {zone}");
+            }
+        }
+    }
+    for name in ["n1", "n2", "n3", "n5", "n9"] {
+        let (serves, share) = (book.serves(name), book.share(name));
+        let _ = writeln!(out, "{name}: in service {serves}, share {share:?}");
+    }
+    for (path, value) in book.items() {
+        let _ = writeln!(out, "item {path} = {value}");
+    }
+    let text = book.text();
+    let again = Book::parse(&text).expect("the canonical text is readable");
+    assert_eq!((&again, again.text(), again.digest()), (book, text.clone(), book.digest()));
+    out + "canonical text:\n" + &text
+}
+
+#[test]
+fn every_golden_book_reads_as_recorded() {
+    let names = book_names();
+    assert!(names.len() >= 25, "only {} books", names.len());
+    for name in names {
+        assert_eq!(Book::parse(&input(&name)).is_err(), name.starts_with("bad-"), "{name}");
+        compare(&name.replace(".kdl", ".txt"), &meaning(&input(&name)));
+    }
+}
+
+#[test]
+fn a_book_cut_short_or_too_long_has_the_recorded_faults() {
+    let text = input("plain.kdl");
+    let mut out = String::new();
+    for length in (0..text.trim_end().len()).step_by(17) {
+        let _ = writeln!(out, "plain.kdl cut to {length} bytes: {}", meaning(&text[..length]));
+    }
+    for length in [12 * 1024, 12 * 1024 + 1, 100_000] {
+        let long = format!("{text}//{}", "x".repeat(length - text.len() - 2));
+        let _ = writeln!(out, "plain.kdl filled up to {length} bytes with a comment: {}", meaning(&long));
+    }
+    compare("cut.txt", &out);
+}
+
+#[test]
+fn changes_between_books_are_as_recorded() {
+    let mut out = String::new();
+    let readable_names: Vec<String> = book_names().into_iter().filter(|n| !n.starts_with("bad-")).collect();
+    for old in &readable_names {
+        for new in &readable_names {
+            let (before, after) = (readable(old), readable(new));
+            let _ = writeln!(out, "from {old} to {new}");
+            for change in changes(&before, &after) {
+                let value = |value: &Option<aldercrank_rules::Value>| value.as_ref().map(|v| v.to_string());
+                let (from, to) = (value(&change.from), value(&change.to));
+                let _ = writeln!(out, "  {} {} from {from:?} to {to:?}", role_name(change.role), change.path);
+                let _ = writeln!(out, "    as text: {change}");
+            }
+            for tighter in tightens(&before, &after) {
+                let _ = writeln!(out, "  tightens: {tighter}");
+            }
+        }
+    }
+    compare("changes.txt", &out);
+}
+
+/// A platform's settings with these products, each with its effect, goal time, give-up time and window.
+fn platform(products: &[(&str, &str, f64, f64, f64)]) -> Settings {
+    let mut settings = Settings::default();
+    for (place, (name, effect, goal, give_up, window)) in products.iter().enumerate() {
+        let mut set = |field: &str, value: Setting| settings.set(&format!("profiles.{place}.{field}"), value);
+        set("name", Setting::Text(name.to_string()));
+        set("effect", Setting::Text(effect.to_string()));
+        set("goal_time", Setting::Num(*goal));
+        set("give_up", Setting::Num(*give_up));
+        set("window", Setting::Num(*window));
+    }
+    settings.set("family_info.calls_out", Setting::Num(4.0));
+    settings.set("family_info.memory_kb", Setting::Num(9000.0));
+    settings
+}
+
+fn platforms() -> Vec<(&'static str, Settings)> {
+    let buy = ("licence-buy", "dedup", 1e6, 3e6, 9e6);
+    let map = ("map-extract", "retryable", 1e6, 3e6, 0.0);
+    let pay = ("pay", "fragile", 1e6, 3e6, 0.0);
+    let rent = ("rent", "retryable", 1e6, 3e6, 1e6);
+    vec![
+        ("empty", Settings::default()),
+        ("buy and map", platform(&[buy, map])),
+        ("map, pay, rent and buy", platform(&[map, pay, rent, buy])),
+        ("slow buy, pay, nothing and map", {
+            let slow = ("licence-buy", "dedup", 6e6, 9.5e6, 9e6);
+            platform(&[slow, pay, ("nothing", "dedup", 2e6, 1e6, 5e5), map])
+        }),
+    ]
+}
+
+#[test]
+fn misfits_and_merged_settings_are_as_recorded() {
+    let mut out = String::new();
+    for name in book_names().iter().filter(|name| !name.starts_with("bad-")) {
+        let book = readable(name);
+        for (title, platform) in platforms() {
+            for server in ["n1", "n9"] {
+                let _ = writeln!(out, "{name}, products {title}, server {server}");
+                for misfit in book.misfits(&platform, server) {
+                    let _ = writeln!(out, "  misfit: {misfit}");
+                }
+                for (name, value) in &book.settings(&platform, server).0 {
+                    let _ = match value {
+                        Setting::Num(number) => writeln!(out, "  {name} = {number}"),
+                        Setting::Text(text) => writeln!(out, "  {name} = {text:?}"),
+                        Setting::Flag(flag) => writeln!(out, "  {name} = #{flag}"),
+                    };
+                }
+            }
+        }
+    }
+    compare("settings.txt", &out);
+}
--- a/crates/aldercrank-server/src/net/mod.rs
+++ b/crates/aldercrank-server/src/net/mod.rs
@@ -7,7 +7,7 @@
 mod index;
 mod link;
 mod members;
-mod memory;
+pub mod memory;
 mod peers;
 mod pool;
 mod reload;
--- /dev/null
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -0,0 +1,192 @@
+//! Messages about the rule book inside MessagePack-RPC: what one server writes and the other reads.
+
+use super::{compare, hex};
+use aldercrank_agree::{Ask, Name, Stamp, Standing, Told};
+use aldercrank_server::msgpack::{self, Beside, CallNo, Caller, Edge, Fields, With, RULES};
+use serde::Serialize;
+use std::fmt::Write;
+use std::time::Duration;
+
+/// The longest answer that a server reads from another.
+const LONGEST_ANSWER: usize = 64 * 1024;
+
+/// Notes what either end reads, a line each.
+#[derive(Default)]
+struct Notes(Vec<String>);
+
+impl Edge for Notes {
+    fn asked(&mut self, call: CallNo, method: &str, fields: &Fields, body: &[u8]) {
+        assert_eq!(*fields, Fields::default());
+        self.0.push(format!("call {} of {method:?}, no fields, body {}", call.0, hex(body)));
+    }
+    fn checked(&mut self, call: CallNo) {
+        self.0.push(format!("call {} of \"check\"", call.0));
+    }
+    fn interrupted(&mut self, call: CallNo) {
+        self.0.push(format!("call {} interrupted", call.0));
+    }
+    fn senseless(&mut self, call: CallNo, why: &'static str) {
+        self.0.push(format!("call {} makes no sense: {why}", call.0));
+    }
+    fn ignored(&mut self, why: &'static str) {
+        self.0.push(format!("ignored: {why}"));
+    }
+}
+
+/// What goes along with an answer.
+fn beside(with: With) -> String {
+    format!("hint {:?}, backoff {:?}, final {}, rules {:?}", with.hint, with.back_in, with.last, with.rules)
+}
+
+impl Caller for Notes {
+    fn settled(&mut self, call: CallNo, result: &[u8], with: With) {
+        self.0.push(format!("call {} settled with {}; {}", call.0, hex(result), beside(with)));
+    }
+    fn declined(&mut self, call: CallNo, with: With) {
+        self.0.push(format!("call {} Overloaded; {}", call.0, beside(with)));
+    }
+    fn voided(&mut self, call: CallNo, why: &str, with: With) {
+        self.0.push(format!("call {} {why:?}; {}", call.0, beside(with)));
+    }
+    fn checked(&mut self, call: CallNo, good: bool, with: With) {
+        self.0.push(format!("call {} checked {good}; {}", call.0, beside(with)));
+    }
+    fn closing(&mut self) {
+        self.0.push("closing".to_string());
+    }
+    fn news(&mut self, body: &[u8]) {
+        self.0.push(format!("news with body {}", hex(body)));
+    }
+}
+
+fn read_as_server(bytes: &[u8]) -> String {
+    let mut notes = Notes::default();
+    match msgpack::read(bytes, &mut notes) {
+        Ok(length) => format!("{length:?} bytes: {}", notes.0.join("; then ")),
+        Err(broken) => format!("broken: {}", broken.0),
+    }
+}
+
+fn read_as_caller(bytes: &[u8]) -> String {
+    let mut notes = Notes::default();
+    match msgpack::answer(bytes, LONGEST_ANSWER, &mut notes) {
+        Ok(length) => format!("{length:?} bytes: {}", notes.0.join("; then ")),
+        Err(broken) => format!("broken: {}", broken.0),
+    }
+}
+
+fn pack(value: &impl Serialize) -> Vec<u8> {
+    rmp_serde::to_vec(value).unwrap()
+}
+
+fn version(number: u64) -> Stamp {
+    Stamp { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
+}
+
+fn request(call: u32, body: &[u8]) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    msgpack::ask(&mut bytes, CallNo(call), RULES, &Fields::default(), body);
+    bytes
+}
+
+fn response(call: u32, body: &[u8], beside: Beside) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    msgpack::settled(&mut bytes, CallNo(call), body.len());
+    bytes.extend_from_slice(body);
+    msgpack::settled_end(&mut bytes, beside);
+    bytes
+}
+
+fn notification(draft: Option<Stamp>) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    msgpack::news(&mut bytes, &pack(&draft));
+    bytes
+}
+
+/// Long bytes are cut in the middle.
+fn shortened(text: String) -> String {
+    match text.len() {
+        0..=600 => text,
+        length => format!("{} ... {} characters ... {}", &text[..200], length, &text[length - 40..]),
+    }
+}
+
+fn block(out: &mut String, title: &str, bytes: &[u8], read: fn(&[u8]) -> String) {
+    let shown = shortened(hex(bytes));
+    let _ = writeln!(out, "{title}\n  bytes {shown}\n  read  {}\n", shortened(read(bytes)));
+}
+
+/// The same, and no part of it is read for the whole.
+fn whole(out: &mut String, title: &str, bytes: &[u8], read: fn(&[u8]) -> String) {
+    block(out, title, bytes, read);
+    for length in 0..bytes.len() {
+        assert_eq!(read(&bytes[..length]), "None bytes: ", "{title} cut to {length} bytes");
+    }
+}
+
+#[test]
+fn messages_about_the_rule_book_are_framed_as_recorded() {
+    let mut out = String::new();
+    let renew = Ask::Renew { from: Name::new("n1"), last: 8, weighed: Some((version(9), Ok(()))) };
+    whole(&mut out, "request Status", &request(1, &pack(&Ask::Status)), read_as_server);
+    whole(&mut out, "request Renew", &request(128, &pack(&renew)), read_as_server);
+    let fetch = request(u32::MAX, &pack(&Ask::Fetch { stamp: version(9) }));
+    whole(&mut out, "request Fetch", &fetch, read_as_server);
+    let standing = Standing { last: 9, book: version(8) };
+    let lease = Told::Lease {
+        standing,
+        age: Some(Duration::from_millis(1500)),
+        stood: Duration::from_secs(60),
+        draft: Some(version(10)),
+    };
+    let plain = Beside::default();
+    let full = Beside { hint: Some("0.85"), rules: Some(8) };
+    whole(&mut out, "response Fine", &response(1, &pack(&Told::Fine), plain), read_as_caller);
+    whole(&mut out, "response Silent", &response(300, &pack(&Told::Silent), full), read_as_caller);
+    whole(&mut out, "response Lease", &response(70_000, &pack(&lease), full), read_as_caller);
+    let text = Told::Text { stamp: version(8), text: "rules 8 {\n}\n".repeat(1000) };
+    block(&mut out, "response Text, long", &response(2, &pack(&text), plain), read_as_caller);
+    whole(&mut out, "notification of no draft", &notification(None), read_as_caller);
+    whole(&mut out, "notification of a draft", &notification(Some(version(9))), read_as_caller);
+    compare("consensus/framing.txt", &out);
+}
+
+#[test]
+fn odd_frames_are_read_as_recorded() {
+    let mut out = String::new();
+    let mut as_caller = |title: &str, bytes: &[u8]| block(&mut out, title, bytes, read_as_caller);
+    let mut bytes = Vec::new();
+    msgpack::declined(&mut bytes, CallNo(3), Beside::default(), Some(Duration::from_millis(20)), true);
+    as_caller("response: overloaded", &bytes);
+    bytes.clear();
+    msgpack::voided(&mut bytes, CallNo(3), Beside::default());
+    as_caller("response: internal", &bytes);
+    bytes.clear();
+    msgpack::check(&mut bytes, CallNo(3), true, Beside::default());
+    as_caller("response: health check", &bytes);
+    bytes.clear();
+    msgpack::closing(&mut bytes);
+    as_caller("notification: closing", &bytes);
+    let result = |length| response(4, &vec![7; length], Beside::default());
+    as_caller("response at the limit", &result(LONGEST_ANSWER - 9));
+    as_caller("response over the limit", &result(LONGEST_ANSWER - 8));
+    as_caller("response with no result", &result(0));
+    as_caller("two responses, the first of which is read", &[result(1), result(2)].concat());
+    as_caller("a request where a response is due", &request(1, &pack(&Ask::Status)));
+    let news = |tail: &[u8]| [&[0x93, 2, 0xa5][..], b"rules", tail].concat();
+    as_caller("notification with two bodies", &news(&[0x92, 0xc4, 1, 0xc0, 0xc4, 1, 0xc0]));
+    as_caller("notification without a body", &news(&[0x90]));
+    as_caller("notification whose body is nil", &news(&[0x91, 0xc0]));
+    as_caller("notification whose parameters are no list", &news(&[0x80]));
+    as_caller("notification with an empty body", &news(&[0x91, 0xc4, 0]));
+    as_caller("notification of another name", &[&[0x93, 2, 0xa4][..], b"rule", &[0x91, 0xc0]].concat());
+    as_caller("notification whose name is no text", &[0x93, 2, 0xc0, 0x91, 0xc0]);
+    as_caller("reserved marker", &[0xc1]);
+    let mut as_server = |title: &str, bytes: &[u8]| block(&mut out, title, bytes, read_as_server);
+    as_server("request with the longest body", &request(5, &[7; 2048]));
+    as_server("request over the longest body", &request(5, &[7; 2049]));
+    as_server("request with an empty body", &request(5, &[]));
+    as_server("notification where a request is due", &notification(None));
+    as_server("response where a request is due", &response(1, &pack(&Told::Fine), Beside::default()));
+    compare("consensus/framing-odd.txt", &out);
+}
--- a/crates/aldercrank-server/tests/suite/main.rs
+++ b/crates/aldercrank-server/tests/suite/main.rs
@@ -2,6 +2,7 @@
 mod codecs;
 mod core;
 mod crossings;
+mod golden_consensus;
 mod harness;
 mod sockets;
 mod tables;
