--- a/crates/aldercrank-server/tests/suite/main.rs
+++ b/crates/aldercrank-server/tests/suite/main.rs
@@ -4,6 +4,7 @@
 mod crossings;
 mod golden_command_line;
 mod golden_config;
+mod golden_consensus;
 mod golden_reload;
 mod harness;
 mod sockets;
