--- a/crates/aldercrank-agree/src/lib.rs
+++ b/crates/aldercrank-consensus/src/lib.rs
@@ -7,14 +7,21 @@
 //! at which it asked a majority whether anything else was being decided. `handover.rs` is for shares whose sum has a
 //! limit. docs/design-rules.md has the proof's sketch and what is assumed.
 
+// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
+#![allow(missing_docs, unreachable_pub)]
+#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+
 pub mod follower;
-pub mod handover;
 pub mod member;
-pub mod terms;
-pub mod words;
+pub mod messages;
+pub mod quota_handover;
+pub mod timing;
 
-pub use follower::{Follower, Level};
-pub use handover::Handover;
-pub use member::Member;
-pub use terms::{Mistake, Terms};
-pub use words::{Ask, Ballot, Decision, Doc, Name, Stamp, Standing, Tally, Ticket, Told, Verdict};
+pub use follower::{Follower, PermissionLevel};
+pub use member::CommitteeMember;
+pub use messages::{
+    Ballot, CommittedState, ConfigVersion, CorrelationId, Decision, PeerRequest, PeerResponse, ProposalTally,
+    ServerName, Verdict, VersionId,
+};
+pub use quota_handover::QuotaHandover;
+pub use timing::{InjectedFault, Terms};
--- a/crates/aldercrank-agree/src/words.rs
+++ b/crates/aldercrank-consensus/src/messages.rs
@@ -9,15 +9,15 @@
 
 /// A server's name in the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Name(pub Arc<str>);
+pub struct ServerName(pub Arc<str>);
 
-impl Name {
-    pub fn new(name: &str) -> Name {
-        Name(name.into())
+impl ServerName {
+    pub fn new(name: &str) -> ServerName {
+        ServerName(name.into())
     }
 }
 
-impl fmt::Display for Name {
+impl fmt::Display for ServerName {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -25,22 +25,22 @@
 
 /// Marks a question, so that its answer is known again; never given out twice by one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct CorrelationId(pub u64);
 
 /// A version: its number and the digest of its text.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct VersionId {
     pub number: u64,
     pub digest: [u8; 32],
 }
 
-impl fmt::Debug for Stamp {
+impl fmt::Debug for VersionId {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{self}")
     }
 }
 
-impl fmt::Display for Stamp {
+impl fmt::Display for VersionId {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{} (", self.number)?;
         self.digest[..6].iter().try_for_each(|b| write!(f, "{b:02x}"))?;
@@ -50,17 +50,17 @@
 
 /// A version with its text.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Doc {
-    pub stamp: Stamp,
+pub struct ConfigVersion {
+    pub version_id: VersionId,
     pub text: Arc<str>,
 }
 
 /// What has been decided last: the number that was decided on, and the version that is in force since. They differ
 /// where the last one was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Standing {
+pub struct CommittedState {
     pub last: u64,
-    pub book: Stamp,
+    pub book: VersionId,
 }
 
 /// Rounds are numbered, each member's apart from the others', and each of its lives' too: one that has forgotten a
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
-    pub by: Option<Name>,
+    pub by: Option<ServerName>,
     pub life: u64,
 }
 
@@ -81,23 +81,24 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Decision {
-    pub stamp: Stamp,
+    #[serde(rename = "stamp")]
+    pub version_id: VersionId,
     pub verdict: Verdict,
 }
 
 impl Decision {
     /// What stands after it.
-    pub fn after(&self, before: &Standing) -> Standing {
-        let book = if self.verdict == Verdict::InForce { self.stamp } else { before.book };
-        Standing { last: self.stamp.number, book }
+    pub fn after(&self, before: &CommittedState) -> CommittedState {
+        let book = if self.verdict == Verdict::InForce { self.version_id } else { before.book };
+        CommittedState { last: self.version_id.number, book }
     }
 }
 
 /// One bit for each server that the book in force names, in the order of names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Bits(Vec<u8>);
+pub struct ServerSet(Vec<u8>);
 
-impl Bits {
+impl ServerSet {
     pub fn set(&mut self, at: usize) {
         if self.0.len() <= at / 8 {
             self.0.resize(at / 8 + 1, 0);
@@ -115,46 +116,50 @@
 
 /// What a member has heard from the servers that ask it, about one draft.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Tally {
-    pub draft: Option<Stamp>,
+pub struct ProposalTally {
+    #[serde(rename = "draft")]
+    pub proposed: Option<VersionId>,
     /// Servers in touch with it, and how many of them hold the draft.
-    pub attached: u32,
+    #[serde(rename = "attached")]
+    pub followers: u32,
     pub hold: u32,
     /// One that can't go by it, and why; or why the draft itself can't be.
     pub refuses: Option<String>,
     /// Of the servers that the book names: those that hold it, and those that may be acting by the book in force
     /// as far as this member knows.
-    pub holders: Bits,
-    pub loud: Bits,
+    pub holders: ServerSet,
+    pub loud: ServerSet,
 }
 
-impl Tally {
+impl ProposalTally {
     /// Why it is refused, short enough to go in any question.
     pub(crate) fn refused(&mut self, why: String) {
         self.refuses = Some(why.chars().take(MOST_WORDS).collect());
     }
 
     pub fn complete(&self) -> bool {
-        self.hold >= self.attached
+        self.hold >= self.followers
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// A server asks whether what it knows still stands; and says what it makes of a draft.
     Renew {
-        from: Name,
+        from: ServerName,
         last: u64,
-        weighed: Option<(Stamp, Result<(), String>)>,
+        weighed: Option<(VersionId, Result<(), String>)>,
     },
     Fetch {
-        stamp: Stamp,
+        #[serde(rename = "stamp")]
+        version_id: VersionId,
     },
     /// A member asks whether anything has been decided, or may be.
     Check {
-        from: Name,
-        standing: Standing,
-        tally: Tally,
+        from: ServerName,
+        #[serde(rename = "standing")]
+        committed: CommittedState,
+        tally: ProposalTally,
     },
     /// The decision on what follows `after`.
     Prepare {
@@ -175,27 +180,31 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Told {
+pub enum PeerResponse {
     /// What stands, as of so long ago; no age where that can't be vouched for. For how long it has stood at least; and
     /// a draft that is to be weighed.
     Lease {
-        standing: Standing,
+        #[serde(rename = "standing")]
+        committed: CommittedState,
         age: Option<Duration>,
         stood: Duration,
-        draft: Option<Stamp>,
+        #[serde(rename = "draft")]
+        proposed: Option<VersionId>,
     },
     Text {
-        stamp: Stamp,
+        #[serde(rename = "stamp")]
+        version_id: VersionId,
         text: String,
     },
     /// Such a text is not here.
     NoText,
-    /// `sound`: this member remembers all that it has said. What it has accepted may have been decided.
+    /// `is_active`: this member remembers all that it has said. What it has accepted may have been decided.
     Checked {
-        standing: Standing,
+        #[serde(rename = "standing")]
+        committed: CommittedState,
         sound: bool,
         accepted: Option<(Ballot, Decision)>,
-        tally: Tally,
+        tally: ProposalTally,
     },
     Promised {
         accepted: Option<(Ballot, Decision)>,
@@ -207,11 +216,13 @@
     },
     /// It needs this text first.
     Lacks {
-        stamp: Stamp,
+        #[serde(rename = "stamp")]
+        version_id: VersionId,
     },
     /// It knows of another decision as the last.
     Elsewhere {
-        standing: Standing,
+        #[serde(rename = "standing")]
+        committed: CommittedState,
     },
     /// It remembers nothing yet, or is not on the committee.
     Silent,
@@ -224,25 +235,25 @@
 
 /// What a text says of itself, once it was read by who can.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Read {
+pub struct VersionSummary {
     /// Why this very server can't go by it; nothing where it can.
     pub misfit: Option<String>,
     /// In the order of names.
-    pub committee: Vec<Name>,
+    pub committee: Vec<ServerName>,
     /// Those in service, where the text names them, in the order of names.
-    pub servers: Option<Vec<Name>>,
+    pub servers: Option<Vec<ServerName>>,
     /// In words, what servers out of touch would go on doing against it. The text before it is the one in force.
-    pub tightens: Vec<String>,
+    pub restrictions: Vec<String>,
 }
 
-impl Read {
-    pub fn place(&self, name: &Name) -> Option<usize> {
+impl VersionSummary {
+    pub fn place(&self, name: &ServerName) -> Option<usize> {
         self.servers.as_ref()?.binary_search(name).ok()
     }
 }
 
 /// Names of a few, for people.
-pub fn some_of(names: &BTreeSet<&Name>) -> String {
+pub fn abbreviated_list(names: &BTreeSet<&ServerName>) -> String {
     const FEW: usize = 5;
     let few: Vec<&str> = names.iter().take(FEW).map(|n| &*n.0).collect();
     match names.len().checked_sub(FEW).filter(|more| *more > 0) {
--- a/crates/aldercrank-agree/src/handover.rs
+++ b/crates/aldercrank-consensus/src/quota_handover.rs
@@ -2,14 +2,14 @@
 //! whoever still acts on the version before has shrunk or stopped, and what it had begun by then is over:
 //! `agree-within` after it was heard of, and as long again as one use of a share can take.
 
-use crate::terms::{Mistake, Terms};
+use crate::timing::{InjectedFault, Terms};
 use std::time::Duration;
 
 /// Versions that come faster than that are folded into their least.
 const MOST: usize = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Handover<T> {
+pub struct QuotaHandover<T> {
     terms: Terms,
     /// The longest that one use of a share takes.
     longest: Duration,
@@ -17,17 +17,17 @@
     shares: Vec<(T, Duration)>,
 }
 
-impl<T: PartialOrd + Copy + Default> Handover<T> {
+impl<T: PartialOrd + Copy + Default> QuotaHandover<T> {
     /// A server that has just come has no share before: whoever had its part may still be acting on it.
-    pub fn new(terms: Terms, longest: Duration) -> Handover<T> {
-        Handover { terms, longest, shares: vec![(T::default(), Duration::ZERO)] }
+    pub fn new(terms: Terms, longest: Duration) -> QuotaHandover<T> {
+        QuotaHandover { terms, longest, shares: vec![(T::default(), Duration::ZERO)] }
     }
 
     /// A version is in force that gives this share, and has stood for so long at least.
     pub fn given(&mut self, now: Duration, share: T, stood: Duration) {
         self.pass(now);
         let last = self.shares.len() - 1;
-        let wait = if self.terms.mistake == Some(Mistake::NoWait) {
+        let wait = if self.terms.injected_fault == Some(InjectedFault::NoWait) {
             Duration::ZERO
         } else {
             self.terms.within + self.longest
--- a/crates/aldercrank-agree/src/terms.rs
+++ b/crates/aldercrank-consensus/src/timing.rs
@@ -21,7 +21,7 @@
 /// A way in which an implementation could go wrong, done on purpose so that checks are seen to find it. Nothing in
 /// the program sets one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Mistake {
+pub enum InjectedFault {
     /// The lease is counted from when the answer came.
     FromAnswer,
     /// What grows does not wait until what shrinks has shrunk.
@@ -40,12 +40,12 @@
     pub alone: Duration,
     /// How far the rates of two clocks may be apart, in thousandths.
     pub drift: u32,
-    pub mistake: Option<Mistake>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
 impl Terms {
     pub fn new(within: Duration, alone: Duration) -> Terms {
-        Terms { within, alone, drift: 10, mistake: None }
+        Terms { within, alone, drift: 10, injected_fault: None }
     }
 
     /// How long a lease is good for, from when it was asked for: on a clock that runs late by the drift, and with an
--- a/crates/aldercrank-agree/tests/golden.rs
+++ b/crates/aldercrank-consensus/tests/golden.rs
@@ -1,8 +1,20 @@
 //! Golden files of the messages that servers send one another about the rule book: MessagePack bytes, the names that
 //! stand in them, and what the receiver reads. Written only where `RECORD_GOLDEN_FILES` is set.
 
-use aldercrank_agree::words::Bits;
-use aldercrank_agree::{Ask, Ballot, Decision, Name, Stamp, Standing, Tally, Told, Verdict};
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
+use aldercrank_consensus::messages::ServerSet;
+use aldercrank_consensus::{
+    Ballot, CommittedState, Decision, PeerRequest, PeerResponse, ProposalTally, ServerName, Verdict,
+    VersionId,
+};
 use serde::Serialize;
 use serde_json::{json, Value as Json};
 use std::fmt::Write;
@@ -32,36 +44,36 @@
 }
 
 /// A version whose digest counts up from its number, so that the order of its bytes shows.
-fn version(number: u64) -> Stamp {
-    Stamp { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
+fn version(number: u64) -> VersionId {
+    VersionId { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
 }
 
-fn standing(last: u64, number: u64) -> Standing {
-    Standing { last, book: version(number) }
+fn committed(last: u64, number: u64) -> CommittedState {
+    CommittedState { last, book: version(number) }
 }
 
 fn ballot() -> Ballot {
-    Ballot { round: 300, by: Some(Name::new("n2")), life: 1_764_748_800_123_456_789 }
+    Ballot { round: 300, by: Some(ServerName::new("n2")), life: 1_764_748_800_123_456_789 }
 }
 
-fn in_force(number: u64) -> Decision {
-    Decision { stamp: version(number), verdict: Verdict::InForce }
+fn committed_decision(number: u64) -> Decision {
+    Decision { version_id: version(number), verdict: Verdict::InForce }
 }
 
 fn refused(number: u64, why: &str) -> Decision {
-    Decision { stamp: version(number), verdict: Verdict::Refused(why.to_string()) }
+    Decision { version_id: version(number), verdict: Verdict::Refused(why.to_string()) }
 }
 
-fn bits(places: &[usize]) -> Bits {
-    let mut bits = Bits::default();
+fn bits(places: &[usize]) -> ServerSet {
+    let mut bits = ServerSet::default();
     places.iter().for_each(|place| bits.set(*place));
     bits
 }
 
-fn full_tally() -> Tally {
-    Tally {
-        draft: Some(version(9)),
-        attached: 70_000,
+fn full_tally() -> ProposalTally {
+    ProposalTally {
+        proposed: Some(version(9)),
+        followers: 70_000,
         hold: 128,
         refuses: Some("n7: product.rent: this server has no such product".to_string()),
         holders: bits(&[0, 7, 8, 21]),
@@ -69,71 +81,88 @@
     }
 }
 
-fn requests() -> Vec<Ask> {
-    let renew = |last, weighed| Ask::Renew { from: Name::new("n1"), last, weighed };
-    let check = |standing, tally| Ask::Check { from: Name::new("n3"), standing, tally };
+fn requests() -> Vec<PeerRequest> {
+    let renew = |last, weighed| PeerRequest::Renew { from: ServerName::new("n1"), last, weighed };
+    let check = |committed, tally| PeerRequest::Check { from: ServerName::new("n3"), committed, tally };
     vec![
         renew(0, None),
         renew(u64::MAX, Some((version(9), Ok(())))),
         renew(8, Some((version(9), Err("kein Produkt „rent“ \"here\"\n".to_string())))),
-        Ask::Renew { from: Name::new(""), last: 127, weighed: Some((version(250), Err(String::new()))) },
-        Ask::Renew { from: Name::new(&"n".repeat(64)), last: 128, weighed: None },
-        Ask::Fetch { stamp: version(9) },
-        Ask::Fetch { stamp: Stamp { number: 0, digest: [255; 32] } },
-        check(standing(8, 8), Tally::default()),
-        check(standing(9, 8), full_tally()),
-        Ask::Prepare { after: 8, ballot: Ballot::default() },
-        Ask::Prepare { after: 65_536, ballot: ballot() },
-        Ask::Accept { after: 8, ballot: ballot(), decision: in_force(9) },
-        Ask::Accept { after: 8, ballot: ballot(), decision: refused(9, "its number is used up") },
-        Ask::Learn { after: 8, decision: in_force(9) },
-        Ask::Learn { after: 8, decision: refused(9, "") },
-        Ask::Status,
+        PeerRequest::Renew {
+            from: ServerName::new(""),
+            last: 127,
+            weighed: Some((version(250), Err(String::new()))),
+        },
+        PeerRequest::Renew { from: ServerName::new(&"n".repeat(64)), last: 128, weighed: None },
+        PeerRequest::Fetch { version_id: version(9) },
+        PeerRequest::Fetch { version_id: VersionId { number: 0, digest: [255; 32] } },
+        check(committed(8, 8), ProposalTally::default()),
+        check(committed(9, 8), full_tally()),
+        PeerRequest::Prepare { after: 8, ballot: Ballot::default() },
+        PeerRequest::Prepare { after: 65_536, ballot: ballot() },
+        PeerRequest::Accept { after: 8, ballot: ballot(), decision: committed_decision(9) },
+        PeerRequest::Accept { after: 8, ballot: ballot(), decision: refused(9, "its number is used up") },
+        PeerRequest::Learn { after: 8, decision: committed_decision(9) },
+        PeerRequest::Learn { after: 8, decision: refused(9, "") },
+        PeerRequest::Status,
     ]
 }
 
-fn responses() -> Vec<Told> {
+fn responses() -> Vec<PeerResponse> {
     let accepted = |decision| Some((ballot(), decision));
     let second = Duration::from_secs(1);
     let span = Duration::new(86_400, 999_999_999);
     vec![
-        Told::Lease { standing: standing(8, 8), age: None, stood: Duration::ZERO, draft: None },
-        Told::Lease { standing: standing(9, 8), age: Some(second), stood: span, draft: Some(version(10)) },
-        Told::Text { stamp: version(8), text: "rules 8 {\n    limits {\n    }\n}\n".to_string() },
-        Told::Text { stamp: version(8), text: "ä".repeat(200) },
-        Told::NoText,
-        Told::Checked { standing: standing(8, 8), sound: false, accepted: None, tally: Tally::default() },
-        Told::Checked {
-            standing: standing(9, 8),
+        PeerResponse::Lease { committed: committed(8, 8), age: None, stood: Duration::ZERO, proposed: None },
+        PeerResponse::Lease {
+            committed: committed(9, 8),
+            age: Some(second),
+            stood: span,
+            proposed: Some(version(10)),
+        },
+        PeerResponse::Text {
+            version_id: version(8),
+            text: "rules 8 {\n    limits {\n    }\n}\n".to_string(),
+        },
+        PeerResponse::Text { version_id: version(8), text: "ä".repeat(200) },
+        PeerResponse::NoText,
+        PeerResponse::Checked {
+            committed: committed(8, 8),
+            sound: false,
+            accepted: None,
+            tally: ProposalTally::default(),
+        },
+        PeerResponse::Checked {
+            committed: committed(9, 8),
             sound: true,
-            accepted: accepted(in_force(10)),
+            accepted: accepted(committed_decision(10)),
             tally: full_tally(),
         },
-        Told::Promised { accepted: None },
-        Told::Promised { accepted: accepted(refused(9, "n7 can't go by it")) },
-        Told::Accepted,
-        Told::Outbid { ballot: ballot() },
-        Told::Outbid { ballot: Ballot::default() },
-        Told::Lacks { stamp: version(9) },
-        Told::Elsewhere { standing: standing(9, 8) },
-        Told::Silent,
-        Told::Fine,
-        Told::Status { text: "{\"server\":\"n1\"}".to_string() },
+        PeerResponse::Promised { accepted: None },
+        PeerResponse::Promised { accepted: accepted(refused(9, "n7 can't go by it")) },
+        PeerResponse::Accepted,
+        PeerResponse::Outbid { ballot: ballot() },
+        PeerResponse::Outbid { ballot: Ballot::default() },
+        PeerResponse::Lacks { version_id: version(9) },
+        PeerResponse::Elsewhere { committed: committed(9, 8) },
+        PeerResponse::Silent,
+        PeerResponse::Fine,
+        PeerResponse::Status { text: "{\"server\":\"n1\"}".to_string() },
     ]
 }
 
 // ---- what a message means, in the words of the protocol ----
 
-fn say_version(version: &Stamp) -> String {
+fn say_version(version: &VersionId) -> String {
     format!("{} with digest {}", version.number, hex(&version.digest))
 }
 
-fn say_draft(draft: &Option<Stamp>) -> String {
-    draft.as_ref().map_or("none".to_string(), say_version)
+fn say_draft(proposed: &Option<VersionId>) -> String {
+    proposed.as_ref().map_or("none".to_string(), say_version)
 }
 
-fn say_standing(standing: &Standing) -> String {
-    format!("last {}, book {}", standing.last, say_version(&standing.book))
+fn say_standing(committed: &CommittedState) -> String {
+    format!("last {}, book {}", committed.last, say_version(&committed.book))
 }
 
 fn say_ballot(ballot: &Ballot) -> String {
@@ -146,7 +175,7 @@
         Verdict::InForce => "InForce".to_string(),
         Verdict::Refused(why) => format!("Refused {why:?}"),
     };
-    format!("{verdict} for {}", say_version(&decision.stamp))
+    format!("{verdict} for {}", say_version(&decision.version_id))
 }
 
 fn say_accepted(accepted: &Option<(Ballot, Decision)>) -> String {
@@ -156,68 +185,76 @@
     accepted.as_ref().map_or("none".to_string(), say)
 }
 
-fn say_bits(bits: &Bits) -> String {
+fn say_bits(bits: &ServerSet) -> String {
     let places: Vec<usize> = (0..256).filter(|place| bits.has(*place)).collect();
     format!("{places:?}")
 }
 
-fn say_tally(tally: &Tally) -> String {
+fn say_tally(tally: &ProposalTally) -> String {
     let (holders, loud) = (say_bits(&tally.holders), say_bits(&tally.loud));
-    let draft = say_draft(&tally.draft);
-    let (attached, hold, refuses) = (tally.attached, tally.hold, &tally.refuses);
-    format!("draft {draft}, attached {attached}, hold {hold}, refuses {refuses:?}, holders {holders}, loud {loud}")
+    let proposed = say_draft(&tally.proposed);
+    let (followers, hold, refuses) = (tally.followers, tally.hold, &tally.refuses);
+    format!("draft {proposed}, attached {followers}, hold {hold}, refuses {refuses:?}, holders {holders}, loud {loud}")
 }
 
-fn say_weighed(weighed: &Option<(Stamp, Result<(), String>)>) -> String {
-    let say = |(version, verdict): &(Stamp, Result<(), String>)| match verdict {
+fn say_weighed(weighed: &Option<(VersionId, Result<(), String>)>) -> String {
+    let say = |(version, verdict): &(VersionId, Result<(), String>)| match verdict {
         Ok(()) => format!("Ok for {}", say_version(version)),
         Err(why) => format!("Err {why:?} for {}", say_version(version)),
     };
     weighed.as_ref().map_or("none".to_string(), say)
 }
 
-fn say_request(request: &Ask) -> String {
+fn say_request(request: &PeerRequest) -> String {
     match request {
-        Ask::Renew { from, last, weighed } => {
+        PeerRequest::Renew { from, last, weighed } => {
             format!("Renew: from {:?}, last {last}, weighed {}", from.to_string(), say_weighed(weighed))
         }
-        Ask::Fetch { stamp } => format!("Fetch: {}", say_version(stamp)),
-        Ask::Check { from, standing, tally } => {
-            format!("Check: from {from}, standing [{}], tally [{}]", say_standing(standing), say_tally(tally))
+        PeerRequest::Fetch { version_id } => format!("Fetch: {}", say_version(version_id)),
+        PeerRequest::Check { from, committed, tally } => {
+            format!(
+                "Check: from {from}, standing [{}], tally [{}]",
+                say_standing(committed),
+                say_tally(tally)
+            )
+        }
+        PeerRequest::Prepare { after, ballot } => {
+            format!("Prepare: after {after}, ballot [{}]", say_ballot(ballot))
         }
-        Ask::Prepare { after, ballot } => format!("Prepare: after {after}, ballot [{}]", say_ballot(ballot)),
-        Ask::Accept { after, ballot, decision } => {
+        PeerRequest::Accept { after, ballot, decision } => {
             let (ballot, decision) = (say_ballot(ballot), say_decision(decision));
             format!("Accept: after {after}, ballot [{ballot}], decision [{decision}]")
         }
-        Ask::Learn { after, decision } => {
+        PeerRequest::Learn { after, decision } => {
             format!("Learn: after {after}, decision [{}]", say_decision(decision))
         }
-        Ask::Status => "Status".to_string(),
+        PeerRequest::Status => "Status".to_string(),
     }
 }
 
-fn say_response(response: &Told) -> String {
+fn say_response(response: &PeerResponse) -> String {
     match response {
-        Told::Lease { standing, age, stood, draft } => {
-            let (standing, draft) = (say_standing(standing), say_draft(draft));
-            format!("Lease: standing [{standing}], age {age:?}, stood {stood:?}, draft {draft}")
+        PeerResponse::Lease { committed, age, stood, proposed } => {
+            let (committed, proposed) = (say_standing(committed), say_draft(proposed));
+            format!("Lease: standing [{committed}], age {age:?}, stood {stood:?}, draft {proposed}")
+        }
+        PeerResponse::Text { version_id, text } => {
+            format!("Text: {}, text {text:?}", say_version(version_id))
         }
-        Told::Text { stamp, text } => format!("Text: {}, text {text:?}", say_version(stamp)),
-        Told::NoText => "NoText".to_string(),
-        Told::Checked { standing, sound, accepted, tally } => {
-            let (standing, tally) = (say_standing(standing), say_tally(tally));
+        PeerResponse::NoText => "NoText".to_string(),
+        PeerResponse::Checked { committed, sound, accepted, tally } => {
+            let (committed, tally) = (say_standing(committed), say_tally(tally));
             let accepted = say_accepted(accepted);
-            format!("Checked: standing [{standing}], sound {sound}, accepted {accepted}, tally [{tally}]")
+            format!("Checked: standing [{committed}], sound {sound}, accepted {accepted}, tally [{tally}]")
         }
-        Told::Promised { accepted } => format!("Promised: accepted {}", say_accepted(accepted)),
-        Told::Accepted => "Accepted".to_string(),
-        Told::Outbid { ballot } => format!("Outbid: ballot [{}]", say_ballot(ballot)),
-        Told::Lacks { stamp } => format!("Lacks: {}", say_version(stamp)),
-        Told::Elsewhere { standing } => format!("Elsewhere: standing [{}]", say_standing(standing)),
-        Told::Silent => "Silent".to_string(),
-        Told::Fine => "Fine".to_string(),
-        Told::Status { text } => format!("Status: {text:?}"),
+        PeerResponse::Promised { accepted } => format!("Promised: accepted {}", say_accepted(accepted)),
+        PeerResponse::Accepted => "Accepted".to_string(),
+        PeerResponse::Outbid { ballot } => format!("Outbid: ballot [{}]", say_ballot(ballot)),
+        PeerResponse::Lacks { version_id } => format!("Lacks: {}", say_version(version_id)),
+        PeerResponse::Elsewhere { committed } => format!("Elsewhere: standing [{}]", say_standing(committed)),
+        PeerResponse::Silent => "Silent".to_string(),
+        PeerResponse::Fine => "Fine".to_string(),
+        PeerResponse::Status { text } => format!("Status: {text:?}"),
     }
 }
 
@@ -226,16 +263,18 @@
 
 /// The reader's result; servers pass its error on to nobody, so that only that there is one counts.
 fn read_request(bytes: &[u8]) -> String {
-    rmp_serde::from_slice::<Ask>(bytes).map_or("not readable".to_string(), |request| say_request(&request))
+    rmp_serde::from_slice::<PeerRequest>(bytes)
+        .map_or("not readable".to_string(), |request| say_request(&request))
 }
 
 fn read_response(bytes: &[u8]) -> String {
-    rmp_serde::from_slice::<Told>(bytes).map_or("not readable".to_string(), |said| say_response(&said))
+    rmp_serde::from_slice::<PeerResponse>(bytes)
+        .map_or("not readable".to_string(), |said| say_response(&said))
 }
 
 fn read_notification(bytes: &[u8]) -> String {
-    let read = rmp_serde::from_slice::<Option<Stamp>>(bytes);
-    read.map_or("not readable".to_string(), |draft| format!("draft {}", say_draft(&draft)))
+    let read = rmp_serde::from_slice::<Option<VersionId>>(bytes);
+    read.map_or("not readable".to_string(), |proposed| format!("draft {}", say_draft(&proposed)))
 }
 
 /// One message: its bytes, the values and names that stand in them, and what the receiver reads; cut short it is not
@@ -254,16 +293,16 @@
     let mut out = String::new();
     for request in requests() {
         let bytes = rmp_serde::to_vec(&request).unwrap();
-        assert_eq!(rmp_serde::from_slice::<Ask>(&bytes).unwrap(), request);
+        assert_eq!(rmp_serde::from_slice::<PeerRequest>(&bytes).unwrap(), request);
         block(&mut out, "request", &request, read_request);
     }
     for response in responses() {
         let bytes = rmp_serde::to_vec(&response).unwrap();
-        assert_eq!(rmp_serde::from_slice::<Told>(&bytes).unwrap(), response);
+        assert_eq!(rmp_serde::from_slice::<PeerResponse>(&bytes).unwrap(), response);
         block(&mut out, "response", &response, read_response);
     }
-    for draft in [None, Some(version(9)), Some(version(u64::MAX))] {
-        block(&mut out, "notification", &draft, read_notification);
+    for proposed in [None, Some(version(9)), Some(version(u64::MAX))] {
+        block(&mut out, "notification", &proposed, read_notification);
     }
     compare("messages.txt", &out);
 }
@@ -329,26 +368,26 @@
 fn odd_responses() -> Vec<Json> {
     let digest: Vec<u8> = (0..32).collect();
     let book = json!([9, digest]);
-    let standing = json!([9, book]);
+    let committed = json!([9, book]);
     vec![
-        json!({"Lease": {"standing": standing, "age": [1, 5], "stood": [2, 0], "draft": null}}),
-        json!({"Lease": [standing, {"secs": 1, "nanos": 5}, [2, 0], null]}),
-        json!({"Lease": [standing, null, [2, 4_000_000_000u32], null]}),
-        json!({"Lease": [standing, null, [u64::MAX, 1_000_000_000], null]}),
-        json!({"Lease": [standing, null, [1, -1], null]}),
-        json!({"Lease": [standing, null, 2, null]}),
-        json!({"Lease": [standing, null, [2, 0]]}),
+        json!({"Lease": {"standing": committed, "age": [1, 5], "stood": [2, 0], "draft": null}}),
+        json!({"Lease": [committed, {"secs": 1, "nanos": 5}, [2, 0], null]}),
+        json!({"Lease": [committed, null, [2, 4_000_000_000u32], null]}),
+        json!({"Lease": [committed, null, [u64::MAX, 1_000_000_000], null]}),
+        json!({"Lease": [committed, null, [1, -1], null]}),
+        json!({"Lease": [committed, null, 2, null]}),
+        json!({"Lease": [committed, null, [2, 0]]}),
         json!({"Text": {"stamp": book, "text": "rules"}}),
         json!({"Text": [book, null]}),
-        json!({"Checked": {"standing": standing, "sound": true, "accepted": null,
+        json!({"Checked": {"standing": committed, "sound": true, "accepted": null,
             "tally": [null, 0, 0, null, [], []]}}),
-        json!({"Checked": [standing, 1, null, [null, 0, 0, null, [], []]]}),
+        json!({"Checked": [committed, 1, null, [null, 0, 0, null, [], []]]}),
         json!({"Promised": {"accepted": [[1, "n1", 2], [book, "InForce"]]}}),
         json!({"Promised": null}),
         json!({"Promised": [null]}),
         json!({"Outbid": {"ballot": [1, "n1", 2]}}),
         json!({"Lacks": {"stamp": book}}),
-        json!({"Elsewhere": {"standing": standing}}),
+        json!({"Elsewhere": {"standing": committed}}),
         json!({"Status": {"text": "{}"}}),
         json!({"Status": "{}"}),
         json!({"Accepted": null}),
--- a/crates/aldercrank-agree/tests/model.rs
+++ b/crates/aldercrank-consensus/tests/model.rs
@@ -4,9 +4,18 @@
 //!
 //! Bounded by steps and by how much goes wrong in one history; each history within that is looked at.
 
-use aldercrank_agree::{
-    follower, member, words::Read, Ask, Doc, Follower, Handover, Level, Member, Mistake, Name, Stamp, Terms,
-    Ticket, Told,
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
+use aldercrank_consensus::{
+    follower, member, messages::VersionSummary, CommitteeMember, ConfigVersion, CorrelationId, Follower,
+    InjectedFault, PeerRequest, PeerResponse, PermissionLevel, QuotaHandover, ServerName, Terms, VersionId,
 };
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -20,68 +29,81 @@
 /// Steps in which a proposal that all can hear is decided on.
 const BOUNDED: u8 = 6;
 
-fn name(n: usize) -> Name {
-    Name::new(&format!("n{n}"))
+fn name(n: usize) -> ServerName {
+    ServerName::new(&format!("n{n}"))
 }
 
-fn place(name: &Name) -> usize {
+fn place(name: &ServerName) -> usize {
     name.0[1..].parse().unwrap()
 }
 
 /// Version `number`, with one of several contents.
-fn doc(number: u64, content: u8) -> Doc {
+fn version(number: u64, content: u8) -> ConfigVersion {
     let mut digest = [0; 32];
     (digest[0], digest[1]) = (number as u8, content);
-    Doc { stamp: Stamp { number, digest }, text: Arc::from(format!("{number} {content}")) }
+    ConfigVersion { version_id: VersionId { number, digest }, text: Arc::from(format!("{number} {content}")) }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Word {
-    Ask(bool, Ticket, Ask),
-    Told(bool, Ticket, Told),
-    News(Option<Stamp>),
+    PeerRequest(bool, CorrelationId, PeerRequest),
+    PeerResponse(bool, CorrelationId, PeerResponse),
+    News(Option<VersionId>),
 }
 
 #[derive(Default)]
 struct Said {
-    asks: Vec<(Name, Ticket, Ask)>,
-    news: Option<Option<Stamp>>,
-    votes: Option<member::Votes>,
+    asks: Vec<(ServerName, CorrelationId, PeerRequest)>,
+    news: Option<Option<VersionId>>,
+    acceptor_state: Option<member::AcceptorState>,
     book: Option<(u64, Duration)>,
 }
 
 impl Said {
-    fn read(stamp: &Stamp, text: &str) -> Option<Read> {
+    fn read(version_id: &VersionId, text: &str) -> Option<VersionSummary> {
         let (number, content) = text.split_once(' ')?;
-        let same = doc(number.parse().ok()?, content.parse().ok()?).stamp == *stamp;
-        same.then(|| Read { committee: (0..MEMBERS).map(name).collect(), ..Read::default() })
+        let same = version(number.parse().ok()?, content.parse().ok()?).version_id == *version_id;
+        same.then(|| VersionSummary {
+            committee: (0..MEMBERS).map(name).collect(),
+            ..VersionSummary::default()
+        })
     }
 }
 
 impl follower::Ports for Said {
-    fn ask(&mut self, to: &Name, ticket: Ticket, ask: Ask) {
-        self.asks.push((to.clone(), ticket, ask));
+    fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest) {
+        self.asks.push((to.clone(), correlation_id, request));
     }
-    fn read(&mut self, stamp: &Stamp, text: &str, _: Option<&Doc>) -> Option<Read> {
-        Said::read(stamp, text)
+    fn read(
+        &mut self,
+        version_id: &VersionId,
+        text: &str,
+        _: Option<&ConfigVersion>,
+    ) -> Option<VersionSummary> {
+        Said::read(version_id, text)
     }
-    fn in_force(&mut self, doc: &Doc, _: &Read, stood: Duration) {
-        self.book = Some((doc.stamp.number, stood));
+    fn version_committed(&mut self, version: &ConfigVersion, _: &VersionSummary, stood: Duration) {
+        self.book = Some((version.version_id.number, stood));
     }
 }
 
 impl member::Ports for Said {
-    fn ask(&mut self, to: &Name, ticket: Ticket, ask: Ask) {
-        self.asks.push((to.clone(), ticket, ask));
+    fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest) {
+        self.asks.push((to.clone(), correlation_id, request));
     }
-    fn news(&mut self, draft: Option<Stamp>) {
-        self.news = Some(draft);
+    fn notify(&mut self, proposed: Option<VersionId>) {
+        self.news = Some(proposed);
     }
-    fn keep(&mut self, votes: &member::Votes) {
-        self.votes = Some(votes.clone());
+    fn keep(&mut self, acceptor_state: &member::AcceptorState) {
+        self.acceptor_state = Some(acceptor_state.clone());
     }
-    fn read(&mut self, stamp: &Stamp, text: &str, _: Option<&Doc>) -> Option<Read> {
-        Said::read(stamp, text)
+    fn read(
+        &mut self,
+        version_id: &VersionId,
+        text: &str,
+        _: Option<&ConfigVersion>,
+    ) -> Option<VersionSummary> {
+        Said::read(version_id, text)
     }
 }
 
@@ -89,12 +111,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: Duration,
-    members: Vec<Option<Member>>,
-    votes: Vec<Option<member::Votes>>,
+    members: Vec<Option<CommitteeMember>>,
+    acceptor_state: Vec<Option<member::AcceptorState>>,
     lives: Vec<u64>,
     servers: Vec<Follower>,
     books: Vec<Option<u64>>,
-    shares: Vec<Handover<u32>>,
+    shares: Vec<QuotaHandover<u32>>,
     seen_by: BTreeMap<usize, usize>,
     stopped: BTreeSet<usize>,
     cut: BTreeSet<usize>,
@@ -141,7 +163,7 @@
 }
 
 struct Fleet {
-    mistake: Option<Mistake>,
+    injected_fault: Option<InjectedFault>,
     /// Members keep their votes over a crash.
     disks: bool,
     most_steps: u8,
@@ -163,22 +185,22 @@
 impl Fleet {
     fn terms(&self) -> Terms {
         let mut terms = Terms::new(WITHIN, Duration::from_secs(60));
-        terms.mistake = self.mistake;
+        terms.injected_fault = self.injected_fault;
         terms
     }
 
     /// A fleet that has come up: all know version 1 and hold leases on it.
     fn up(&self) -> State {
-        let (committee, terms): (Vec<Name>, Terms) = ((0..MEMBERS).map(name).collect(), self.terms());
+        let (committee, terms): (Vec<ServerName>, Terms) = ((0..MEMBERS).map(name).collect(), self.terms());
         let follower = |n: usize| Follower::new(name(n), committee.clone(), n as u64, terms.clone());
         let mut state = State {
             now: Duration::ZERO,
             members: vec![None; MEMBERS],
-            votes: vec![None; MEMBERS],
+            acceptor_state: vec![None; MEMBERS],
             lives: vec![0; MEMBERS],
             servers: (MEMBERS..ALL).map(follower).collect(),
             books: vec![None; ALL - MEMBERS],
-            shares: vec![Handover::new(terms.clone(), Duration::ZERO); ALL - MEMBERS],
+            shares: vec![QuotaHandover::new(terms.clone(), Duration::ZERO); ALL - MEMBERS],
             seen_by: BTreeMap::new(),
             stopped: BTreeSet::new(),
             cut: BTreeSet::new(),
@@ -198,7 +220,7 @@
         for _ in 0..28 {
             state.pass();
         }
-        assert!((0..ALL - MEMBERS).all(|n| state.servers[n].level(state.now).0 == Level::Full));
+        assert!((0..ALL - MEMBERS).all(|n| state.servers[n].level(state.now).0 == PermissionLevel::Full));
         state.steps = 0;
         state
     }
@@ -207,22 +229,23 @@
 impl State {
     fn begin(&mut self, n: usize, fleet: &Fleet) {
         self.lives[n] += 1;
-        let votes = self.votes[n].clone().filter(|_| fleet.disks);
+        let acceptor_state = self.acceptor_state[n].clone().filter(|_| fleet.disks);
         let mut said = Said::default();
         let id = (name(n), self.lives[n]);
-        self.members[n] = Member::new(self.now, id, doc(1, 0), votes, fleet.terms(), &mut said);
+        self.members[n] =
+            CommitteeMember::new(self.now, id, version(1, 0), acceptor_state, fleet.terms(), &mut said);
         self.carry(n, false, said);
     }
 
     fn carry(&mut self, from: usize, server: bool, said: Said) {
-        for (to, ticket, ask) in said.asks {
+        for (to, correlation_id, request) in said.asks {
             if server {
                 self.seen_by.insert(from, place(&to));
             }
-            self.way.push_back((from, place(&to), Word::Ask(server, ticket, ask)));
+            self.way.push_back((from, place(&to), Word::PeerRequest(server, correlation_id, request)));
         }
-        if let Some(votes) = said.votes {
-            self.votes[from] = Some(votes);
+        if let Some(acceptor_state) = said.acceptor_state {
+            self.acceptor_state[from] = Some(acceptor_state);
         }
         for (server, _) in self.seen_by.iter().filter(|(_, home)| **home == from && said.news.is_some()) {
             self.way.push_back((from, *server, Word::News(said.news.unwrap())));
@@ -255,34 +278,34 @@
     fn hear(&mut self, from: usize, to: usize, word: Word) {
         let (mut said, now) = (Said::default(), self.now);
         match word {
-            Word::Ask(server, ticket, ask) => {
+            Word::PeerRequest(server, correlation_id, request) => {
                 let Some(member) = self.members[to].as_mut() else { return };
-                let told = member.asked(now, ask, &mut said);
+                let response = member.handle_request(now, request, &mut said);
                 self.carry(to, false, said);
-                return self.way.push_back((to, from, Word::Told(server, ticket, told)));
+                return self.way.push_back((to, from, Word::PeerResponse(server, correlation_id, response)));
             }
-            Word::Told(false, ticket, told) => {
+            Word::PeerResponse(false, correlation_id, response) => {
                 if let Some(member) = self.members[to].as_mut() {
-                    member.heard(now, ticket, told, &mut said);
+                    member.handle_response(now, correlation_id, response, &mut said);
                 }
             }
-            Word::Told(true, ticket, told) => {
-                self.servers[to - MEMBERS].heard(now, ticket, told, &mut said);
+            Word::PeerResponse(true, correlation_id, response) => {
+                self.servers[to - MEMBERS].handle_response(now, correlation_id, response, &mut said);
             }
-            Word::News(draft) => self.servers[to - MEMBERS].news(now, draft, &mut said),
+            Word::News(proposed) => self.servers[to - MEMBERS].notify(now, proposed, &mut said),
         }
         self.carry(to, to >= MEMBERS, said);
         self.act();
     }
 
-    fn woken(&mut self, n: usize) {
+    fn timer_fired(&mut self, n: usize) {
         let (mut said, now) = (Said::default(), self.now);
         if n < MEMBERS {
             if let Some(member) = self.members[n].as_mut() {
-                member.woken(now, &mut said);
+                member.timer_fired(now, &mut said);
             }
         } else {
-            self.servers[n - MEMBERS].woken(now, &mut said);
+            self.servers[n - MEMBERS].timer_fired(now, &mut said);
         }
         self.carry(n, n >= MEMBERS, said);
     }
@@ -292,13 +315,13 @@
         self.steps += 1;
         let well =
             self.cut.is_empty() && self.held.is_empty() && self.deaf.is_empty() && self.stopped.is_empty();
-        let sound = self.members.iter().flatten().all(Member::sound);
+        let sound = self.members.iter().flatten().all(CommitteeMember::is_active);
         self.quiet = if well && sound { self.quiet + 1 } else { 0 };
-        if self.quiet > BOUNDED && self.members.iter().flatten().any(|m| m.draft().is_some()) {
+        if self.quiet > BOUNDED && self.members.iter().flatten().any(|m| m.proposed().is_some()) {
             self.broken = Some("a proposal that all can hear is not decided on");
         }
         for n in (0..ALL).filter(|n| !self.stopped.contains(n)).collect::<Vec<_>>() {
-            self.woken(n);
+            self.timer_fired(n);
         }
         self.deliver();
     }
@@ -307,7 +330,8 @@
     fn act(&mut self) {
         let mut sum = 0;
         for n in (0..ALL - MEMBERS).filter(|n| !self.stopped.contains(&(n + MEMBERS))) {
-            let Some(book) = self.books[n].filter(|_| self.servers[n].level(self.now).0 == Level::Full)
+            let Some(book) =
+                self.books[n].filter(|_| self.servers[n].level(self.now).0 == PermissionLevel::Full)
             else {
                 continue;
             };
@@ -381,7 +405,8 @@
                 let number = 1 + u64::from(s.proposed) - u64::from(content >= 10);
                 let mut said = Said::default();
                 let now = s.now;
-                let _ = s.members[member].as_mut()?.drafted(now, doc(number, content), &mut said);
+                let _ =
+                    s.members[member].as_mut()?.version_proposed(now, version(number, content), &mut said);
                 s.carry(member, false, said);
                 s.deliver();
             }
@@ -403,14 +428,14 @@
             Step::Deaf(from, to) => drop(s.deaf.insert((from, to))),
             Step::Forget(n) => {
                 let (mut said, now, number) = (Said::default(), s.now, 1 + u64::from(s.proposed));
-                s.members[n].as_mut()?.undrafted(now, number, &mut said);
+                s.members[n].as_mut()?.proposal_withdrawn(now, number, &mut said);
                 s.carry(n, false, said);
                 s.deliver();
             }
             Step::Old(n) => {
                 for content in [0, 30] {
                     let (mut said, now) = (Said::default(), s.now);
-                    let _ = s.members[n].as_mut()?.drafted(now, doc(1, content), &mut said);
+                    let _ = s.members[n].as_mut()?.version_proposed(now, version(1, content), &mut said);
                     s.carry(n, false, said);
                 }
                 s.deliver();
@@ -420,7 +445,7 @@
                 let committee = (0..MEMBERS).map(name).collect();
                 s.servers[place] = Follower::new(name(n), committee, n as u64, self.terms());
                 s.books[place] = None;
-                s.shares[place] = Handover::new(self.terms(), Duration::ZERO);
+                s.shares[place] = QuotaHandover::new(self.terms(), Duration::ZERO);
                 s.later.retain(|(from, to, _)| *from != n && *to != n);
             }
             Step::Hold(from, to) => drop(s.held.insert((from, to))),
@@ -452,7 +477,7 @@
             Property::sometimes("a version takes effect", |_, s: &State| s.first.contains_key(&2)),
             Property::sometimes("a number is used up", |f: &Fleet, s: &State| {
                 f.most_proposals < 2
-                    || s.members[1].as_ref().is_some_and(|m| m.standing().last != m.standing().book.number)
+                    || s.members[1].as_ref().is_some_and(|m| m.committed().last != m.committed().book.number)
             }),
         ]
     }
@@ -493,7 +518,8 @@
 fn nothing_that_goes_wrong_once_breaks_the_promise() {
     for disks in [true, false] {
         let faults = anything();
-        let fleet = Fleet { mistake: None, disks, most_steps: 16, most_wrong: 1, most_proposals: 1, faults };
+        let fleet =
+            Fleet { injected_fault: None, disks, most_steps: 16, most_wrong: 1, most_proposals: 1, faults };
         let (states, broken) = looks(fleet, 200_000);
         assert!(broken.is_empty() && states > 30_000, "{states} {broken:?}");
     }
@@ -503,7 +529,7 @@
 fn two_things_that_go_wrong_and_two_proposals_do_not_either() {
     let faults = anything();
     let fleet =
-        Fleet { mistake: None, disks: true, most_steps: 10, most_wrong: 2, most_proposals: 2, faults };
+        Fleet { injected_fault: None, disks: true, most_steps: 10, most_wrong: 2, most_proposals: 2, faults };
     let (states, broken) = looks(fleet, 150_000);
     assert!(broken.is_empty() && states > 50_000, "{states} {broken:?}");
 }
@@ -511,20 +537,20 @@
 #[test]
 fn each_mistake_made_on_purpose_is_found_and_without_it_nothing_is() {
     use Step::{Cut, Hold, Stop};
-    for (mistake, breaks, faults) in [
-        (Mistake::FromAnswer, "the promise", vec![Hold(0, 4), Hold(1, 4), Hold(2, 4), Stop(4)]),
-        (Mistake::WakesUnlooked, "the promise", vec![Stop(4), Stop(3)]),
-        (Mistake::NoFence, "the promise", vec![Cut(4), Cut(3)]),
-        (Mistake::NoWait, "shares stay within their limit", vec![Cut(4), Cut(3)]),
+    for (injected_fault, breaks, faults) in [
+        (InjectedFault::FromAnswer, "the promise", vec![Hold(0, 4), Hold(1, 4), Hold(2, 4), Stop(4)]),
+        (InjectedFault::WakesUnlooked, "the promise", vec![Stop(4), Stop(3)]),
+        (InjectedFault::NoFence, "the promise", vec![Cut(4), Cut(3)]),
+        (InjectedFault::NoWait, "shares stay within their limit", vec![Cut(4), Cut(3)]),
     ] {
-        let fleet = |mistake| {
+        let fleet = |injected_fault| {
             let faults = faults.clone();
-            Fleet { mistake, disks: true, most_steps: 20, most_wrong: 2, most_proposals: 1, faults }
+            Fleet { injected_fault, disks: true, most_steps: 20, most_wrong: 2, most_proposals: 1, faults }
         };
-        let (states, broken) = looks(fleet(Some(mistake)), 400_000);
-        println!("{mistake:?}: {broken:?} among {states} states");
-        assert!(broken.contains(&breaks), "{mistake:?}: {broken:?} in {states} states");
+        let (states, broken) = looks(fleet(Some(injected_fault)), 400_000);
+        println!("{injected_fault:?}: {broken:?} among {states} states");
+        assert!(broken.contains(&breaks), "{injected_fault:?}: {broken:?} in {states} states");
         let (states, broken) = looks(fleet(None), 400_000);
-        assert!(broken.is_empty(), "without {mistake:?}: {broken:?} in {states} states");
+        assert!(broken.is_empty(), "without {injected_fault:?}: {broken:?} in {states} states");
     }
 }
--- a/crates/aldercrank-agree/tests/promise.rs
+++ b/crates/aldercrank-consensus/tests/promise.rs
@@ -1,17 +1,26 @@
 //! The promise on drawn days, the hard cases one by one, and what agreement costs as a fleet grows.
 
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
 mod world;
 
-use aldercrank_agree::{Level, Mistake};
+use aldercrank_consensus::{InjectedFault, PermissionLevel};
 use std::time::Duration;
-use world::{doc, World, MS, WITHIN};
+use world::{version, World, MS, WITHIN};
 
 const S: Duration = Duration::from_secs(1);
 
 /// A day of drawn faults, with a new version every second or so.
-fn drawn_day(seed: u64, mistake: Option<Mistake>, forgetful: bool) -> World {
+fn drawn_day(seed: u64, injected_fault: Option<InjectedFault>, forgetful: bool) -> World {
     let servers = 5 + (seed % 4) as usize;
-    let mut w = World::new(servers, &[0, 1, 2], seed, mistake);
+    let mut w = World::new(servers, &[0, 1, 2], seed, injected_fault);
     for n in 0..3 {
         w.all[n].disk = !forgetful || n > 0;
     }
@@ -42,11 +51,11 @@
             }
         }
         number += 1;
-        let draft = doc(number, &[0, 1, 2], &format!("servers={servers} {}", w.draw.below(2)));
+        let proposed = version(number, &[0, 1, 2], &format!("servers={servers} {}", w.draw.below(2)));
         let member = w.draw.below(3) as usize;
-        w.propose(member, &draft);
+        w.propose(member, &proposed);
         if w.draw.one_in(4) {
-            let other = doc(number, &[0, 1, 2], &format!("servers={servers} another"));
+            let other = version(number, &[0, 1, 2], &format!("servers={servers} another"));
             w.propose((member + 1) % 3, &other);
         }
         let span = 300 + w.draw.below(1500) as u32;
@@ -78,13 +87,13 @@
 
 #[test]
 fn each_mistake_made_on_purpose_is_found_on_drawn_days() {
-    for mistake in [Mistake::FromAnswer, Mistake::WakesUnlooked, Mistake::NoFence] {
-        let found = (0..3000).find(|seed| drawn_day(*seed, Some(mistake), false).farthest > WITHIN);
-        assert!(found.is_some(), "{mistake:?}");
+    for injected_fault in [InjectedFault::FromAnswer, InjectedFault::WakesUnlooked, InjectedFault::NoFence] {
+        let found = (0..3000).find(|seed| drawn_day(*seed, Some(injected_fault), false).farthest > WITHIN);
+        assert!(found.is_some(), "{injected_fault:?}");
     }
 }
 
-fn settled(servers: usize) -> World {
+fn completed(servers: usize) -> World {
     let mut w = World::new(servers, &[0, 1, 2], 5, None);
     w.pass(S * 4);
     assert_eq!(w.acting_on(1), servers);
@@ -95,9 +104,9 @@
 
 #[test]
 fn a_version_is_in_force_everywhere_within_a_few_rounds() {
-    let mut w = settled(12);
+    let mut w = completed(12);
     let before = w.now;
-    w.propose(2, &doc(2, &[0, 1, 2], "servers=12"));
+    w.propose(2, &version(2, &[0, 1, 2], "servers=12"));
     while w.acting_on(2) < 12 && w.now < before + S {
         w.pass(MS);
     }
@@ -106,13 +115,13 @@
 
 #[test]
 fn a_minority_cut_off_stops_within_the_bound_and_comes_back() {
-    let mut w = settled(9);
+    let mut w = completed(9);
     w.cut.extend([2, 7, 8]);
     w.pass(WITHIN + MS * 100);
     for n in [2, 7, 8] {
-        assert_eq!(w.level(n), Level::Alone, "n{n}");
+        assert_eq!(w.level(n), PermissionLevel::Alone, "n{n}");
     }
-    w.propose(0, &doc(2, &[0, 1, 2], "servers=9"));
+    w.propose(0, &version(2, &[0, 1, 2], "servers=9"));
     w.pass(S * 2);
     assert_eq!(w.acting_on(2), 6, "those that hear one another go on");
     w.cut.clear();
@@ -120,13 +129,13 @@
     assert_eq!(w.acting_on(2), 9);
     w.cut.extend([2, 7, 8]);
     w.pass(Duration::from_secs(63));
-    assert_eq!(w.level(7), Level::Mute, "out of touch for too long");
+    assert_eq!(w.level(7), PermissionLevel::Mute, "out of touch for too long");
 }
 
 #[test]
 fn a_member_gone_costs_nobody_its_lease() {
     for gone in 0..3 {
-        let mut w = settled(9);
+        let mut w = completed(9);
         w.kill(gone);
         for _ in 0..40 {
             w.pass(MS * 100);
@@ -137,10 +146,10 @@
 
 #[test]
 fn the_committee_gone_all_at_once_stops_what_is_fenced_and_nothing_else() {
-    let mut w = settled(9);
+    let mut w = completed(9);
     (0..3).for_each(|n| w.kill(n));
     w.pass(WITHIN + MS * 50);
-    assert!((3..9).all(|n| w.level(n) == Level::Alone));
+    assert!((3..9).all(|n| w.level(n) == PermissionLevel::Alone));
     (0..3).for_each(|n| w.restart(n));
     w.pass(S * 5);
     assert_eq!(w.acting_on(1), 9);
@@ -148,41 +157,41 @@
 
 #[test]
 fn one_number_with_two_contents_is_refused_and_the_last_one_stands() {
-    let mut w = settled(7);
-    w.propose(0, &doc(2, &[0, 1, 2], "servers=7 a"));
-    w.propose(1, &doc(2, &[0, 1, 2], "servers=7 b"));
+    let mut w = completed(7);
+    w.propose(0, &version(2, &[0, 1, 2], "servers=7 a"));
+    w.propose(1, &version(2, &[0, 1, 2], "servers=7 b"));
     w.pass(S * 2);
     assert_eq!(w.acting_on(1), 7);
-    assert_eq!(w.standing(5).unwrap().last, 2, "the number is used up");
+    assert_eq!(w.committed(5).unwrap().last, 2, "the number is used up");
     let refusals = w.all[0].member.as_ref().unwrap().refusals().to_vec();
     assert!(refusals[0].1.contains("two contents"), "{refusals:?}");
-    w.propose(0, &doc(3, &[0, 1, 2], "servers=7"));
+    w.propose(0, &version(3, &[0, 1, 2], "servers=7"));
     w.pass(S * 2);
     assert_eq!(w.acting_on(3), 7);
 }
 
 #[test]
 fn a_version_that_one_server_can_not_go_by_is_refused_by_name() {
-    let mut w = settled(7);
-    w.propose(1, &doc(2, &[0, 1, 2], "servers=7 misfit=n0006"));
+    let mut w = completed(7);
+    w.propose(1, &version(2, &[0, 1, 2], "servers=7 misfit=n0006"));
     w.pass(S * 2);
-    assert_eq!((w.acting_on(1), w.standing(6).unwrap().last), (7, 2));
+    assert_eq!((w.acting_on(1), w.committed(6).unwrap().last), (7, 2));
     let refusals = w.all[2].member.as_ref().unwrap().refusals().to_vec();
     assert!(refusals[0].1.contains("n0006 refuses it: it has no such product"), "{refusals:?}");
 }
 
 #[test]
 fn what_tightens_takes_effect_only_once_all_that_could_go_on_against_it_hold_it() {
-    let mut w = settled(7);
+    let mut w = completed(7);
     w.cut.insert(6);
     w.pass(MS * 100);
-    w.propose(0, &doc(2, &[0, 1, 2], "servers=7 tightens"));
+    w.propose(0, &version(2, &[0, 1, 2], "servers=7 restrictions"));
     w.pass(S * 3);
     assert_eq!(w.acting_on(1), 6, "n6 may still do what may run again");
     let refusals = w.all[0].member.as_ref().unwrap().refusals().to_vec();
     assert!(refusals[0].1.contains("n0006 may go on against it"), "{refusals:?}");
     w.pass(Duration::from_secs(63));
-    w.propose(0, &doc(3, &[0, 1, 2], "servers=7 tightens"));
+    w.propose(0, &version(3, &[0, 1, 2], "servers=7 restrictions"));
     w.pass(S * 3);
     assert_eq!(w.acting_on(3), 6, "n6 has been silent for so long that it has stopped");
     w.cut.clear();
@@ -193,88 +202,88 @@
 #[test]
 fn a_draft_that_is_withdrawn_is_refused_or_in_force_and_nothing_between() {
     for late in 0..12 {
-        let mut w = settled(7);
-        w.propose(1, &doc(2, &[0, 1, 2], "servers=7"));
+        let mut w = completed(7);
+        w.propose(1, &version(2, &[0, 1, 2], "servers=7"));
         w.pass(MS * late / 2);
         let now = w.now;
         if let Some(m) = &mut w.all[0].member {
             struct Deaf;
-            impl aldercrank_agree::member::Ports for Deaf {
-                fn ask(
+            impl aldercrank_consensus::member::Ports for Deaf {
+                fn send_request(
                     &mut self,
-                    _: &aldercrank_agree::Name,
-                    _: aldercrank_agree::Ticket,
-                    _: aldercrank_agree::Ask,
+                    _: &aldercrank_consensus::ServerName,
+                    _: aldercrank_consensus::CorrelationId,
+                    _: aldercrank_consensus::PeerRequest,
                 ) {
                 }
-                fn news(&mut self, _: Option<aldercrank_agree::Stamp>) {}
-                fn keep(&mut self, _: &aldercrank_agree::member::Votes) {}
+                fn notify(&mut self, _: Option<aldercrank_consensus::VersionId>) {}
+                fn keep(&mut self, _: &aldercrank_consensus::member::AcceptorState) {}
                 fn read(
                     &mut self,
-                    _: &aldercrank_agree::Stamp,
+                    _: &aldercrank_consensus::VersionId,
                     _: &str,
-                    _: Option<&aldercrank_agree::Doc>,
-                ) -> Option<aldercrank_agree::words::Read> {
+                    _: Option<&aldercrank_consensus::ConfigVersion>,
+                ) -> Option<aldercrank_consensus::messages::VersionSummary> {
                     None
                 }
             }
-            m.undrafted(now, 2, &mut Deaf);
+            m.proposal_withdrawn(now, 2, &mut Deaf);
         }
         w.pass(S * 2);
         assert!([1, 2].iter().any(|book| w.acting_on(*book) == 7), "{late}");
-        assert_eq!(w.standing(4).unwrap().last, 2, "it has been decided on");
+        assert_eq!(w.committed(4).unwrap().last, 2, "it has been decided on");
     }
 }
 
 #[test]
 fn the_committee_is_changed_by_a_version_and_the_new_one_decides() {
-    let mut w = settled(9);
-    w.propose(0, &doc(2, &[0, 1, 5], "servers=9"));
+    let mut w = completed(9);
+    w.propose(0, &version(2, &[0, 1, 5], "servers=9"));
     w.pass(S * 6);
     // n5 is told by its host that it is a member now; here nobody is, and two of three do.
     assert_eq!(w.acting_on(2), 9);
-    w.propose(1, &doc(3, &[0, 1, 5], "servers=9"));
+    w.propose(1, &version(3, &[0, 1, 5], "servers=9"));
     w.pass(S * 3);
     assert_eq!(w.acting_on(3), 9);
-    w.propose(2, &doc(4, &[0, 1, 5], "servers=9"));
+    w.propose(2, &version(4, &[0, 1, 5], "servers=9"));
     w.pass(S * 3);
     assert_eq!(w.acting_on(3), 9, "one that has left the committee decides nothing");
 }
 
 #[test]
 fn shares_moved_while_one_side_is_cut_off_never_come_to_more_than_their_limit() {
-    for (mistake, most) in [(None, 100..=100), (Some(Mistake::NoWait), 101..=1000)] {
-        let mut w = World::new(8, &[0, 1, 2], 9, mistake);
+    for (injected_fault, most) in [(None, 100..=100), (Some(InjectedFault::NoWait), 101..=1000)] {
+        let mut w = World::new(8, &[0, 1, 2], 9, injected_fault);
         w.shares.borrow_mut().extend([(1, [20, 5]), (2, [5, 20]), (3, [20, 5])]);
         w.pass(S * 8);
         // Those that give up their part do not hear of it.
         w.cut.extend([4, 6]);
         w.pass(MS * 50);
-        w.propose(0, &doc(2, &[0, 1, 2], "servers=8"));
+        w.propose(0, &version(2, &[0, 1, 2], "servers=8"));
         w.pass(S * 3);
         w.cut.clear();
-        w.propose(0, &doc(3, &[0, 1, 2], "servers=8"));
+        w.propose(0, &version(3, &[0, 1, 2], "servers=8"));
         w.pass(S * 8);
-        assert!(most.contains(&w.most_shares), "{mistake:?}: {}", w.most_shares);
+        assert!(most.contains(&w.most_shares), "{injected_fault:?}: {}", w.most_shares);
     }
 }
 
 #[test]
 fn a_flapping_partition_costs_leases_and_not_the_promise() {
-    let mut w = settled(9);
+    let mut w = completed(9);
     for n in 2..32 {
         if n % 2 == 0 {
             w.cut.extend([1, 6, 7]);
         } else {
             w.cut.clear();
         }
-        w.propose(0, &doc(n, &[0, 1, 2], "servers=9"));
+        w.propose(0, &version(n, &[0, 1, 2], "servers=9"));
         w.pass(MS * 300);
     }
     assert!(w.farthest <= WITHIN);
     w.cut.clear();
     w.pass(S * 3);
-    let last = w.standing(0).unwrap().book.number;
+    let last = w.committed(0).unwrap().book.number;
     assert_eq!(w.acting_on(last), 9);
     assert!(last > 20, "versions take effect all the same: {last}");
 }
@@ -290,7 +299,7 @@
     let each = (w.messages - before) as f64 / servers as f64 / (w.now - from).as_secs_f64();
     let from = w.now;
     let asked: Vec<u32> = w.all.iter().map(|p| p.exchanges).collect();
-    w.propose(0, &doc(2, &[0, 1, 2], &format!("servers={servers}")));
+    w.propose(0, &version(2, &[0, 1, 2], &format!("servers={servers}")));
     while w.acting_on(2) < servers && w.now < from + S {
         w.pass(MS);
     }
--- a/crates/aldercrank-agree/tests/world.rs
+++ b/crates/aldercrank-consensus/tests/world.rs
@@ -2,9 +2,19 @@
 //! outside: at each moment every server that may act does, and nobody acts on an older version for longer than the
 //! bound after somebody acted on a newer one.
 
-use aldercrank_agree::{
-    follower, member, words::Read, Ask, Doc, Follower, Handover, Level, Member, Mistake, Name, Stamp,
-    Standing, Terms, Ticket, Told,
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
+use aldercrank_consensus::{
+    follower, member, messages::VersionSummary, CommittedState, CommitteeMember, ConfigVersion,
+    CorrelationId, Follower, InjectedFault, PeerRequest, PeerResponse, PermissionLevel, QuotaHandover,
+    ServerName, Terms, VersionId,
 };
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -29,39 +39,42 @@
     }
 }
 
-pub fn name(n: usize) -> Name {
-    Name::new(&format!("n{n:04}"))
+pub fn name(n: usize) -> ServerName {
+    ServerName::new(&format!("n{n:04}"))
 }
 
-/// A text: the number, who is on the committee, and words about it (`misfit=NAME`, `tightens`, `servers=N`).
-pub fn doc(number: u64, committee: &[usize], words: &str) -> Doc {
+/// A text: the number, who is on the committee, and words about it (`incompatibility=NAME`, `restrictions`, `servers=N`).
+pub fn version(number: u64, committee: &[usize], words: &str) -> ConfigVersion {
     let members: Vec<String> = committee.iter().map(|n| name(*n).to_string()).collect();
     let text = format!("{number};{};{words}", members.join(","));
     let mut digest = [0; 32];
     let sum = text.bytes().fold(0xcbf29ce484222325u64, |d, b| (d ^ u64::from(b)).wrapping_mul(0x100000001b3));
     digest[..8].copy_from_slice(&sum.to_le_bytes());
-    Doc { stamp: Stamp { number, digest }, text: Arc::from(text) }
+    ConfigVersion { version_id: VersionId { number, digest }, text: Arc::from(text) }
 }
 
-pub fn read(me: &Name, stamp: &Stamp, text: &str) -> Option<Read> {
+pub fn read(me: &ServerName, version_id: &VersionId, text: &str) -> Option<VersionSummary> {
     let parts: Vec<&str> = text.split(';').collect();
-    if doc_of(text).stamp != *stamp {
+    if doc_of(text).version_id != *version_id {
         return None;
     }
     let word = |key: &str| parts[2].split(' ').find_map(|w| w.strip_prefix(key));
     let servers = word("servers=").map(|n| (0..n.parse().unwrap()).map(name).collect());
-    Some(Read {
+    Some(VersionSummary {
         misfit: word("misfit=").filter(|n| **n == *me.0).map(|_| "it has no such product".to_string()),
-        committee: parts[1].split(',').map(Name::new).collect(),
+        committee: parts[1].split(',').map(ServerName::new).collect(),
         servers,
-        tightens: word("tightens").map(|_| "a product may not run again".to_string()).into_iter().collect(),
+        restrictions: word("restrictions")
+            .map(|_| "a product may not run again".to_string())
+            .into_iter()
+            .collect(),
     })
 }
 
-fn doc_of(text: &str) -> Doc {
+fn doc_of(text: &str) -> ConfigVersion {
     let parts: Vec<&str> = text.split(';').collect();
     let members: Vec<usize> = parts[1].split(',').map(|m| m[1..].parse().unwrap()).collect();
-    doc(parts[0].parse().unwrap(), &members, parts[2])
+    version(parts[0].parse().unwrap(), &members, parts[2])
 }
 
 #[derive(Clone, Debug)]
@@ -70,19 +83,19 @@
     Asked {
         from: usize,
         to: usize,
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         side: Side,
-        ask: Ask,
+        request: PeerRequest,
     },
     Answered {
         to: usize,
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         side: Side,
-        told: Box<Told>,
+        response: Box<PeerResponse>,
     },
     News {
         to: usize,
-        draft: Option<Stamp>,
+        proposed: Option<VersionId>,
     },
     Woken {
         who: usize,
@@ -93,12 +106,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     Follower,
-    Member,
+    CommitteeMember,
 }
 
 pub struct Process {
     pub follower: Follower,
-    pub member: Option<Member>,
+    pub member: Option<CommitteeMember>,
     pub life: u64,
     pub up: bool,
     /// Stopped: nothing of it runs until it is continued.
@@ -108,9 +121,9 @@
     rate: u32,
     zero: Duration,
     /// What a member keeps on its disk, and the version that a server does.
-    votes: Option<member::Votes>,
+    acceptor_state: Option<member::AcceptorState>,
     pub disk: bool,
-    pub share: Handover<u32>,
+    pub share: QuotaHandover<u32>,
     /// The version that it goes by.
     pub book: Option<u64>,
     seen_by: BTreeSet<usize>,
@@ -120,39 +133,49 @@
 
 #[derive(Default)]
 struct Said {
-    asks: Vec<(Name, Ticket, Ask)>,
-    news: Option<Option<Stamp>>,
-    votes: Option<member::Votes>,
+    asks: Vec<(ServerName, CorrelationId, PeerRequest)>,
+    news: Option<Option<VersionId>>,
+    acceptor_state: Option<member::AcceptorState>,
     book: Option<(u64, Duration)>,
 }
 
-struct Hand<'a>(&'a mut Said, &'a Name);
+struct Hand<'a>(&'a mut Said, &'a ServerName);
 
 impl follower::Ports for Hand<'_> {
-    fn ask(&mut self, to: &Name, ticket: Ticket, ask: Ask) {
-        self.0.asks.push((to.clone(), ticket, ask));
+    fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest) {
+        self.0.asks.push((to.clone(), correlation_id, request));
     }
-    fn read(&mut self, stamp: &Stamp, text: &str, _: Option<&Doc>) -> Option<Read> {
-        read(self.1, stamp, text)
+    fn read(
+        &mut self,
+        version_id: &VersionId,
+        text: &str,
+        _: Option<&ConfigVersion>,
+    ) -> Option<VersionSummary> {
+        read(self.1, version_id, text)
     }
-    fn in_force(&mut self, doc: &Doc, _: &Read, stood: Duration) {
-        self.0.book = Some((doc.stamp.number, stood));
+    fn version_committed(&mut self, version: &ConfigVersion, _: &VersionSummary, stood: Duration) {
+        self.0.book = Some((version.version_id.number, stood));
     }
 }
 
 impl member::Ports for Hand<'_> {
-    fn ask(&mut self, to: &Name, ticket: Ticket, ask: Ask) {
-        self.0.asks.push((to.clone(), ticket, ask));
+    fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest) {
+        self.0.asks.push((to.clone(), correlation_id, request));
     }
-    fn news(&mut self, draft: Option<Stamp>) {
+    fn notify(&mut self, proposed: Option<VersionId>) {
         // What stands is asked about with the draft; the last word is enough.
-        self.0.news = Some(draft);
+        self.0.news = Some(proposed);
     }
-    fn keep(&mut self, votes: &member::Votes) {
-        self.0.votes = Some(votes.clone());
+    fn keep(&mut self, acceptor_state: &member::AcceptorState) {
+        self.0.acceptor_state = Some(acceptor_state.clone());
     }
-    fn read(&mut self, stamp: &Stamp, text: &str, _: Option<&Doc>) -> Option<Read> {
-        read(self.1, stamp, text)
+    fn read(
+        &mut self,
+        version_id: &VersionId,
+        text: &str,
+        _: Option<&ConfigVersion>,
+    ) -> Option<VersionSummary> {
+        read(self.1, version_id, text)
     }
 }
 
@@ -161,7 +184,7 @@
     pub terms: Terms,
     pub all: Vec<Process>,
     committee: Vec<usize>,
-    genesis: Doc,
+    genesis: ConfigVersion,
     events: BinaryHeap<Reverse<(Duration, u64, usize)>>,
     what: Vec<Option<Event>>,
     pub draw: Draw,
@@ -182,14 +205,19 @@
 }
 
 impl World {
-    pub fn new(servers: usize, committee: &[usize], seed: u64, mistake: Option<Mistake>) -> World {
+    pub fn new(
+        servers: usize,
+        committee: &[usize],
+        seed: u64,
+        injected_fault: Option<InjectedFault>,
+    ) -> World {
         let mut terms = Terms::new(WITHIN, Duration::from_secs(60));
-        terms.mistake = mistake;
+        terms.injected_fault = injected_fault;
         let mut world = World {
             now: Duration::ZERO,
             all: Vec::new(),
             committee: committee.to_vec(),
-            genesis: doc(1, committee, &format!("servers={servers}")),
+            genesis: version(1, committee, &format!("servers={servers}")),
             events: BinaryHeap::new(),
             what: Vec::new(),
             draw: Draw(seed.wrapping_mul(7919).wrapping_add(12345)),
@@ -216,7 +244,7 @@
     }
 
     fn process(&mut self, n: usize, life: u64, disk: bool) -> Process {
-        let committee: Vec<Name> = self.committee.iter().map(|n| name(*n)).collect();
+        let committee: Vec<ServerName> = self.committee.iter().map(|n| name(*n)).collect();
         let own = self.committee.iter().position(|m| *m == n);
         let spread = own.unwrap_or(n) as u64;
         Process {
@@ -228,9 +256,9 @@
             late: Vec::new(),
             rate: 1000,
             zero: Duration::from_secs(60 * n as u64 % 7919),
-            votes: None,
+            acceptor_state: None,
             disk,
-            share: Handover::new(self.terms.clone(), Duration::ZERO),
+            share: QuotaHandover::new(self.terms.clone(), Duration::ZERO),
             book: None,
             seen_by: BTreeSet::new(),
             exchanges: 0,
@@ -244,13 +272,20 @@
         p.rate = rate;
         let local = local(self.now, rate) + p.zero;
         if self.committee.contains(&n) {
-            let (votes, me) = (p.votes.clone().filter(|_| p.disk), name(n));
+            let (acceptor_state, me) = (p.acceptor_state.clone().filter(|_| p.disk), name(n));
             let mut said = Said::default();
             let mut hand = Hand(&mut said, &me);
             let life = (n as u64) << 32 | p.life;
             let id = (me.clone(), life);
-            p.member = Member::new(local, id, self.genesis.clone(), votes, self.terms.clone(), &mut hand);
-            self.carry(n, Side::Member, said);
+            p.member = CommitteeMember::new(
+                local,
+                id,
+                self.genesis.clone(),
+                acceptor_state,
+                self.terms.clone(),
+                &mut hand,
+            );
+            self.carry(n, Side::CommitteeMember, said);
         }
         self.at(self.now, Event::Woken { who: n });
     }
@@ -265,9 +300,10 @@
         if self.all[n].up {
             return;
         }
-        let (life, votes, disk) = (self.all[n].life + 1, self.all[n].votes.take(), self.all[n].disk);
+        let (life, acceptor_state, disk) =
+            (self.all[n].life + 1, self.all[n].acceptor_state.take(), self.all[n].disk);
         let mut process = self.process(n, life, disk);
-        process.votes = votes.filter(|_| disk);
+        process.acceptor_state = acceptor_state.filter(|_| disk);
         self.all[n] = process;
         self.begin(n);
     }
@@ -288,7 +324,7 @@
     }
 
     /// A new version is at the list service, and the member hears of it.
-    pub fn propose(&mut self, member: usize, doc: &Doc) {
+    pub fn propose(&mut self, member: usize, version: &ConfigVersion) {
         let now = self.local(member);
         let mut said = Said::default();
         let p = &mut self.all[member];
@@ -296,9 +332,9 @@
             return;
         }
         if let Some(m) = &mut p.member {
-            let _ = m.drafted(now, doc.clone(), &mut Hand(&mut said, &name(member)));
+            let _ = m.version_proposed(now, version.clone(), &mut Hand(&mut said, &name(member)));
         }
-        self.carry(member, Side::Member, said);
+        self.carry(member, Side::CommitteeMember, said);
     }
 
     fn local(&self, n: usize) -> Duration {
@@ -329,16 +365,16 @@
     }
 
     fn carry(&mut self, n: usize, side: Side, said: Said) {
-        for (to, ticket, ask) in said.asks {
+        for (to, correlation_id, request) in said.asks {
             let to: usize = to.0[1..].parse().unwrap();
-            self.way(n, to, Event::Asked { from: n, to, ticket, side, ask });
+            self.way(n, to, Event::Asked { from: n, to, correlation_id, side, request });
         }
-        if let Some(votes) = said.votes {
-            self.all[n].votes = Some(votes);
+        if let Some(acceptor_state) = said.acceptor_state {
+            self.all[n].acceptor_state = Some(acceptor_state);
         }
-        if let Some(draft) = said.news {
+        if let Some(proposed) = said.news {
             for to in self.all[n].seen_by.clone() {
-                self.way(n, to, Event::News { to, draft });
+                self.way(n, to, Event::News { to, proposed });
             }
         }
         if let Some((book, stood)) = said.book {
@@ -373,12 +409,12 @@
     fn with_member<T>(
         &mut self,
         n: usize,
-        act: impl FnOnce(&mut Member, Duration, &mut Hand) -> T,
+        act: impl FnOnce(&mut CommitteeMember, Duration, &mut Hand) -> T,
     ) -> Option<T> {
         let now = self.local(n);
         let (mut said, me) = (Said::default(), name(n));
         let got = self.all[n].member.as_mut().map(|m| act(m, now, &mut Hand(&mut said, &me)));
-        self.carry(n, Side::Member, said);
+        self.carry(n, Side::CommitteeMember, said);
         got
     }
 
@@ -394,7 +430,7 @@
             return self.all[who].late.push(event);
         }
         match event {
-            Event::Asked { from, to, ticket, side, ask } => {
+            Event::Asked { from, to, correlation_id, side, request } => {
                 if side == Side::Follower {
                     // It has one connection, to the member that it asks.
                     for p in &mut self.all {
@@ -403,24 +439,30 @@
                     self.all[to].seen_by.insert(from);
                     self.all[from].exchanges += u32::from(from != to);
                 }
-                let told = self.with_member(to, |m, now, ports| m.asked(now, ask, ports));
-                let told = Box::new(told.unwrap_or(Told::Silent));
-                self.way(to, from, Event::Answered { to: from, ticket, side, told });
+                let response = self.with_member(to, |m, now, ports| m.handle_request(now, request, ports));
+                let response = Box::new(response.unwrap_or(PeerResponse::Silent));
+                self.way(to, from, Event::Answered { to: from, correlation_id, side, response });
             }
-            Event::Answered { to, ticket, side, told } => match side {
-                Side::Follower => self.with_follower(to, |f, now, ports| f.heard(now, ticket, *told, ports)),
-                Side::Member => {
-                    self.with_member(to, |m, now, ports| m.heard(now, ticket, *told, ports));
+            Event::Answered { to, correlation_id, side, response } => match side {
+                Side::Follower => self.with_follower(to, |f, now, ports| {
+                    f.handle_response(now, correlation_id, *response, ports)
+                }),
+                Side::CommitteeMember => {
+                    self.with_member(to, |m, now, ports| {
+                        m.handle_response(now, correlation_id, *response, ports)
+                    });
                 }
             },
-            Event::News { to, draft } => self.with_follower(to, |f, now, ports| f.news(now, draft, ports)),
+            Event::News { to, proposed } => {
+                self.with_follower(to, |f, now, ports| f.notify(now, proposed, ports))
+            }
             Event::Woken { who } => {
                 let now = self.local(who);
                 if self.all[who].member.as_ref().is_some_and(|m| m.next() <= now) {
-                    self.with_member(who, |m, now, ports| m.woken(now, ports));
+                    self.with_member(who, |m, now, ports| m.timer_fired(now, ports));
                 }
                 if self.all[who].follower.next() <= now {
-                    self.with_follower(who, |f, now, ports| f.woken(now, ports));
+                    self.with_follower(who, |f, now, ports| f.timer_fired(now, ports));
                 }
             }
         }
@@ -432,7 +474,7 @@
         let now = self.local(n);
         let p = &mut self.all[n];
         let level = p.follower.level(now).0;
-        if level != Level::Full || !p.up || p.stopped {
+        if level != PermissionLevel::Full || !p.up || p.stopped {
             return;
         }
         let Some(book) = p.book else { return };
@@ -449,7 +491,7 @@
         for n in 0..self.all.len() {
             let now = self.local(n);
             let p = &mut self.all[n];
-            if p.up && !p.stopped && p.follower.level(now).0 == Level::Full {
+            if p.up && !p.stopped && p.follower.level(now).0 == PermissionLevel::Full {
                 sum += p.share.share(now).0;
             }
         }
@@ -481,18 +523,20 @@
         }
     }
 
-    pub fn standing(&self, n: usize) -> Option<Standing> {
-        self.all[n].follower.standing()
+    pub fn committed(&self, n: usize) -> Option<CommittedState> {
+        self.all[n].follower.committed()
     }
 
-    pub fn level(&self, n: usize) -> Level {
+    pub fn level(&self, n: usize) -> PermissionLevel {
         self.all[n].follower.level(self.local(n)).0
     }
 
     /// How many may act on this version now.
     pub fn acting_on(&self, book: u64) -> usize {
         (0..self.all.len())
-            .filter(|n| self.all[*n].up && self.all[*n].book == Some(book) && self.level(*n) == Level::Full)
+            .filter(|n| {
+                self.all[*n].up && self.all[*n].book == Some(book) && self.level(*n) == PermissionLevel::Full
+            })
             .count()
     }
 }
--- a/crates/aldercrank-json/src/lib.rs
+++ b/crates/aldercrank-json-settings/src/lib.rs
@@ -1,5 +1,9 @@
 //! Settings written as JSON, turned into the plain map that the module reads. Decides nothing.
 
+// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
+#![allow(missing_docs, unreachable_pub)]
+#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+
 use aldercrank::{Settings, Value};
 use serde_json::Value as Json;
 
--- a/crates/aldercrank-json/tests/golden.rs
+++ b/crates/aldercrank-json-settings/tests/golden.rs
@@ -1,5 +1,14 @@
 //! Golden file of JSON settings turned into dotted names: the document, then each name with its value.
 
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
 use aldercrank::Value;
 use std::fmt::Write;
 
@@ -35,7 +44,7 @@
 fn decoded(document: &str) -> String {
     let json = serde_json::from_str(document).unwrap();
     let mut lines = String::new();
-    for (name, value) in &aldercrank_json::settings(&json).0 {
+    for (name, value) in &aldercrank_json_settings::settings(&json).0 {
         writeln!(lines, "  {name:?} = {}", written(value)).unwrap();
     }
     lines
--- a/crates/aldercrank-start/src/lib.rs
+++ b/crates/aldercrank-pacing/src/lib.rs
@@ -5,8 +5,12 @@
 //!
 //! No I/O and no clock: times are handed in, the moment of the next try is handed out.
 
-mod pace;
-mod warming;
+// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
+#![allow(missing_docs, unreachable_pub)]
+#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
 
-pub use pace::{digest, Pace, State, Terms};
-pub use warming::{Look, Phase, Warming, WarmingTerms, Why};
+mod retry_pacer;
+mod slow_start;
+
+pub use retry_pacer::{digest, PacerState, RetryPacer, Terms};
+pub use slow_start::{Phase, SlowStart, SlowStartConfig, SlowStartReason, SlowStartStatus};
--- a/crates/aldercrank-start/src/pace.rs
+++ b/crates/aldercrank-pacing/src/retry_pacer.rs
@@ -1,7 +1,7 @@
 //! One thing that is asked for again and again, such as a report: when the next try is due.
 //!
 //! `waiting` for the first try, `steady` while tries are taken, `backing off` while they are not. All transitions
-//! stand in `taken`, `refused` and `lost`.
+//! stand in `succeeded`, `rejected` and `failed`.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -46,7 +46,7 @@
 
 /// Where it stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum PacerState {
     /// For the first try.
     Waiting,
     Steady,
@@ -55,10 +55,10 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct RetryPacer {
     terms: Terms,
     draw: Pcg64Mcg,
-    state: State,
+    state: PacerState,
     /// The steady gap at present: the interval, or longer where the service has refused.
     gap: Duration,
 }
@@ -68,15 +68,20 @@
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |sum, b| (sum ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-impl Pace {
+impl RetryPacer {
     /// `name` sets a server apart from the others even where all start with the same seed, as those of one image
     /// do; `moment` sets its starts apart from one another.
-    pub fn new(terms: Terms, seed: &str, name: &str, moment: Duration) -> Pace {
+    pub fn new(terms: Terms, seed: &str, name: &str, moment: Duration) -> RetryPacer {
         let mix = digest(seed) ^ digest(name).rotate_left(21) ^ (moment.as_nanos() as u64).rotate_left(42);
-        Pace { terms, draw: Pcg64Mcg::seed_from_u64(mix), state: State::Waiting, gap: terms.interval }
+        RetryPacer {
+            terms,
+            draw: Pcg64Mcg::seed_from_u64(mix),
+            state: PacerState::Waiting,
+            gap: terms.interval,
+        }
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> PacerState {
         self.state
     }
 
@@ -103,10 +108,10 @@
     }
 
     /// A try was taken: when the next is due, counted from when this one was begun.
-    pub fn taken(&mut self, now: Duration, begun: Duration) -> Duration {
+    pub fn succeeded(&mut self, now: Duration, begun: Duration) -> Duration {
         let back = self.terms.interval.mul_f64(BACK);
         self.gap = self.gap.saturating_sub(back).max(self.terms.interval);
-        let steady = std::mem::replace(&mut self.state, State::Steady) == State::Steady;
+        let steady = std::mem::replace(&mut self.state, PacerState::Steady) == PacerState::Steady;
         // Those that come back together would stay in step for as long as they live: each draws its phase anew.
         let loose = match steady {
             true => 1.0 + LOOSE * (2.0 * self.unit() - 1.0),
@@ -116,10 +121,10 @@
     }
 
     /// The service is there and turned it away, with when to come back, if it said so.
-    pub fn refused(&mut self, now: Duration, back_in: Option<Duration>) -> Duration {
+    pub fn rejected(&mut self, now: Duration, retry_after: Option<Duration>) -> Duration {
         self.gap = self.gap.mul_f64(STRETCH).min(self.stretched());
         let own = self.fail(now);
-        let heeded = back_in.filter(|span| !span.is_zero()).map(|span| {
+        let heeded = retry_after.filter(|span| !span.is_zero()).map(|span| {
             let span = span.min(self.terms.interval.mul_f64(HEEDED));
             now + span + span.mul_f64(AFTER * self.unit())
         });
@@ -127,7 +132,7 @@
     }
 
     /// Nothing came of it: no connection, no whole answer, none in its time.
-    pub fn lost(&mut self, now: Duration) -> Duration {
+    pub fn failed(&mut self, now: Duration) -> Duration {
         self.fail(now)
     }
 
@@ -138,10 +143,10 @@
 
     fn fail(&mut self, now: Duration) -> Duration {
         let failed = match self.state {
-            State::BackingOff(times) => times.saturating_add(1),
-            State::Waiting | State::Steady => 1,
+            PacerState::BackingOff(times) => times.saturating_add(1),
+            PacerState::Waiting | PacerState::Steady => 1,
         };
-        self.state = State::BackingOff(failed);
+        self.state = PacerState::BackingOff(failed);
         let grown = FIRST * 2f64.powi(failed.min(16) as i32 - 1);
         let span = self.terms.interval.mul_f64(grown).min(self.terms.longest);
         now + span.mul_f64(JITTER + (1.0 - JITTER) * self.unit())
--- a/crates/aldercrank-start/src/warming.rs
+++ b/crates/aldercrank-pacing/src/slow_start.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     Linking,
-    Warming,
+    SlowStart,
     Offering,
     Full,
 }
@@ -29,7 +29,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Phase::Linking => "linking",
-            Phase::Warming => "warming",
+            Phase::SlowStart => "warming",
             Phase::Offering => "offering",
             Phase::Full => "full",
         }
@@ -38,7 +38,7 @@
 
 /// Why the share is what it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum SlowStartReason {
     NoPool,
     NothingSettled,
     Headroom,
@@ -51,23 +51,23 @@
     LongEnough,
 }
 
-impl Why {
+impl SlowStartReason {
     pub fn name(self) -> &'static str {
         match self {
-            Why::NoPool => "no worker pool yet",
-            Why::NothingSettled => "nothing settled since",
-            Why::Headroom => "what came back had headroom",
-            Why::Slow => "what came back had none",
-            Why::Refused => "the index turned calls away",
-            Why::Warm => "the pool was warm",
-            Why::LongEnough => "it has waited long enough",
+            SlowStartReason::NoPool => "no worker pool yet",
+            SlowStartReason::NothingSettled => "nothing settled since",
+            SlowStartReason::Headroom => "what came back had headroom",
+            SlowStartReason::Slow => "what came back had none",
+            SlowStartReason::Refused => "the index turned calls away",
+            SlowStartReason::Warm => "the pool was warm",
+            SlowStartReason::LongEnough => "it has waited long enough",
         }
     }
 }
 
 /// What warming goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WarmingTerms {
+pub struct SlowStartConfig {
     /// The least speed that a cold pool is promised to have, as a share of a warm one's.
     pub least: f64,
     /// After this the settings promise a warm one.
@@ -78,18 +78,18 @@
 
 /// What a look came to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Look {
+pub struct SlowStartStatus {
     pub phase: Phase,
     pub share: f64,
-    pub why: Why,
+    pub why: SlowStartReason,
 }
 
 #[derive(Clone, Debug)]
-pub struct Warming {
-    terms: WarmingTerms,
+pub struct SlowStart {
+    terms: SlowStartConfig,
     phase: Phase,
     share: f64,
-    why: Why,
+    why: SlowStartReason,
     since: Duration,
     looked: Duration,
     /// Since the last look: the slowest that was settled, in SLA times, and whether calls were turned away.
@@ -97,14 +97,14 @@
     refused: bool,
 }
 
-impl Warming {
-    pub fn linking(terms: WarmingTerms) -> Warming {
+impl SlowStart {
+    pub fn linking(terms: SlowStartConfig) -> SlowStart {
         let least = terms.least.clamp(STEP / 2.0, 1.0);
-        Warming {
-            terms: WarmingTerms { least, ..terms },
+        SlowStart {
+            terms: SlowStartConfig { least, ..terms },
             phase: Phase::Linking,
             share: 0.0,
-            why: Why::NoPool,
+            why: SlowStartReason::NoPool,
             since: Duration::ZERO,
             looked: Duration::ZERO,
             slowest: None,
@@ -112,38 +112,38 @@
         }
     }
 
-    pub fn now(&self) -> Look {
-        Look { phase: self.phase, share: self.share, why: self.why }
+    pub fn now(&self) -> SlowStartStatus {
+        SlowStartStatus { phase: self.phase, share: self.share, why: self.why }
     }
 
-    fn to(&mut self, phase: Phase, share: f64, why: Why) {
+    fn to(&mut self, phase: Phase, share: f64, why: SlowStartReason) {
         (self.phase, self.share, self.why) = (phase, share, why);
     }
 
     /// The worker pool is up: the first one, or another than before.
-    pub fn bound(&mut self, now: Duration, cold: bool) -> Look {
+    pub fn bound(&mut self, now: Duration, cold: bool) -> SlowStartStatus {
         (self.since, self.looked) = (now, now);
         (self.slowest, self.refused) = (None, false);
         match cold {
-            true => self.to(Phase::Warming, self.terms.least, Why::NothingSettled),
-            false => self.to(Phase::Full, 1.0, Why::Warm),
+            true => self.to(Phase::SlowStart, self.terms.least, SlowStartReason::NothingSettled),
+            false => self.to(Phase::Full, 1.0, SlowStartReason::Warm),
         }
         self.now()
     }
 
     /// A run has come back so many SLA times after it was started, its calls counted in.
-    pub fn settled(&mut self, sla_times: f64) {
+    pub fn completed(&mut self, sla_times: f64) {
         self.slowest = Some(self.slowest.map_or(sla_times, |slowest| slowest.max(sla_times)));
     }
 
     /// What lies below has turned a call away, or has not answered it.
-    pub fn refused(&mut self) {
+    pub fn rejected(&mut self) {
         self.refused = true;
     }
 
     /// Time has passed. Something, where a look was due and brought a change.
-    pub fn at(&mut self, now: Duration) -> Option<Look> {
-        let growing = matches!(self.phase, Phase::Warming | Phase::Offering);
+    pub fn at(&mut self, now: Duration) -> Option<SlowStartStatus> {
+        let growing = matches!(self.phase, Phase::SlowStart | Phase::Offering);
         if !growing || now < self.looked + self.terms.look {
             return None;
         }
@@ -154,13 +154,15 @@
         let grown = (self.share + STEP).min(1.0);
         match slowest {
             _ if now >= self.since + self.terms.promised.mul_f64(PATIENCE) => {
-                self.to(Phase::Full, 1.0, Why::LongEnough)
+                self.to(Phase::Full, 1.0, SlowStartReason::LongEnough)
             }
-            _ if refused => self.to(self.phase, cut, Why::Refused),
-            Some(slowest) if slowest > 1.0 => self.to(Phase::Offering, cut, Why::Slow),
-            Some(slowest) if slowest > HEADROOM => self.to(Phase::Offering, self.share, Why::Slow),
-            Some(_) if grown >= 1.0 => self.to(Phase::Full, 1.0, Why::Headroom),
-            Some(_) => self.to(Phase::Offering, grown, Why::Headroom),
+            _ if refused => self.to(self.phase, cut, SlowStartReason::Refused),
+            Some(slowest) if slowest > 1.0 => self.to(Phase::Offering, cut, SlowStartReason::Slow),
+            Some(slowest) if slowest > HEADROOM => {
+                self.to(Phase::Offering, self.share, SlowStartReason::Slow)
+            }
+            Some(_) if grown >= 1.0 => self.to(Phase::Full, 1.0, SlowStartReason::Headroom),
+            Some(_) => self.to(Phase::Offering, grown, SlowStartReason::Headroom),
             None => {}
         }
         Some(self.now()).filter(|now| *now != before)
--- a/crates/aldercrank-start/tests/pace.rs
+++ b/crates/aldercrank-pacing/tests/pace.rs
@@ -1,6 +1,15 @@
 //! The pace of one server, beside a slow plain model of its bounds; and of thousands that share one service.
 
-use aldercrank_start::{Pace, State, Terms};
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
+use aldercrank_pacing::{PacerState, RetryPacer, Terms};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,17 +24,17 @@
     Terms { interval: S, lapse: S * 3, longest: S * 4, servers: None }
 }
 
-fn pace(name: &str) -> Pace {
-    Pace::new(terms(), "one image", name, Duration::ZERO)
+fn pace(name: &str) -> RetryPacer {
+    RetryPacer::new(terms(), "one image", name, Duration::ZERO)
 }
 
 #[test]
 fn one_server_alone_waits_for_nobody_and_many_are_spread_over_the_interval() {
     let alone = Terms { servers: Some(1.0), ..terms() };
-    assert_eq!(Pace::new(alone, "s", "n1", S).first(ms(7)), ms(7));
+    assert_eq!(RetryPacer::new(alone, "s", "n1", S).first(ms(7)), ms(7));
     let many = Terms { servers: Some(1e6), ..terms() };
     let firsts: BTreeSet<Duration> =
-        (0..1000).map(|n| Pace::new(many, "s", &format!("n{n}"), S).first(S)).collect();
+        (0..1000).map(|n| RetryPacer::new(many, "s", &format!("n{n}"), S).first(S)).collect();
     assert_eq!(firsts.len(), 1000, "the same seed, another name: another draw");
     assert!(*firsts.first().unwrap() < ms(1010) && *firsts.last().unwrap() > ms(1990));
     assert!(firsts.iter().all(|at| (S..S * 2).contains(at)));
@@ -34,12 +43,12 @@
 #[test]
 fn what_it_is_told_of_coming_back_is_heeded_within_bounds() {
     let mut pace = pace("n1");
-    let first = pace.refused(S, None) - S;
+    let first = pace.rejected(S, None) - S;
     assert!(first >= ms(175) && first <= ms(250), "{first:?}");
-    assert!(pace.refused(S, Some(Duration::ZERO)) > S, "0 is no invitation to ask at once");
-    let told = pace.refused(S, Some(S * 2)) - S;
+    assert!(pace.rejected(S, Some(Duration::ZERO)) > S, "0 is no invitation to ask at once");
+    let told = pace.rejected(S, Some(S * 2)) - S;
     assert!(told >= S * 2 && told <= S * 6, "{told:?}");
-    let hour = pace.refused(S, Some(S * 3600)) - S;
+    let hour = pace.rejected(S, Some(S * 3600)) - S;
     assert!(hour >= S * 60 && hour <= S * 180, "{hour:?}");
 }
 
@@ -48,15 +57,15 @@
     let mut pace = pace("n1");
     let mut now = S;
     for _ in 0..20 {
-        now = pace.lost(now);
+        now = pace.failed(now);
     }
-    assert_eq!(pace.state(), State::BackingOff(20));
-    let gap = pace.lost(now) - now;
+    assert_eq!(pace.state(), PacerState::BackingOff(20));
+    let gap = pace.failed(now) - now;
     assert!(gap >= ms(2800) && gap <= ms(4000), "{gap:?}");
-    let next = pace.taken(now, now) - now;
+    let next = pace.succeeded(now, now) - now;
     assert!(next >= ms(700) && next <= ms(1700), "{next:?}");
-    assert_eq!(pace.state(), State::Steady);
-    assert!(pace.lost(now) - now <= ms(250));
+    assert_eq!(pace.state(), PacerState::Steady);
+    assert!(pace.failed(now) - now <= ms(250));
 }
 
 /// What may happen to a try.
@@ -92,7 +101,7 @@
                     now += ms(u64::from(took));
                     let gap = S.mul_f64(stretch);
                     (
-                        pace.taken(now, begun),
+                        pace.succeeded(now, begun),
                         begun + gap.mul_f64(least).min(S * 12 / 5),
                         (begun + gap.mul_f64(most)).max(now),
                     )
@@ -101,17 +110,17 @@
                     steady = false;
                     failed += 1;
                     let span = S.mul_f64((0.25 * 2f64.powi(failed.min(16) as i32 - 1)).min(4.0));
-                    (pace.lost(now), now + span.mul_f64(0.699), now + span)
+                    (pace.failed(now), now + span.mul_f64(0.699), now + span)
                 }
-                Came::Refused(back_in) => {
+                Came::Refused(retry_after) => {
                     steady = false;
                     (failed, stretch) = (failed + 1, (stretch * 3.0).min(2.4));
                     let span = S.mul_f64((0.25 * 2f64.powi(failed.min(16) as i32 - 1)).min(4.0));
-                    let told = back_in.map(|ms| Duration::from_millis(u64::from(ms)).min(S * 60));
+                    let told = retry_after.map(|ms| Duration::from_millis(u64::from(ms)).min(S * 60));
                     let most = span.max(told.unwrap_or_default().mul_f64(3.0));
                     let least = span.mul_f64(0.699).max(told.unwrap_or_default());
                     (
-                        pace.refused(now, back_in.map(|ms| Duration::from_millis(u64::from(ms)))),
+                        pace.rejected(now, retry_after.map(|ms| Duration::from_millis(u64::from(ms)))),
                         now + least,
                         now + most,
                     )
@@ -129,7 +138,7 @@
 
 /// So many servers and one service that can do so many a second, refuses the rest, or is gone for a while.
 struct World {
-    paces: Vec<Pace>,
+    paces: Vec<RetryPacer>,
     /// By second and by tenth: tries.
     seconds: BTreeMap<u64, u32>,
     tenths: BTreeMap<u64, u32>,
@@ -142,7 +151,7 @@
 
 /// Plays so many seconds of `servers` that start together; `capacity` by second, none while it is gone.
 fn world(servers: usize, seconds: u64, capacity: impl Fn(u64) -> Option<f64>) -> World {
-    let paces: Vec<Pace> = (0..servers).map(|n| pace(&format!("n{n}"))).collect();
+    let paces: Vec<RetryPacer> = (0..servers).map(|n| pace(&format!("n{n}"))).collect();
     let mut w = World {
         paces,
         seconds: BTreeMap::new(),
@@ -161,10 +170,10 @@
         *w.seconds.entry(now.as_secs()).or_default() += 1;
         *w.tenths.entry(now.as_millis() as u64 / 100).or_default() += 1;
         let next = match capacity(now.as_secs()) {
-            None => w.paces[n].lost(now),
+            None => w.paces[n].failed(now),
             Some(_) if busy.saturating_sub(now) > ms(500) => {
                 w.refused += 1;
-                w.paces[n].refused(now, Some(S))
+                w.paces[n].rejected(now, Some(S))
             }
             Some(rate) => {
                 busy = busy.max(now) + S.div_f64(rate);
@@ -173,7 +182,7 @@
                     w.lapsed.insert(n);
                 }
                 w.last[n] = Some(now);
-                w.paces[n].taken(busy, now)
+                w.paces[n].succeeded(busy, now)
             }
         };
         due.insert((next, n));
--- a/crates/aldercrank-wire/src/http.rs
+++ b/crates/aldercrank-protocol/src/http.rs
@@ -8,27 +8,27 @@
 const BODY: usize = 64 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reply {
+pub struct Response {
     pub status: u16,
     /// Marked as turned away unexamined.
     pub shed: bool,
     /// When to come back, where it says so in whole seconds; a date, or nonsense, says nothing.
-    pub back_in: Option<std::time::Duration>,
+    pub retry_after: Option<std::time::Duration>,
     pub body: Range<usize>,
 }
 
 /// Reads one answer, however it is cut: a head that has been read is not read again.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct ResponseReader {
     /// Where the answer's own head begins, behind the words in between.
     at: usize,
-    head: Option<Reply>,
+    head: Option<Response>,
 }
 
-impl Reader {
+impl ResponseReader {
     /// `buf` holds all that has come so far: nothing while the answer is not whole, an error where it can't be
     /// read. What stands behind it is nobody's.
-    pub fn read(&mut self, buf: &[u8]) -> Result<Option<Reply>, &'static str> {
+    pub fn read(&mut self, buf: &[u8]) -> Result<Option<Response>, &'static str> {
         while self.head.is_none() {
             let Some((length, reply)) = head(&buf[self.at..])? else {
                 // Words in between without end are a head without end.
@@ -38,7 +38,7 @@
             if self.at > HEAD {
                 return Err("a head over the limit");
             }
-            let own = |r: Reply| Reply { body: self.at..self.at + r.body.len(), ..r };
+            let own = |r: Response| Response { body: self.at..self.at + r.body.len(), ..r };
             self.head = reply.map(own);
         }
         Ok(self.head.clone().filter(|reply| reply.body.end <= buf.len()))
@@ -46,7 +46,7 @@
 }
 
 /// A head's length and what it says; without the latter it is a word in between, and the answer follows.
-fn head(buf: &[u8]) -> Result<Option<(usize, Option<Reply>)>, &'static str> {
+fn head(buf: &[u8]) -> Result<Option<(usize, Option<Response>)>, &'static str> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut answer = httparse::Response::new(&mut headers);
     let head = match answer.parse(buf) {
@@ -73,9 +73,9 @@
         None => return Err("a body of no length"),
     };
     let shed = fields("x-shed").any(|v| v == b"1");
-    let back_in =
+    let retry_after =
         fields("retry-after").next().and_then(number).map(|s| std::time::Duration::from_secs(s as u64));
-    Ok(Some((head, Some(Reply { status, shed, back_in, body: 0..length }))))
+    Ok(Some((head, Some(Response { status, shed, retry_after, body: 0..length }))))
 }
 
 /// Digits alone: no sign, no list.
@@ -86,7 +86,7 @@
 
 /// A question, as the other end hears it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct Request {
     /// The whole question's length.
     pub length: usize,
     pub method: String,
@@ -101,7 +101,7 @@
 }
 
 /// Reads one question off the front: nothing while it is not whole.
-pub fn question(buf: &[u8]) -> Result<Option<Question>, &'static str> {
+pub fn read_request(buf: &[u8]) -> Result<Option<Request>, &'static str> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut asked = httparse::Request::new(&mut headers);
     let head = match asked.parse(buf) {
@@ -123,7 +123,7 @@
     }
     let words = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let secs = std::time::Duration::from_secs;
-    Ok(Some(Question {
+    Ok(Some(Request {
         length: head + length,
         method: asked.method.unwrap_or_default().to_string(),
         path: asked.path.unwrap_or_default().to_string(),
@@ -135,12 +135,12 @@
     }))
 }
 
-/// Says an answer. `shed` marks it as turned away unexamined; `back_in` says when to come again.
-pub fn answer(
+/// Says an answer. `shed` marks it as turned away unexamined; `retry_after` says when to come again.
+pub fn write_response(
     into: &mut Vec<u8>,
     status: u16,
     shed: bool,
-    back_in: Option<std::time::Duration>,
+    retry_after: Option<std::time::Duration>,
     body: &[u8],
 ) {
     use std::io::Write;
@@ -148,7 +148,7 @@
     if shed {
         let _ = write!(into, "X-Shed: 1\r\n");
     }
-    if let Some(span) = back_in {
+    if let Some(span) = retry_after {
         let _ = write!(into, "Retry-After: {}\r\n", span.as_secs());
     }
     let _ = write!(into, "Content-Length: {}\r\n\r\n", body.len());
--- a/crates/aldercrank-wire/src/index.rs
+++ b/crates/aldercrank-protocol/src/index.rs
@@ -1,15 +1,15 @@
 //! Calls to the index, apart from sockets: what is asked, and what each answer proves.
 
-use crate::http::Reply;
-use crate::pool::Rid;
+use crate::http::Response;
+use crate::worker_pool::AttemptId;
 use aldercrank::Outcome;
 use std::time::Duration;
 
-pub fn request(host: &str, rid: Rid, give_up: Duration, body: &[u8]) -> Vec<u8> {
-    let budget = give_up.as_millis().max(1);
+pub fn write_call(host: &str, attempt: AttemptId, timeout: Duration, body: &[u8]) -> Vec<u8> {
+    let budget = timeout.as_millis().max(1);
     let length = body.len();
     let mut bytes = format!(
-        "POST /lookup HTTP/1.1\r\nHost: {host}\r\nX-Parent-Id: {rid}\r\nX-Budget-Ms: {budget}\r\n\
+        "POST /lookup HTTP/1.1\r\nHost: {host}\r\nX-Parent-Id: {attempt}\r\nX-Budget-Ms: {budget}\r\n\
          Content-Length: {length}\r\n\r\n"
     )
     .into_bytes();
@@ -18,11 +18,11 @@
 }
 
 /// Only what is marked as shed proves that the call never ran.
-pub fn outcome(reply: &Reply) -> Outcome {
+pub fn call_outcome(reply: &Response) -> Outcome {
     match reply.status {
         200 => Outcome::Completed,
-        503 | 409 if reply.shed => Outcome::Saturated,
-        504 => Outcome::Overdue,
-        _ => Outcome::Errored,
+        503 | 409 if reply.shed => Outcome::Rejected,
+        504 => Outcome::TimedOut,
+        _ => Outcome::Failed,
     }
 }
--- a/crates/aldercrank-wire/src/pool.rs
+++ b/crates/aldercrank-protocol/src/worker_pool.rs
@@ -1,4 +1,4 @@
-//! The worker pool's lines, apart from sockets: one method of `Pool` for each thing that it says.
+//! The worker pool's lines, apart from sockets: one method of `EventHandler` for each thing that it says.
 
 use aldercrank::Outcome;
 use std::io::Write;
@@ -6,28 +6,28 @@
 
 /// The longest line, and the longest bytes after one, that are taken.
 const LINE: usize = 16 * 1024;
-pub const BYTES: usize = 256 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
 /// Words of a line that are looked at.
 const WORDS: usize = 16;
 
 /// A txn's id as the edge and the worker pool write it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Rid([u8; 16]);
+pub struct AttemptId([u8; 16]);
 
-impl Rid {
-    pub fn new(text: &str) -> Option<Rid> {
+impl AttemptId {
+    pub fn new(text: &str) -> Option<AttemptId> {
         let bytes: [u8; 16] = text.as_bytes().try_into().ok()?;
-        bytes.iter().all(u8::is_ascii_hexdigit).then_some(Rid(bytes))
+        bytes.iter().all(u8::is_ascii_hexdigit).then_some(AttemptId(bytes))
     }
 }
 
-impl std::fmt::Display for Rid {
+impl std::fmt::Display for AttemptId {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(std::str::from_utf8(&self.0).unwrap_or_default())
     }
 }
 
-impl std::fmt::Debug for Rid {
+impl std::fmt::Debug for AttemptId {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "{self}")
     }
@@ -35,30 +35,37 @@
 
 /// The number of something that the pool has told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Notice(pub u64);
+pub struct NoticeNumber(pub u64);
 
-pub trait Pool {
+pub trait EventHandler {
     fn bound(&mut self, cold: bool, age: Duration);
     /// Notices count up; each of these three carries its number.
-    fn finished(&mut self, notice: Notice, rid: Rid, how: Outcome, took: Duration, result: &[u8]);
-    fn blocked(&mut self, notice: Notice, rid: Rid, body: &[u8]);
-    fn chatter(&mut self, notice: Notice);
-    fn polled(&mut self, tag: u64, gauges: &[f64]);
-    fn unknown(&mut self, command: &str, id: &str);
-    fn nonsense(&mut self, line: &str);
+    fn run_finished(
+        &mut self,
+        notice: NoticeNumber,
+        attempt: AttemptId,
+        how: Outcome,
+        took: Duration,
+        result: &[u8],
+    );
+    fn run_blocked(&mut self, notice: NoticeNumber, attempt: AttemptId, body: &[u8]);
+    fn other_notice(&mut self, notice: NoticeNumber);
+    fn metrics_reported(&mut self, tag: u64, gauges: &[f64]);
+    fn unknown_attempt(&mut self, command: &str, id: &str);
+    fn malformed_line(&mut self, line: &str);
 }
 
 /// Reads what comes, however it is cut.
-pub struct Reader {
+pub struct EventReader {
     /// In a line that is too long to be kept.
     skipping: bool,
     /// The longest bytes after a line.
     most: usize,
 }
 
-impl Default for Reader {
+impl Default for EventReader {
     fn default() -> Self {
-        Reader::at_most(BYTES)
+        EventReader::at_most(MAX_PAYLOAD_BYTES)
     }
 }
 
@@ -75,9 +82,9 @@
     words.next_back().filter(|_| carries).and_then(|w| w.parse().ok())
 }
 
-impl Reader {
-    pub fn at_most(most: usize) -> Reader {
-        Reader { skipping: false, most }
+impl EventReader {
+    pub fn at_most(most: usize) -> EventReader {
+        EventReader { skipping: false, most }
     }
 
     /// How long the message at the front will be once it is whole, where that is known.
@@ -87,7 +94,7 @@
     }
 
     /// Reads one message off the front. Gives its length, or nothing while it is not whole.
-    pub fn read(&mut self, buf: &[u8], pool: &mut impl Pool) -> Option<usize> {
+    pub fn read(&mut self, buf: &[u8], pool: &mut impl EventHandler) -> Option<usize> {
         let Some(end) = memchr::memmem::find(buf, b"\r\n") else {
             if buf.len() <= LINE {
                 return None;
@@ -97,7 +104,7 @@
             return Some(buf.len() - 1);
         };
         if std::mem::take(&mut self.skipping) || end > LINE {
-            pool.nonsense("a line over the limit");
+            pool.malformed_line("a line over the limit");
             return Some(end + 2);
         }
         let line = String::from_utf8_lossy(&buf[..end]);
@@ -111,13 +118,13 @@
             None => &[],
         };
         if say(words, length.map(|_| after), pool).is_none() {
-            pool.nonsense(&line.chars().take(80).collect::<String>());
+            pool.malformed_line(&line.chars().take(80).collect::<String>());
         }
         Some(end + 2 + length.map_or(0, |n| n + 2))
     }
 }
 
-fn say(words: &[&str], after: Option<&[u8]>, pool: &mut impl Pool) -> Option<()> {
+fn say(words: &[&str], after: Option<&[u8]>, pool: &mut impl EventHandler) -> Option<()> {
     match words {
         ["bound", state, age, ..] => {
             pool.bound(*state == "cold", span(age)?);
@@ -125,28 +132,28 @@
         ["finished", n, id, end, took, _] => {
             let how = match *end {
                 "ok" => Outcome::Completed,
-                "halted" => Outcome::Recalled,
-                "void" => Outcome::Superseded,
-                _ => Outcome::Errored,
+                "halted" => Outcome::Cancelled,
+                "void" => Outcome::NeverStarted,
+                _ => Outcome::Failed,
             };
-            pool.finished(notice(n)?, Rid::new(id)?, how, span(took)?, after?);
+            pool.run_finished(notice(n)?, AttemptId::new(id)?, how, span(took)?, after?);
         }
-        ["blocked", n, id, _] => pool.blocked(notice(n)?, Rid::new(id)?, after?),
+        ["blocked", n, id, _] => pool.run_blocked(notice(n)?, AttemptId::new(id)?, after?),
         ["polled", tag, gauges @ ..] => {
             let mut values = [0.0; WORDS];
             values.iter_mut().zip(gauges.iter()).for_each(|(to, g)| *to = g.parse().unwrap_or_default());
-            pool.polled(tag.parse().ok()?, &values[..gauges.len()]);
+            pool.metrics_reported(tag.parse().ok()?, &values[..gauges.len()]);
         }
-        ["unknown", command, id, ..] => pool.unknown(command, id),
-        ["unknown", command] => pool.unknown(command, ""),
-        ["chatter", n, ..] => pool.chatter(notice(n)?),
+        ["unknown", command, id, ..] => pool.unknown_attempt(command, id),
+        ["unknown", command] => pool.unknown_attempt(command, ""),
+        ["chatter", n, ..] => pool.other_notice(notice(n)?),
         _ => return None,
     }
     Some(())
 }
 
-fn notice(text: &str) -> Option<Notice> {
-    text.parse().ok().map(Notice)
+fn notice(text: &str) -> Option<NoticeNumber> {
+    text.parse().ok().map(NoticeNumber)
 }
 
 /// Milliseconds, with or without a fraction.
@@ -155,52 +162,52 @@
     Duration::try_from_secs_f64(ms / 1e3).ok()
 }
 
-pub fn bind(into: &mut Vec<u8>, last: Notice) {
+pub fn write_bind(into: &mut Vec<u8>, last: NoticeNumber) {
     let _ = write!(into, "bind {}\r\n", last.0);
 }
 
 /// The line of a spawn; its body follows, and then `after`.
-pub fn spawn(into: &mut Vec<u8>, rid: Rid, product: &str, length: usize) {
-    let _ = write!(into, "spawn {rid} {product} {length}\r\n");
+pub fn write_start_run(into: &mut Vec<u8>, attempt: AttemptId, class: &str, length: usize) {
+    let _ = write!(into, "spawn {attempt} {class} {length}\r\n");
 }
 
 /// What stands behind bytes.
-pub fn after(into: &mut Vec<u8>) {
+pub fn write_payload_end(into: &mut Vec<u8>) {
     into.extend_from_slice(b"\r\n");
 }
 
-pub fn suspend(into: &mut Vec<u8>, rid: Rid) {
-    let _ = write!(into, "suspend {rid}\r\n");
+pub fn write_stop_run(into: &mut Vec<u8>, attempt: AttemptId) {
+    let _ = write!(into, "suspend {attempt}\r\n");
 }
 
-pub fn supply(into: &mut Vec<u8>, rid: Rid, reply: &[u8]) {
-    let _ = write!(into, "supply {rid} {}\r\n", reply.len());
+pub fn write_call_result(into: &mut Vec<u8>, attempt: AttemptId, reply: &[u8]) {
+    let _ = write!(into, "supply {attempt} {}\r\n", reply.len());
     into.extend(reply);
     into.extend(b"\r\n");
 }
 
-pub fn pass(into: &mut Vec<u8>, rid: Rid, notice: Notice) {
-    let _ = write!(into, "pass {rid} {}\r\n", notice.0);
+pub fn write_skip_call(into: &mut Vec<u8>, attempt: AttemptId, notice: NoticeNumber) {
+    let _ = write!(into, "pass {attempt} {}\r\n", notice.0);
 }
 
-pub fn poll(into: &mut Vec<u8>, tag: u64) {
+pub fn write_metrics_request(into: &mut Vec<u8>, tag: u64) {
     let _ = write!(into, "poll {tag}\r\n");
 }
 
 /// The other end: the worker pool is told what to do, one method for each command.
-pub trait Backend {
+pub trait CommandHandler {
     /// The last notice that was read; all that came after it follow.
-    fn bind(&mut self, last: Notice);
-    fn spawn(&mut self, rid: Rid, product: &str, body: &[u8]);
-    fn suspend(&mut self, rid: Rid);
-    fn supply(&mut self, rid: Rid, reply: &[u8]);
-    fn pass(&mut self, rid: Rid, notice: Notice);
-    fn poll(&mut self, tag: &str);
+    fn bind(&mut self, last: NoticeNumber);
+    fn start_run(&mut self, attempt: AttemptId, class: &str, body: &[u8]);
+    fn stop_run(&mut self, attempt: AttemptId);
+    fn deliver_call_result(&mut self, attempt: AttemptId, reply: &[u8]);
+    fn skip_call(&mut self, attempt: AttemptId, notice: NoticeNumber);
+    fn report_metrics(&mut self, tag: &str);
 }
 
 /// Reads one command off the front. Gives its length, or nothing while it is not whole; what is no command is
 /// an error, at which the pool closes the link.
-pub fn command(buf: &[u8], backend: &mut impl Backend) -> Result<Option<usize>, &'static str> {
+pub fn read_command(buf: &[u8], backend: &mut impl CommandHandler) -> Result<Option<usize>, &'static str> {
     let Some(end) = memchr::memmem::find(buf, b"\r\n") else {
         return if buf.len() <= LINE { Ok(None) } else { Err("a line over the limit") };
     };
@@ -209,9 +216,13 @@
     let n = words(line, &mut all);
     let words = &all[..n];
     let length = match words {
-        ["spawn", _, _, length] | ["supply", _, length] => {
-            Some(length.parse::<usize>().ok().filter(|n| *n <= BYTES).ok_or("a length that makes no sense")?)
-        }
+        ["spawn", _, _, length] | ["supply", _, length] => Some(
+            length
+                .parse::<usize>()
+                .ok()
+                .filter(|n| *n <= MAX_PAYLOAD_BYTES)
+                .ok_or("a length that makes no sense")?,
+        ),
         _ => None,
     };
     let whole = end + 2 + length.map_or(0, |n| n + 2);
@@ -219,14 +230,16 @@
         return Ok(None);
     }
     let bytes = length.map_or(&[][..], |n| &buf[end + 2..end + 2 + n]);
-    let id = |text: &str| Rid::new(text).ok_or("an id that is none");
+    let id = |text: &str| AttemptId::new(text).ok_or("an id that is none");
     match words {
         ["bind", last] => backend.bind(notice(last).ok_or("a notice without a number")?),
-        ["spawn", rid, product, _] => backend.spawn(id(rid)?, product, bytes),
-        ["suspend", rid] => backend.suspend(id(rid)?),
-        ["supply", rid, _] => backend.supply(id(rid)?, bytes),
-        ["pass", rid, at] => backend.pass(id(rid)?, notice(at).ok_or("a notice without a number")?),
-        ["poll", tag] => backend.poll(tag),
+        ["spawn", attempt, class, _] => backend.start_run(id(attempt)?, class, bytes),
+        ["suspend", attempt] => backend.stop_run(id(attempt)?),
+        ["supply", attempt, _] => backend.deliver_call_result(id(attempt)?, bytes),
+        ["pass", attempt, at] => {
+            backend.skip_call(id(attempt)?, notice(at).ok_or("a notice without a number")?)
+        }
+        ["poll", tag] => backend.report_metrics(tag),
         _ => return Err("a word that is no command"),
     }
     Ok(Some(whole))
@@ -236,7 +249,7 @@
     span.as_secs_f64() * 1e3
 }
 
-pub fn bound(into: &mut Vec<u8>, cold: bool, age: Duration) {
+pub fn write_bound(into: &mut Vec<u8>, cold: bool, age: Duration) {
     let _ = write!(into, "bound {} {:.3}\r\n", if cold { "cold" } else { "warm" }, ms(age));
 }
 
@@ -250,32 +263,39 @@
     Void,
 }
 
-pub fn finished(into: &mut Vec<u8>, at: Notice, rid: Rid, end: RunEnd, took: Duration, result: &[u8]) {
+pub fn write_run_finished(
+    into: &mut Vec<u8>,
+    at: NoticeNumber,
+    attempt: AttemptId,
+    end: RunEnd,
+    took: Duration,
+    result: &[u8],
+) {
     let word = match end {
         RunEnd::Ok => "ok",
         RunEnd::Failed => "failed",
         RunEnd::Halted => "halted",
         RunEnd::Void => "void",
     };
-    let _ = write!(into, "finished {} {rid} {word} {:.3} {}\r\n", at.0, ms(took), result.len());
+    let _ = write!(into, "finished {} {attempt} {word} {:.3} {}\r\n", at.0, ms(took), result.len());
     into.extend(result);
-    after(into);
+    write_payload_end(into);
 }
 
-pub fn blocked(into: &mut Vec<u8>, at: Notice, rid: Rid, body: &[u8]) {
-    let _ = write!(into, "blocked {} {rid} {}\r\n", at.0, body.len());
+pub fn write_run_blocked(into: &mut Vec<u8>, at: NoticeNumber, attempt: AttemptId, body: &[u8]) {
+    let _ = write!(into, "blocked {} {attempt} {}\r\n", at.0, body.len());
     into.extend(body);
-    after(into);
+    write_payload_end(into);
 }
 
-pub fn polled(into: &mut Vec<u8>, tag: &str, gauges: &[f64]) {
+pub fn write_metrics(into: &mut Vec<u8>, tag: &str, gauges: &[f64]) {
     let _ = write!(into, "polled {tag}");
     for gauge in gauges {
         let _ = write!(into, " {gauge:.4}");
     }
-    after(into);
+    write_payload_end(into);
 }
 
-pub fn unknown(into: &mut Vec<u8>, command: &str, rid: Rid) {
-    let _ = write!(into, "unknown {command} {rid}\r\n");
+pub fn write_unknown_attempt(into: &mut Vec<u8>, command: &str, attempt: AttemptId) {
+    let _ = write!(into, "unknown {command} {attempt}\r\n");
 }
--- a/crates/aldercrank-wire/tests/golden/edge_answers.rs
+++ b/crates/aldercrank-protocol/tests/golden/edge_answers.rs
@@ -1,7 +1,7 @@
 //! What servers send to edge nodes: the bytes that we write, and what an edge node reads, in other forms as well.
 
 use crate::text::{escaped, filler, hex, Cases};
-use aldercrank_wire::msgpack::{self, Beside, CallNo, Caller, With};
+use aldercrank_protocol::msgpack_rpc::{self, MessageId, ReceivedFields, ResponseFields, ResponseHandler};
 use std::time::Duration;
 
 /// The longest answer that the reading edge node takes.
@@ -11,28 +11,28 @@
 #[derive(Default)]
 struct EdgeReads(Vec<String>);
 
-fn beside(with: With) -> String {
-    let With { hint, back_in, last, rules } = with;
-    format!("hint={hint:?} backoff={back_in:?} final={last} rules={rules:?}")
+fn beside(with: ReceivedFields) -> String {
+    let ReceivedFields { hint, retry_after, last, rules } = with;
+    format!("hint={hint:?} backoff={retry_after:?} final={last} rules={rules:?}")
 }
 
-impl Caller for EdgeReads {
-    fn settled(&mut self, call: CallNo, result: &[u8], with: With) {
+impl ResponseHandler for EdgeReads {
+    fn completed(&mut self, call: MessageId, result: &[u8], with: ReceivedFields) {
         self.0.push(format!("result of {}: {:?} {}", call.0, escaped(result), beside(with)));
     }
-    fn declined(&mut self, call: CallNo, with: With) {
+    fn rejected(&mut self, call: MessageId, with: ReceivedFields) {
         self.0.push(format!("error of {}: Overloaded {}", call.0, beside(with)));
     }
-    fn voided(&mut self, call: CallNo, why: &str, with: With) {
+    fn failed(&mut self, call: MessageId, why: &str, with: ReceivedFields) {
         self.0.push(format!("error of {}: other {why:?} {}", call.0, beside(with)));
     }
-    fn checked(&mut self, call: CallNo, good: bool, with: With) {
+    fn health_reported(&mut self, call: MessageId, good: bool, with: ReceivedFields) {
         self.0.push(format!("health check {}: {good} {}", call.0, beside(with)));
     }
     fn closing(&mut self) {
         self.0.push("closing".to_string());
     }
-    fn news(&mut self, body: &[u8]) {
+    fn notified(&mut self, body: &[u8]) {
         self.0.push(format!("notification about rules: {:?}", escaped(body)));
     }
 }
@@ -40,7 +40,7 @@
 fn read_all(bytes: &[u8]) -> Vec<String> {
     let (mut reads, mut at) = (EdgeReads::default(), 0);
     loop {
-        match msgpack::answer(&bytes[at..], MOST, &mut reads) {
+        match msgpack_rpc::read_response(&bytes[at..], MOST, &mut reads) {
             Ok(Some(length)) => {
                 at += length;
                 reads.0.push(format!("{length} bytes taken"));
@@ -60,7 +60,8 @@
 
 /// One case of what a server sends.
 fn sent_by_server(cases: &mut Cases, title: &str, bytes: &[u8]) {
-    let nothing = |n: &usize| msgpack::answer(&bytes[..*n], MOST, &mut EdgeReads::default()) == Ok(None);
+    let nothing =
+        |n: &usize| msgpack_rpc::read_response(&bytes[..*n], MOST, &mut EdgeReads::default()) == Ok(None);
     let decided = (0..=bytes.len()).find(|n| !nothing(n));
     let mut meaning = read_all(bytes);
     match decided {
@@ -76,23 +77,23 @@
     bytes
 }
 
-fn result(call: u32, result: &[u8], beside: Beside) -> Vec<u8> {
+fn result(call: u32, result: &[u8], beside: ResponseFields) -> Vec<u8> {
     written(|into| {
-        msgpack::settled(into, CallNo(call), result.len());
+        msgpack_rpc::write_completed(into, MessageId(call), result.len());
         into.extend(result);
-        msgpack::settled_end(into, beside);
+        msgpack_rpc::write_completed_end(into, beside);
     })
 }
 
-const NOTHING: Beside = Beside { hint: None, rules: None };
-const BOTH: Beside = Beside { hint: Some("0.35"), rules: Some(u64::MAX) };
+const NOTHING: ResponseFields = ResponseFields { hint: None, rules: None };
+const BOTH: ResponseFields = ResponseFields { hint: Some("0.35"), rules: Some(u64::MAX) };
 
 fn write_results(cases: &mut Cases) {
     sent_by_server(cases, "an empty result", &result(0, b"", NOTHING));
     sent_by_server(cases, "a result with all that may go along", &result(1, b"done\x00\xff", BOTH));
-    let hint = Beside { hint: Some("12"), rules: None };
+    let hint = ResponseFields { hint: Some("12"), rules: None };
     sent_by_server(cases, "a result with a hint", &result(2, b"d", hint));
-    let rules = Beside { hint: None, rules: Some(0) };
+    let rules = ResponseFields { hint: None, rules: Some(0) };
     sent_by_server(cases, "a result with a version of the rules", &result(3, b"d", rules));
     for number in [127, 128, 255, 256, 65_535, 65_536, u32::MAX] {
         sent_by_server(cases, &format!("a result of call {number}"), &result(number, b"d", NOTHING));
@@ -107,38 +108,47 @@
     let micros = Duration::from_micros;
     let spans = [None, Some(0), Some(1), Some(1_000), Some(1_001), Some(250_000), Some(3_600_000_000)];
     for span in spans {
-        let bytes = written(|b| msgpack::declined(b, CallNo(5), NOTHING, span.map(micros), false));
+        let bytes =
+            written(|b| msgpack_rpc::write_rejected(b, MessageId(5), NOTHING, span.map(micros), false));
         sent_by_server(cases, &format!("a rejection with backoff {span:?} us"), &bytes);
     }
-    let bytes = written(|b| msgpack::declined(b, CallNo(6), NOTHING, None, true));
+    let bytes = written(|b| msgpack_rpc::write_rejected(b, MessageId(6), NOTHING, None, true));
     sent_by_server(cases, "a rejection that is final", &bytes);
-    let bytes = written(|b| msgpack::declined(b, CallNo(7), BOTH, Some(micros(1_500)), true));
+    let bytes = written(|b| msgpack_rpc::write_rejected(b, MessageId(7), BOTH, Some(micros(1_500)), true));
     sent_by_server(cases, "a rejection with all that may go along", &bytes);
-    let bytes = written(|b| msgpack::voided(b, CallNo(8), NOTHING));
+    let bytes = written(|b| msgpack_rpc::write_failed(b, MessageId(8), NOTHING));
     sent_by_server(cases, "a failure", &bytes);
-    let bytes = written(|b| msgpack::voided(b, CallNo(9), BOTH));
+    let bytes = written(|b| msgpack_rpc::write_failed(b, MessageId(9), BOTH));
     sent_by_server(cases, "a failure with all that may go along", &bytes);
 }
 
 fn write_others(cases: &mut Cases) {
     for good in [true, false] {
-        let bytes = written(|b| msgpack::check(b, CallNo(10), good, NOTHING));
+        let bytes = written(|b| msgpack_rpc::write_health(b, MessageId(10), good, NOTHING));
         sent_by_server(cases, &format!("a health check answered with {good}"), &bytes);
-        let bytes = written(|b| msgpack::check(b, CallNo(11), good, BOTH));
+        let bytes = written(|b| msgpack_rpc::write_health(b, MessageId(11), good, BOTH));
         sent_by_server(
             cases,
             &format!("a health check answered with {good}, and all that may go along"),
             &bytes,
         );
     }
-    let closing = written(msgpack::closing);
+    let closing = written(msgpack_rpc::write_closing);
     sent_by_server(cases, "closing", &closing);
-    sent_by_server(cases, "a notification about rules", &written(|b| msgpack::news(b, b"a body")));
-    sent_by_server(cases, "a notification about rules, empty", &written(|b| msgpack::news(b, b"")));
+    sent_by_server(
+        cases,
+        "a notification about rules",
+        &written(|b| msgpack_rpc::write_notification(b, b"a body")),
+    );
+    sent_by_server(
+        cases,
+        "a notification about rules, empty",
+        &written(|b| msgpack_rpc::write_notification(b, b"")),
+    );
     sent_by_server(
         cases,
         "a notification about rules, 300 bytes",
-        &written(|b| msgpack::news(b, &filler(300))),
+        &written(|b| msgpack_rpc::write_notification(b, &filler(300))),
     );
     let several = [result(12, b"d", BOTH), closing, result(13, b"e", NOTHING)].concat();
     sent_by_server(cases, "three messages in one buffer", &several);
--- a/crates/aldercrank-wire/tests/golden/edge_calls.rs
+++ b/crates/aldercrank-protocol/tests/golden/edge_calls.rs
@@ -1,29 +1,29 @@
 //! What edge nodes send: the bytes that we write for them, and what a server reads.
 
 use crate::text::{escaped, hex, Cases};
-use aldercrank_wire::msgpack::{self, CallNo, Edge, Fields};
+use aldercrank_protocol::msgpack_rpc::{self, Edge, MessageId, RequestFields};
 
 /// The lines of what a server reads.
 #[derive(Default)]
 struct ServerReads(Vec<String>);
 
 impl Edge for ServerReads {
-    fn asked(&mut self, call: CallNo, method: &str, fields: &Fields, body: &[u8]) {
-        let Fields { rid, t0, peer, budget, mem, prio, token, obj } = fields;
+    fn request(&mut self, call: MessageId, method: &str, fields: &RequestFields, body: &[u8]) {
+        let RequestFields { attempt, t0, peer, budget, mem, prio, token, obj } = fields;
         self.0.push(format!("call {} method {method:?} body {:?}", call.0, escaped(body)));
-        self.0.push(format!("fields rid={rid:?} t0={t0:?} peer={peer:?} budget={budget:?}"));
+        self.0.push(format!("fields rid={attempt:?} t0={t0:?} peer={peer:?} budget={budget:?}"));
         self.0.push(format!("fields mem={mem:?} prio={prio:?} token={token:?} obj={obj:?}"));
     }
-    fn checked(&mut self, call: CallNo) {
+    fn health_check(&mut self, call: MessageId) {
         self.0.push(format!("health check {}", call.0));
     }
-    fn interrupted(&mut self, call: CallNo) {
+    fn cancel(&mut self, call: MessageId) {
         self.0.push(format!("interrupt {}", call.0));
     }
-    fn senseless(&mut self, call: CallNo, why: &'static str) {
+    fn invalid_request(&mut self, call: MessageId, why: &'static str) {
         self.0.push(format!("call {} is refused: {why}", call.0));
     }
-    fn ignored(&mut self, why: &'static str) {
+    fn unknown_notification(&mut self, why: &'static str) {
         self.0.push(format!("passed over: {why}"));
     }
 }
@@ -32,7 +32,7 @@
 fn read_all(bytes: &[u8]) -> Vec<String> {
     let (mut reads, mut at) = (ServerReads::default(), 0);
     loop {
-        match msgpack::read(&bytes[at..], &mut reads) {
+        match msgpack_rpc::read_request(&bytes[at..], &mut reads) {
             Ok(Some(length)) => {
                 at += length;
                 reads.0.push(format!("{length} bytes taken"));
@@ -52,7 +52,8 @@
 
 /// The fewest bytes from which the reader says anything but that more are needed.
 fn decided_at(bytes: &[u8]) -> Option<usize> {
-    let nothing = |n: &usize| msgpack::read(&bytes[..*n], &mut ServerReads::default()) == Ok(None);
+    let nothing =
+        |n: &usize| msgpack_rpc::read_request(&bytes[..*n], &mut ServerReads::default()) == Ok(None);
     (0..=bytes.len()).find(|n| !nothing(n))
 }
 
@@ -66,9 +67,9 @@
     cases.case(title, &hex(bytes), &meaning);
 }
 
-fn all_fields() -> Fields<'static> {
-    Fields {
-        rid: Some("0123456789abcdef"),
+fn all_fields() -> RequestFields<'static> {
+    RequestFields {
+        attempt: Some("0123456789abcdef"),
         t0: Some(1_700_000_000_123),
         peer: Some(17),
         budget: Some(250),
@@ -79,67 +80,67 @@
     }
 }
 
-fn call(number: u32, method: &str, fields: &Fields, body: &[u8]) -> Vec<u8> {
+fn call(number: u32, method: &str, fields: &RequestFields, body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack::ask(&mut bytes, CallNo(number), method, fields, body);
+    msgpack_rpc::write_request(&mut bytes, MessageId(number), method, fields, body);
     bytes
 }
 
 fn health_check(number: u32) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack::ask_health(&mut bytes, CallNo(number));
+    msgpack_rpc::write_health_check(&mut bytes, MessageId(number));
     bytes
 }
 
 fn interrupt(number: u32) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack::interrupt(&mut bytes, CallNo(number));
+    msgpack_rpc::write_cancel(&mut bytes, MessageId(number));
     bytes
 }
 
 /// Each of the eight fields alone.
-fn single_fields() -> [(&'static str, Fields<'static>); 8] {
-    let none = Fields::default;
+fn single_fields() -> [(&'static str, RequestFields<'static>); 8] {
+    let none = RequestFields::default;
     [
-        ("rid", Fields { rid: Some("0123456789abcdef"), ..none() }),
-        ("t0", Fields { t0: Some(u64::MAX), ..none() }),
-        ("peer", Fields { peer: Some(0), ..none() }),
-        ("budget", Fields { budget: Some(1), ..none() }),
-        ("mem", Fields { mem: Some(0.1), ..none() }),
-        ("prio", Fields { prio: Some(0.123_456), ..none() }),
-        ("token", Fields { token: Some(""), ..none() }),
-        ("obj", Fields { obj: Some("schl\u{fc}ssel"), ..none() }),
+        ("rid", RequestFields { attempt: Some("0123456789abcdef"), ..none() }),
+        ("t0", RequestFields { t0: Some(u64::MAX), ..none() }),
+        ("peer", RequestFields { peer: Some(0), ..none() }),
+        ("budget", RequestFields { budget: Some(1), ..none() }),
+        ("mem", RequestFields { mem: Some(0.1), ..none() }),
+        ("prio", RequestFields { prio: Some(0.123_456), ..none() }),
+        ("token", RequestFields { token: Some(""), ..none() }),
+        ("obj", RequestFields { obj: Some("schl\u{fc}ssel"), ..none() }),
     ]
 }
 
 pub fn write(cases: &mut Cases) {
     cases.section("edge to server, as we write it");
     sent_by_edge(cases, "a call with all fields", &call(1, "look", &all_fields(), b"body\x00\xff"));
-    sent_by_edge(cases, "a call without fields", &call(0, "look", &Fields::default(), b""));
+    sent_by_edge(cases, "a call without fields", &call(0, "look", &RequestFields::default(), b""));
     for (name, fields) in single_fields() {
         sent_by_edge(cases, &format!("a call with {name} alone"), &call(2, "a", &fields, b"."));
     }
     for number in [127, 128, 255, 256, 65_535, 65_536, u32::MAX] {
-        let bytes = call(number, "look", &Fields::default(), b"");
+        let bytes = call(number, "look", &RequestFields::default(), b"");
         sent_by_edge(cases, &format!("a call with number {number}"), &bytes);
     }
     for length in [31, 32, 255, 256] {
         let method = "m".repeat(length);
-        let bytes = call(3, &method, &Fields::default(), b"");
+        let bytes = call(3, &method, &RequestFields::default(), b"");
         sent_by_edge(cases, &format!("a method of {length} letters"), &bytes);
     }
     for length in [255, 256, 2048, 2049] {
-        let bytes = call(4, "look", &Fields::default(), &vec![b'b'; length]);
+        let bytes = call(4, "look", &RequestFields::default(), &vec![b'b'; length]);
         sent_by_edge(cases, &format!("a body of {length} bytes"), &bytes);
     }
-    let about_rules = call(5, msgpack::RULES, &Fields::default(), b"rules text");
+    let about_rules = call(5, msgpack_rpc::CONSENSUS_METHOD, &RequestFields::default(), b"rules text");
     sent_by_edge(cases, "a call about rules", &about_rules);
     sent_by_edge(cases, "a health check", &health_check(6));
     sent_by_edge(cases, "a health check with the highest number", &health_check(u32::MAX));
     sent_by_edge(cases, "an interrupt", &interrupt(7));
     sent_by_edge(cases, "an interrupt of the highest number", &interrupt(u32::MAX));
     let mut notice = Vec::new();
-    msgpack::news(&mut notice, b"rules text");
+    msgpack_rpc::write_notification(&mut notice, b"rules text");
     sent_by_edge(cases, "a notification about rules", &notice);
     let several = [call(8, "look", &all_fields(), b"b"), health_check(9), interrupt(8)].concat();
     sent_by_edge(cases, "three messages in one buffer", &several);
--- a/crates/aldercrank-wire/tests/golden/http.rs
+++ b/crates/aldercrank-protocol/tests/golden/http.rs
@@ -1,22 +1,24 @@
 //! Answers and requests in HTTP: what we write, and what is read in what others write.
 
 use crate::text::{escaped, filler, Cases};
-use aldercrank_wire::http::{self, Question, Reader, Reply};
+use aldercrank_protocol::http::{self, Request, Response, ResponseReader};
 use std::time::Duration;
 
 type Form = (&'static str, &'static str);
 
-pub fn answer_read(bytes: &[u8]) -> Result<Option<Reply>, &'static str> {
-    Reader::default().read(bytes)
+pub fn answer_read(bytes: &[u8]) -> Result<Option<Response>, &'static str> {
+    ResponseReader::default().read(bytes)
 }
 
-fn answer_meaning(bytes: &[u8], read: Result<Option<Reply>, &'static str>) -> String {
+fn answer_meaning(bytes: &[u8], read: Result<Option<Response>, &'static str>) -> String {
     match read {
         Ok(None) => "not whole".to_string(),
         Err(why) => format!("error: {why}"),
-        Ok(Some(Reply { status, shed, back_in, body })) => {
+        Ok(Some(Response { status, shed, retry_after, body })) => {
             let text = escaped(&bytes[body.clone()]);
-            format!("answer status={status} shed={shed} retry-after={back_in:?} body at {body:?}: {text:?}")
+            format!(
+                "answer status={status} shed={shed} retry-after={retry_after:?} body at {body:?}: {text:?}"
+            )
         }
     }
 }
@@ -24,7 +26,7 @@
 /// One case of an answer: read at once, and by a reader that sees it grow byte by byte.
 fn answer(cases: &mut Cases, title: &str, bytes: &[u8]) {
     let mut meaning = vec![answer_meaning(bytes, answer_read(bytes))];
-    let mut reader = Reader::default();
+    let mut reader = ResponseReader::default();
     let grown = (0..=bytes.len()).map(|n| (n, reader.read(&bytes[..n]))).find(|(_, read)| *read != Ok(None));
     meaning.push(match grown {
         Some((n, read)) => format!("decided with {n} of {}: {}", bytes.len(), answer_meaning(bytes, read)),
@@ -35,10 +37,10 @@
 
 /// The lines that say what is read in a request.
 pub fn question_meaning(bytes: &[u8]) -> Vec<String> {
-    match http::question(bytes) {
+    match http::read_request(bytes) {
         Ok(None) => vec!["not whole".to_string()],
         Err(why) => vec![format!("error: {why}")],
-        Ok(Some(Question { length, method, path, have, wait, parent, budget, body })) => vec![
+        Ok(Some(Request { length, method, path, have, wait, parent, budget, body })) => vec![
             format!("request of {length} bytes: {method} {path:?} body {:?}", escaped(&bytes[body])),
             format!("if-none-match={have:?} wait={wait:?} x-parent-id={parent:?} x-budget-ms={budget:?}"),
         ],
@@ -48,7 +50,7 @@
 /// One case of a request.
 pub fn question(cases: &mut Cases, title: &str, bytes: &[u8]) {
     let mut meaning = question_meaning(bytes);
-    let decided = (0..=bytes.len()).find(|n| http::question(&bytes[..*n]) != Ok(None));
+    let decided = (0..=bytes.len()).find(|n| http::read_request(&bytes[..*n]) != Ok(None));
     meaning.push(match decided {
         Some(n) => format!("decided with {n} of {} bytes", bytes.len()),
         None => "never decided".to_string(),
@@ -68,10 +70,10 @@
         (503, true, Some(1_999), b"later"),
         (504, false, Some(86_400_000), b""),
     ];
-    for (status, shed, back_in, body) in answers {
+    for (status, shed, retry_after, body) in answers {
         let mut bytes = Vec::new();
-        http::answer(&mut bytes, status, shed, back_in.map(Duration::from_millis), body);
-        answer(cases, &format!("{status}, shed {shed}, retry after {back_in:?} ms"), &bytes);
+        http::write_response(&mut bytes, status, shed, retry_after.map(Duration::from_millis), body);
+        answer(cases, &format!("{status}, shed {shed}, retry after {retry_after:?} ms"), &bytes);
     }
 }
 
--- a/crates/aldercrank-wire/tests/golden/main.rs
+++ b/crates/aldercrank-protocol/tests/golden/main.rs
@@ -1,5 +1,14 @@
 //! Every byte on the wire, and what each end reads in it, against the golden files in `tests/golden/protocol`.
 
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
 #[path = "../../../../tests/golden/compare.rs"]
 mod compare;
 mod edge_answers;
--- a/crates/aldercrank-wire/tests/golden/worker_commands.rs
+++ b/crates/aldercrank-protocol/tests/golden/worker_commands.rs
@@ -1,29 +1,29 @@
 //! What a server tells its worker pool: the lines that we write, and what the pool reads.
 
 use crate::text::{escaped, filler, Cases};
-use aldercrank_wire::pool::{self, Backend, Notice, Rid};
+use aldercrank_protocol::worker_pool::{self, AttemptId, CommandHandler, NoticeNumber};
 
 /// The lines of what the pool reads.
 #[derive(Default)]
 struct PoolReads(Vec<String>);
 
-impl Backend for PoolReads {
-    fn bind(&mut self, last: Notice) {
+impl CommandHandler for PoolReads {
+    fn bind(&mut self, last: NoticeNumber) {
         self.0.push(format!("bind last={}", last.0));
     }
-    fn spawn(&mut self, rid: Rid, product: &str, body: &[u8]) {
-        self.0.push(format!("spawn rid={rid} class={product:?} body={:?}", escaped(body)));
+    fn start_run(&mut self, attempt: AttemptId, class: &str, body: &[u8]) {
+        self.0.push(format!("spawn rid={attempt} class={class:?} body={:?}", escaped(body)));
     }
-    fn suspend(&mut self, rid: Rid) {
-        self.0.push(format!("suspend rid={rid}"));
+    fn stop_run(&mut self, attempt: AttemptId) {
+        self.0.push(format!("suspend rid={attempt}"));
     }
-    fn supply(&mut self, rid: Rid, reply: &[u8]) {
-        self.0.push(format!("supply rid={rid} reply={:?}", escaped(reply)));
+    fn deliver_call_result(&mut self, attempt: AttemptId, reply: &[u8]) {
+        self.0.push(format!("supply rid={attempt} reply={:?}", escaped(reply)));
     }
-    fn pass(&mut self, rid: Rid, notice: Notice) {
-        self.0.push(format!("pass rid={rid} notice={}", notice.0));
+    fn skip_call(&mut self, attempt: AttemptId, notice: NoticeNumber) {
+        self.0.push(format!("pass rid={attempt} notice={}", notice.0));
     }
-    fn poll(&mut self, tag: &str) {
+    fn report_metrics(&mut self, tag: &str) {
         self.0.push(format!("poll tag={tag:?}"));
     }
 }
@@ -31,7 +31,7 @@
 fn sent_by_server(cases: &mut Cases, title: &str, bytes: &[u8]) {
     let (mut reads, mut at) = (PoolReads::default(), 0);
     loop {
-        match pool::command(&bytes[at..], &mut reads) {
+        match worker_pool::read_command(&bytes[at..], &mut reads) {
             Ok(Some(length)) => {
                 at += length;
                 reads.0.push(format!("{length} bytes taken"));
@@ -44,7 +44,7 @@
         }
     }
     reads.0.push(format!("{} bytes left", bytes.len() - at));
-    let nothing = |n: &usize| pool::command(&bytes[..*n], &mut PoolReads::default()) == Ok(None);
+    let nothing = |n: &usize| worker_pool::read_command(&bytes[..*n], &mut PoolReads::default()) == Ok(None);
     let decided = match bytes.len() {
         0..1_000 => (0..=bytes.len()).find(|n| !nothing(n)),
         // Long ones only near their end.
@@ -63,8 +63,8 @@
     bytes
 }
 
-pub fn request_id(text: &str) -> Rid {
-    Rid::new(text).expect("sixteen hex digits")
+pub fn request_id(text: &str) -> AttemptId {
+    AttemptId::new(text).expect("sixteen hex digits")
 }
 
 const MALFORMED: [(&str, &[u8]); 28] = [
@@ -102,28 +102,46 @@
     let id = || request_id("0123456789abcdef");
     cases.section("server to worker pool, as we write it");
     for last in [0, 1, u64::MAX] {
-        sent_by_server(cases, &format!("bind {last}"), &written(|b| pool::bind(b, Notice(last))));
+        sent_by_server(
+            cases,
+            &format!("bind {last}"),
+            &written(|b| worker_pool::write_bind(b, NoticeNumber(last))),
+        );
     }
     let spawn = |body: &[u8]| {
         written(|b| {
-            pool::spawn(b, id(), "look", body.len());
+            worker_pool::write_start_run(b, id(), "look", body.len());
             b.extend(body);
-            pool::after(b);
+            worker_pool::write_payload_end(b);
         })
     };
     sent_by_server(cases, "spawn without a body", &spawn(b""));
     sent_by_server(cases, "spawn with a body", &spawn(b"a\r\n\x00\xff"));
     sent_by_server(cases, "spawn with 2048 bytes", &spawn(&filler(2048)));
-    sent_by_server(cases, "suspend", &written(|b| pool::suspend(b, request_id("FEDCBA9876543210"))));
-    sent_by_server(cases, "supply without a reply", &written(|b| pool::supply(b, id(), b"")));
-    sent_by_server(cases, "supply with a reply", &written(|b| pool::supply(b, id(), b"r\r\n")));
-    let most = written(|b| pool::supply(b, id(), &filler(pool::BYTES)));
+    sent_by_server(
+        cases,
+        "suspend",
+        &written(|b| worker_pool::write_stop_run(b, request_id("FEDCBA9876543210"))),
+    );
+    sent_by_server(
+        cases,
+        "supply without a reply",
+        &written(|b| worker_pool::write_call_result(b, id(), b"")),
+    );
+    sent_by_server(
+        cases,
+        "supply with a reply",
+        &written(|b| worker_pool::write_call_result(b, id(), b"r\r\n")),
+    );
+    let most = written(|b| worker_pool::write_call_result(b, id(), &filler(worker_pool::MAX_PAYLOAD_BYTES)));
     sent_by_server(cases, "supply with the longest reply", &most);
-    let more = written(|b| pool::supply(b, id(), &filler(pool::BYTES + 1)));
+    let more =
+        written(|b| worker_pool::write_call_result(b, id(), &filler(worker_pool::MAX_PAYLOAD_BYTES + 1)));
     sent_by_server(cases, "supply with one byte more", &more);
-    sent_by_server(cases, "pass", &written(|b| pool::pass(b, id(), Notice(42))));
-    sent_by_server(cases, "poll", &written(|b| pool::poll(b, u64::MAX)));
-    let several = [spawn(b"ab"), written(|b| pool::poll(b, 1)), spawn(b"cd")].concat();
+    sent_by_server(cases, "pass", &written(|b| worker_pool::write_skip_call(b, id(), NoticeNumber(42))));
+    sent_by_server(cases, "poll", &written(|b| worker_pool::write_metrics_request(b, u64::MAX)));
+    let several =
+        [spawn(b"ab"), written(|b| worker_pool::write_metrics_request(b, 1)), spawn(b"cd")].concat();
     sent_by_server(cases, "three commands in one buffer", &several);
     sent_by_server(cases, "three commands, the last cut short", &several[..several.len() - 1]);
     cases.section("server to worker pool, in other forms and malformed");
--- a/crates/aldercrank-wire/tests/golden/worker_pool.rs
+++ b/crates/aldercrank-protocol/tests/golden/worker_pool.rs
@@ -3,7 +3,7 @@
 use crate::text::{escaped, filler, Cases};
 use crate::worker_commands::request_id;
 use aldercrank::Outcome;
-use aldercrank_wire::pool::{self, Notice, Pool, Reader, Rid, RunEnd};
+use aldercrank_protocol::worker_pool::{self, AttemptId, EventHandler, EventReader, NoticeNumber, RunEnd};
 use std::time::Duration;
 
 /// The lines of what a server reads.
@@ -14,43 +14,50 @@
 fn end_word(how: Outcome) -> &'static str {
     match how {
         Outcome::Completed => "ok",
-        Outcome::Errored => "failed",
-        Outcome::Recalled => "halted",
-        Outcome::Superseded => "void",
+        Outcome::Failed => "failed",
+        Outcome::Cancelled => "halted",
+        Outcome::NeverStarted => "void",
         _ => "none that the protocol has",
     }
 }
 
-impl Pool for ServerReads {
+impl EventHandler for ServerReads {
     fn bound(&mut self, cold: bool, age: Duration) {
         self.0.push(format!("bound cold={cold} age={age:?}"));
     }
-    fn finished(&mut self, notice: Notice, rid: Rid, how: Outcome, took: Duration, result: &[u8]) {
+    fn run_finished(
+        &mut self,
+        notice: NoticeNumber,
+        attempt: AttemptId,
+        how: Outcome,
+        took: Duration,
+        result: &[u8],
+    ) {
         let (end, result) = (end_word(how), escaped(result));
         self.0.push(format!(
-            "finished notice={} rid={rid} end={end} took={took:?} result={result:?}",
+            "finished notice={} rid={attempt} end={end} took={took:?} result={result:?}",
             notice.0
         ));
     }
-    fn blocked(&mut self, notice: Notice, rid: Rid, body: &[u8]) {
-        self.0.push(format!("blocked notice={} rid={rid} body={:?}", notice.0, escaped(body)));
+    fn run_blocked(&mut self, notice: NoticeNumber, attempt: AttemptId, body: &[u8]) {
+        self.0.push(format!("blocked notice={} rid={attempt} body={:?}", notice.0, escaped(body)));
     }
-    fn chatter(&mut self, notice: Notice) {
+    fn other_notice(&mut self, notice: NoticeNumber) {
         self.0.push(format!("chatter notice={}", notice.0));
     }
-    fn polled(&mut self, tag: u64, gauges: &[f64]) {
+    fn metrics_reported(&mut self, tag: u64, gauges: &[f64]) {
         self.0.push(format!("polled tag={tag} gauges={gauges:?}"));
     }
-    fn unknown(&mut self, command: &str, id: &str) {
+    fn unknown_attempt(&mut self, command: &str, id: &str) {
         self.0.push(format!("unknown command={command:?} id={id:?}"));
     }
-    fn nonsense(&mut self, line: &str) {
+    fn malformed_line(&mut self, line: &str) {
         self.0.push(format!("nonsense: {line:?}"));
     }
 }
 
 fn sent_by_pool_at_most(cases: &mut Cases, title: &str, bytes: &[u8], most: usize) {
-    let (mut reads, mut reader, mut at) = (ServerReads::default(), Reader::at_most(most), 0);
+    let (mut reads, mut reader, mut at) = (ServerReads::default(), EventReader::at_most(most), 0);
     loop {
         let wants = reader.wants(&bytes[at..]);
         match reader.read(&bytes[at..], &mut reads) {
@@ -73,7 +80,8 @@
 }
 
 fn one_byte_at_a_time(bytes: &[u8], most: usize) -> Vec<String> {
-    let (mut reads, mut reader, mut buffer) = (ServerReads::default(), Reader::at_most(most), Vec::new());
+    let (mut reads, mut reader, mut buffer) =
+        (ServerReads::default(), EventReader::at_most(most), Vec::new());
     for byte in bytes {
         buffer.push(*byte);
         while let Some(length) = reader.read(&buffer, &mut reads) {
@@ -84,7 +92,7 @@
 }
 
 fn sent_by_pool(cases: &mut Cases, title: &str, bytes: &[u8]) {
-    sent_by_pool_at_most(cases, title, bytes, pool::BYTES);
+    sent_by_pool_at_most(cases, title, bytes, worker_pool::MAX_PAYLOAD_BYTES);
 }
 
 fn written(write: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
@@ -94,39 +102,61 @@
 }
 
 fn finished(end: RunEnd, took: Duration, result: &[u8]) -> Vec<u8> {
-    written(|b| pool::finished(b, Notice(7), request_id("0123456789abcdef"), end, took, result))
+    written(|b| {
+        worker_pool::write_run_finished(b, NoticeNumber(7), request_id("0123456789abcdef"), end, took, result)
+    })
 }
 
 fn write_ours(cases: &mut Cases) {
     let micros = Duration::from_micros;
     let id = || request_id("0123456789abcdef");
-    sent_by_pool(cases, "bound, cold", &written(|b| pool::bound(b, true, Duration::ZERO)));
-    sent_by_pool(cases, "bound, warm", &written(|b| pool::bound(b, false, micros(12_345_678))));
+    sent_by_pool(cases, "bound, cold", &written(|b| worker_pool::write_bound(b, true, Duration::ZERO)));
+    sent_by_pool(cases, "bound, warm", &written(|b| worker_pool::write_bound(b, false, micros(12_345_678))));
     sent_by_pool(cases, "finished ok", &finished(RunEnd::Ok, micros(18_500), b"r\r\n\x00\xff"));
     sent_by_pool(cases, "finished failed", &finished(RunEnd::Failed, micros(1), b""));
     sent_by_pool(cases, "finished halted", &finished(RunEnd::Halted, Duration::from_nanos(1_499), b""));
     sent_by_pool(cases, "finished void", &finished(RunEnd::Void, Duration::ZERO, b""));
     sent_by_pool(cases, "finished after an hour", &finished(RunEnd::Ok, Duration::from_secs(3600), b"r"));
-    let longest = finished(RunEnd::Ok, micros(9), &filler(pool::BYTES));
+    let longest = finished(RunEnd::Ok, micros(9), &filler(worker_pool::MAX_PAYLOAD_BYTES));
     sent_by_pool(cases, "finished with the longest result", &longest);
     sent_by_pool(cases, "finished, cut short", &longest[..longest.len() - 1]);
     let short = finished(RunEnd::Ok, micros(9), b"12345678");
     sent_by_pool_at_most(cases, "a result as long as is taken", &short, 8);
     sent_by_pool_at_most(cases, "a result longer than is taken", &short, 7);
-    sent_by_pool(cases, "blocked", &written(|b| pool::blocked(b, Notice(8), id(), b"call\r\n")));
+    sent_by_pool(
+        cases,
+        "blocked",
+        &written(|b| worker_pool::write_run_blocked(b, NoticeNumber(8), id(), b"call\r\n")),
+    );
     sent_by_pool(
         cases,
         "blocked without a body",
-        &written(|b| pool::blocked(b, Notice(u64::MAX), id(), b"")),
+        &written(|b| worker_pool::write_run_blocked(b, NoticeNumber(u64::MAX), id(), b"")),
     );
     let gauges = [0.62, 3.0, 0.00004, 1e6, -1.0];
-    sent_by_pool(cases, "polled", &written(|b| pool::polled(b, "5", &gauges)));
-    sent_by_pool(cases, "polled without gauges", &written(|b| pool::polled(b, "6", &[])));
-    sent_by_pool(cases, "polled with fourteen gauges", &written(|b| pool::polled(b, "7", &[0.5; 14])));
-    sent_by_pool(cases, "polled with fifteen gauges", &written(|b| pool::polled(b, "7", &[0.5; 15])));
-    sent_by_pool(cases, "polled with a word for a tag", &written(|b| pool::polled(b, "sweep", &[0.5])));
-    sent_by_pool(cases, "unknown", &written(|b| pool::unknown(b, "suspend", id())));
-    let several = [short, written(|b| pool::polled(b, "8", &[1.0])), finished(RunEnd::Void, micros(2), b"z")];
+    sent_by_pool(cases, "polled", &written(|b| worker_pool::write_metrics(b, "5", &gauges)));
+    sent_by_pool(cases, "polled without gauges", &written(|b| worker_pool::write_metrics(b, "6", &[])));
+    sent_by_pool(
+        cases,
+        "polled with fourteen gauges",
+        &written(|b| worker_pool::write_metrics(b, "7", &[0.5; 14])),
+    );
+    sent_by_pool(
+        cases,
+        "polled with fifteen gauges",
+        &written(|b| worker_pool::write_metrics(b, "7", &[0.5; 15])),
+    );
+    sent_by_pool(
+        cases,
+        "polled with a word for a tag",
+        &written(|b| worker_pool::write_metrics(b, "sweep", &[0.5])),
+    );
+    sent_by_pool(cases, "unknown", &written(|b| worker_pool::write_unknown_attempt(b, "suspend", id())));
+    let several = [
+        short,
+        written(|b| worker_pool::write_metrics(b, "8", &[1.0])),
+        finished(RunEnd::Void, micros(2), b"z"),
+    ];
     sent_by_pool(cases, "three messages in one buffer", &several.concat());
 }
 
@@ -194,7 +224,7 @@
 
 /// A line over the limit that comes in pieces.
 fn write_cut_line(cases: &mut Cases, bytes: &[u8]) {
-    let (mut reads, mut reader, mut buffer) = (ServerReads::default(), Reader::default(), Vec::new());
+    let (mut reads, mut reader, mut buffer) = (ServerReads::default(), EventReader::default(), Vec::new());
     for piece in bytes.chunks(20_001) {
         buffer.extend(piece);
         while let Some(length) = reader.read(&buffer, &mut reads) {
@@ -217,7 +247,7 @@
         "",
     ];
     for text in texts {
-        let id = Rid::new(text).map(|id| id.to_string());
+        let id = AttemptId::new(text).map(|id| id.to_string());
         cases.case(&format!("id {text:?}"), text, &[format!("{id:?}")]);
     }
 }
--- a/crates/aldercrank-server/src/config.rs
+++ b/crates/aldercrank-server/src/config.rs
@@ -1,8 +1,8 @@
 //! What the platform tells the program: a JSON file, and two variables that stand in for what it lacks.
 
 use aldercrank::Settings;
-use aldercrank_rules::Book;
-use aldercrank_service::Service;
+use aldercrank_service_config::Service;
+use aldercrank_versioned_config::VersionedConfig;
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// The version that the fleet starts from.
-    pub book: Book,
+    pub book: VersionedConfig,
     pub dir: Option<PathBuf>,
     pub read_list: bool,
     pub reach: BTreeMap<String, SocketAddr>,
     /// Something done wrong on purpose, so that a check is seen to find it; no file can set it.
-    pub mistake: Option<aldercrank_agree::Mistake>,
+    pub injected_fault: Option<aldercrank_consensus::InjectedFault>,
 }
 
 #[derive(Clone)]
@@ -46,12 +46,12 @@
     pub json_log: bool,
     pub rules: Option<Rules>,
     /// How this server starts, by the service file.
-    pub start: aldercrank_service::Start,
+    pub start: aldercrank_service_config::Start,
     pub settings: Settings,
 }
 
 /// What is wrong with a file, a line each.
-fn said(path: &str, faults: &[aldercrank_service::Fault]) -> String {
+fn said(path: &str, faults: &[aldercrank_service_config::Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(|fault| format!("{path}:{fault}")).collect();
     lines.join("\n")
 }
@@ -67,7 +67,7 @@
         let mut config = Config::parse(&text, var).map_err(|why| format!("{path}: {why}"))?;
         if let Some(path) = service {
             let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-            let service = aldercrank_service::parse(&text).map_err(|faults| said(path, &faults))?;
+            let service = aldercrank_service_config::parse(&text).map_err(|faults| said(path, &faults))?;
             config.apply(&service)?;
         }
         Ok(config)
@@ -82,8 +82,8 @@
         self.reports_longest = service.reports.longest_ms.map(|ms| Duration::from_millis(u64::from(ms)));
         if let Some(rules) = &service.rules {
             let text = std::fs::read_to_string(&rules.book).map_err(|e| format!("{}: {e}", rules.book))?;
-            let book = Book::parse(&text).map_err(|faults| said(&rules.book, &faults))?;
-            if let Some(why) = book.misfits(&self.settings, &self.name).first() {
+            let book = VersionedConfig::parse(&text).map_err(|faults| said(&rules.book, &faults))?;
+            if let Some(why) = book.incompatibilities(&self.settings, &self.name).first() {
                 return Err(format!("{}: {why}", rules.book));
             }
             self.rules = Some(Rules {
@@ -91,7 +91,7 @@
                 dir: rules.dir.as_ref().map(PathBuf::from),
                 read_list: rules.read_list,
                 reach: rules.reach.clone(),
-                mistake: None,
+                injected_fault: None,
             });
         }
         Ok(())
@@ -109,7 +109,7 @@
             ("rules in the service file", self.rules == new.rules),
             ("start in the service file", self.start == new.start),
             ("cores of the settings", self.cores() == new.cores()),
-            ("products of the settings", self.products() == new.products()),
+            ("products of the settings", self.classes() == new.classes()),
         ];
         fields.into_iter().filter(|(_, same)| !same).map(|(name, _)| name).collect()
     }
@@ -120,7 +120,7 @@
         if self.name != new.name {
             return Some(format!("it names the server {}, and this is {}", new.name, self.name));
         }
-        let (known, offered) = (self.products(), new.products());
+        let (known, offered) = (self.classes(), new.classes());
         let shared = offered.iter().any(|name| known.contains(name));
         (!shared).then(|| {
             format!("it names the products {}, and here are {}", offered.join(", "), known.join(", "))
@@ -132,7 +132,7 @@
     }
 
     /// The products' names, in their order.
-    fn products(&self) -> Vec<&str> {
+    fn classes(&self) -> Vec<&str> {
         let named = (0..).map_while(|i| self.settings.text(&format!("profiles.{i}.name")));
         named.collect()
     }
@@ -144,7 +144,7 @@
             Some(cores) => settings.set(CORES, aldercrank::Value::Num(cores)),
             None => drop(settings.0.remove(CORES)),
         }
-        (self.products() == new.products() && settings.0 != self.settings.0).then_some(settings)
+        (self.classes() == new.classes() && settings.0 != self.settings.0).then_some(settings)
     }
 
     /// Takes the configuration's text; says in one line which field is missing or makes no sense.
@@ -178,7 +178,7 @@
         if !settings.is_object() {
             return Err("settings are no object".to_string());
         }
-        let settings = aldercrank_json::settings(settings);
+        let settings = aldercrank_json_settings::settings(settings);
         if settings.text("profiles.0.name").is_none() {
             return Err("settings.profiles names no product".to_string());
         }
@@ -193,7 +193,7 @@
         }
         Ok(Config {
             name,
-            result: crate::pool::BYTES,
+            result: crate::worker_pool::MAX_PAYLOAD_BYTES,
             seed: json.get("seed").and_then(Json::as_str).unwrap_or_default().to_string(),
             reports_longest: None,
             json_log: false,
--- a/crates/aldercrank-server/src/core/link.rs
+++ b/crates/aldercrank-server/src/core/link.rs
@@ -5,29 +5,30 @@
 impl<P: Ports> Core<P> {
     /// The link to the worker pool is lost. What it was told last may not have been heard; of the `unsaid`
     /// spawns not even the first byte went out.
-    pub fn pool_lost(&mut self, now: Duration, unsaid: impl IntoIterator<Item = Rid>) {
+    pub fn pool_lost(&mut self, now: Duration, unsaid: impl IntoIterator<Item = AttemptId>) {
         let state = self.at(now);
-        for rid in unsaid {
-            let id = state.rids.get(&rid).copied();
-            let said =
-                |t: &&mut Txn| t.stage == Stage::Running && matches!(t.delivery, Delivery::ConfirmedBy(_));
-            id.and_then(|id| state.txn(id))
+        for attempt in unsaid {
+            let id = state.attempts.get(&attempt).copied();
+            let said = |t: &&mut Request| {
+                t.stage == Stage::Running && matches!(t.delivery, Delivery::ConfirmedBy(_))
+            };
+            id.and_then(|id| state.request(id))
                 .filter(said)
                 .into_iter()
                 .for_each(|t| t.delivery = Delivery::Unsent);
             // Where nobody waits for it any more, it never will be said.
-            let id = id.filter(|id| state.txn(*id).is_some_and(|t| t.reply_to.is_none()));
+            let id = id.filter(|id| state.request(*id).is_some_and(|t| t.reply_to.is_none()));
             id.into_iter().for_each(|id| state.unsay(id));
         }
         (state.link, state.polling) = (Link::Down, false);
         let answered = state.answered;
         for id in state.in_hand() {
-            if let Some(txn) =
-                state.txn(id).filter(|t| matches!(t.delivery, Delivery::ConfirmedBy(by) if by > answered))
+            if let Some(request) =
+                state.request(id).filter(|t| matches!(t.delivery, Delivery::ConfirmedBy(by) if by > answered))
             {
-                txn.delivery = Delivery::Unknown;
-                if std::mem::take(&mut txn.passed) {
-                    (txn.delivery, txn.unsaid) = (Delivery::Confirmed, Some(None));
+                request.delivery = Delivery::Unknown;
+                if std::mem::take(&mut request.passed) {
+                    (request.delivery, request.unsaid) = (Delivery::Confirmed, Some(None));
                 }
             }
         }
@@ -38,13 +39,13 @@
     pub fn pool_restarted(&mut self, now: Duration, cold: bool) {
         let state = self.at(now);
         for id in state.in_hand() {
-            let ran = |t: &&mut Txn| t.stage == Stage::Running && t.delivery != Delivery::Unsent;
-            if state.txn(id).filter(ran).is_some() {
+            let ran = |t: &&mut Request| t.stage == Stage::Running && t.delivery != Delivery::Unsent;
+            if state.request(id).filter(ran).is_some() {
                 if let Some(reply_to) = state.reply_to(id) {
-                    state.ports.void(reply_to);
+                    state.ports.fail(reply_to);
                 }
-                state.ports.hang_up(id);
-                state.ended.push_back((id, Outcome::Recalled));
+                state.ports.cancel_call(id);
+                state.ended.push_back((id, Outcome::Cancelled));
             }
         }
         self.pool_up(now, cold);
@@ -64,17 +65,20 @@
         let state = &mut self.admission.host;
         for id in state.in_hand() {
             let tick = state.tick;
-            let Some(txn) = state.txns.get_mut(slot(id)).filter(|t| t.stage == Stage::Running) else {
+            let Some(request) = state.requests.get_mut(slot(id)).filter(|t| t.stage == Stage::Running) else {
                 continue;
             };
-            let again = txn.effect == Effect::Idempotent && txn.blocked.is_none();
-            let (delivery, unsaid, answered) = (txn.delivery, txn.unsaid.take(), txn.reply_to.is_none());
+            let again = request.effect == Effect::Idempotent && request.blocked.is_none();
+            let (delivery, unsaid, answered) =
+                (request.delivery, request.unsaid.take(), request.reply_to.is_none());
             match delivery {
                 Delivery::Unsent => state.say_spawn(id),
                 Delivery::Unknown if again => state.say_spawn(id),
-                Delivery::Unknown if answered => state.ports.remind(Reminder::Fate(id), tick * AFTER_ANSWER),
+                Delivery::Unknown if answered => {
+                    state.ports.set_timer(TimerId::CachedOutcome(id), tick * AFTER_ANSWER)
+                }
                 Delivery::Unknown => {
-                    tracing::warn!(rid = %txn.rid, "a spawn may not have been delivery: left as it is")
+                    tracing::warn!(attempt = %request.attempt, "a spawn may not have been delivery: left as it is")
                 }
                 _ => {}
             }
--- a/crates/aldercrank-server/src/core/mod.rs
+++ b/crates/aldercrank-server/src/core/mod.rs
@@ -9,14 +9,16 @@
 mod start;
 mod time;
 
-use crate::dedup::{DedupKey, DedupTable, EntryId, Fate};
-use crate::logger::OF_TXNS;
+use crate::dedup::{CachedOutcome, DedupKey, DedupTable, EntryId};
+use crate::logger::REQUEST_LOG_TARGET;
 use crate::payload::{self, Payload};
-use crate::pool::{Notice, Rid};
 use crate::slots::{Slot, Slots};
+use crate::worker_pool::{AttemptId, NoticeNumber};
 use aldercrank::tree::Tree;
-use aldercrank::{terms, Admission, Arrival, Effect, Outcome, Settings, SteadyMap, TxnId};
-pub use aldercrank_wire::msgpack::CallNo;
+use aldercrank::{
+    parameters, Admission, DeterministicMap, Effect, IncomingRequest, Outcome, RequestId, Settings,
+};
+pub use aldercrank_protocol::msgpack_rpc::MessageId;
 use std::collections::VecDeque;
 use std::ops::Bound;
 use std::rc::Rc;
@@ -30,52 +32,52 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplyTo {
     pub conn: ConnId,
-    pub call: CallNo,
+    pub call: MessageId,
 }
 
 /// What the core asks to be reminded of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Reminder {
+pub enum TimerId {
     /// The module's tick.
     Tick,
     /// Gauges are wanted, a moment before the tick.
-    Gauges,
+    LoadMetrics,
     /// A kept key may go.
     Key(EntryId),
     /// A spawn whose fate is unknown may be sent again.
-    Fate(TxnId),
+    CachedOutcome(RequestId),
 }
 
 /// How the core acts. Sockets implement it; tests fake it.
 pub trait Ports {
     /// Final answers.
-    fn settle(&mut self, reply_to: ReplyTo, result: Payload);
-    fn decline(&mut self, reply_to: ReplyTo, back_in: Option<Duration>, last: bool);
-    fn void(&mut self, reply_to: ReplyTo);
+    fn complete(&mut self, reply_to: ReplyTo, result: Payload);
+    fn reject(&mut self, reply_to: ReplyTo, retry_after: Option<Duration>, last: bool);
+    fn fail(&mut self, reply_to: ReplyTo);
     /// A txn is judged by this version of the rule book; its answer says so. Said before its answer, if at all.
-    fn judged(&mut self, _seat: ReplyTo, _version: u64) {}
+    fn decided_by_version(&mut self, _reply_to: ReplyTo, _version: u64) {}
     /// To the worker pool.
-    fn spawn(&mut self, rid: Rid, product: &str, body: &Rc<[u8]>);
-    fn suspend(&mut self, rid: Rid);
-    fn supply(&mut self, rid: Rid, reply: &[u8]);
-    fn pass(&mut self, rid: Rid, notice: Notice);
+    fn start_run(&mut self, attempt: AttemptId, class: &str, body: &Rc<[u8]>);
+    fn stop_run(&mut self, attempt: AttemptId);
+    fn deliver_call_result(&mut self, attempt: AttemptId, reply: &[u8]);
+    fn skip_call(&mut self, attempt: AttemptId, notice: NoticeNumber);
     /// Asks for the gauges; the answer carries the tag.
-    fn poll(&mut self, tag: u64);
+    fn request_metrics(&mut self, tag: u64);
     /// To the index.
-    fn call(&mut self, txn: TxnId, rid: Rid, body: &[u8], give_up: Duration);
-    fn hang_up(&mut self, txn: TxnId);
+    fn start_call(&mut self, request: RequestId, attempt: AttemptId, body: &[u8], timeout: Duration);
+    fn cancel_call(&mut self, request: RequestId);
     /// To whoever asks or listens.
     fn health(&mut self, good: bool);
     fn close_idle(&mut self, span: Duration);
     fn advertise(&mut self, value: f64);
-    fn remind(&mut self, what: Reminder, after: Duration);
+    fn set_timer(&mut self, what: TimerId, after: Duration);
 }
 
 /// A txn as it was read.
-pub struct Ask<'a> {
-    pub rid: Rid,
+pub struct ReceivedRequest<'a> {
+    pub attempt: AttemptId,
     pub dedup_key: Option<DedupKey>,
-    pub arrival: Arrival<'a>,
+    pub arrival: IncomingRequest<'a>,
     /// The longest that it can have lain unread, as we know ourselves.
     pub unread: Duration,
     pub body: &'a [u8],
@@ -101,27 +103,27 @@
     Unsent,
 }
 
-struct Txn {
-    rid: Rid,
+struct Request {
+    attempt: AttemptId,
     reply_to: Option<ReplyTo>,
     dedup_key: Option<DedupKey>,
-    product: usize,
+    class: usize,
     /// Of its product when it was read.
     effect: Effect,
     /// None once it is over.
     body: Option<Rc<[u8]>>,
-    repeats: Option<TxnId>,
+    repeats: Option<RequestId>,
     stage: Stage,
     delivery: Delivery,
     /// The call that the run waits for: its notice and body.
-    blocked: Option<(Notice, Rc<[u8]>)>,
+    blocked: Option<(NoticeNumber, Rc<[u8]>)>,
     called: Option<Duration>,
     /// What to tell a run that waits, once the link is back: the reply, or to go on without.
     unsaid: Option<Option<Rc<[u8]>>>,
     /// The last word to it was to go on without, which names the call and may be said twice.
     passed: bool,
     joined: Duration,
-    waiters: Vec<TxnId>,
+    waiters: Vec<RequestId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -135,7 +137,7 @@
 /// How many ticks after its answer a spawn of unknown fate is sent again, to free its place.
 const AFTER_ANSWER: u32 = 30;
 /// Gauges are asked for this long before the tick, as a share of it.
-const GAUGES_BEFORE: f64 = 0.15;
+const LOAD_METRICS_BEFORE: f64 = 0.15;
 /// How much of the server's memory kept results may take.
 pub const RESULTS_SHARE: f64 = 0.1;
 
@@ -143,30 +145,30 @@
 pub struct CoreState<P: Ports> {
     pub ports: P,
     now: Duration,
-    products: Vec<(Rc<str>, Effect)>,
+    classes: Vec<(Rc<str>, Effect)>,
     longest: Duration,
     /// The longest that a client waits.
     patience: Duration,
     tick: Duration,
-    txns: Slots<Txn>,
-    rids: SteadyMap<Rid, TxnId>,
-    replies_owed: Tree<ReplyTo, TxnId>,
+    requests: Slots<Request>,
+    attempts: DeterministicMap<AttemptId, RequestId>,
+    replies_owed: Tree<ReplyTo, RequestId>,
     dedup: DedupTable,
     link: Link,
     tag: u64,
     polling: bool,
     /// The last poll that was answered.
     answered: u64,
-    gauges: Vec<f64>,
+    load_metrics: Vec<f64>,
     /// The version of the rule book that is gone by, where there is one.
     version: Option<u64>,
     lease: rules::Lease,
     /// This server's share of the index, where the rule book gives one.
     share: Option<f64>,
     /// Calls that were not made, since it has no share now; the module is told once it has returned.
-    unmade: VecDeque<TxnId>,
+    unmade: VecDeque<RequestId>,
     /// Ends that the module is told of once it has returned.
-    ended: VecDeque<(TxnId, Outcome)>,
+    ended: VecDeque<(RequestId, Outcome)>,
 }
 
 pub struct Core<P: Ports> {
@@ -177,13 +179,13 @@
 
 /// Tells of a txn where that is wanted; where not, nothing of it is looked at.
 macro_rules! tell {
-    ($rid:expr, $($said:tt)+) => {
-        tracing::debug!(target: OF_TXNS, rid = %$rid, $($said)+)
+    ($attempt:expr, $($said:tt)+) => {
+        tracing::debug!(target: REQUEST_LOG_TARGET, attempt = %$attempt, $($said)+)
     };
 }
 use tell;
 
-fn slot(id: TxnId) -> Slot {
+fn slot(id: RequestId) -> Slot {
     Slot(id.0)
 }
 
@@ -193,33 +195,33 @@
         let state = CoreState {
             ports,
             now,
-            products: Vec::new(),
+            classes: Vec::new(),
             longest: Duration::ZERO,
             patience: Duration::MAX,
             tick: Duration::ZERO,
-            txns: Slots::default(),
-            rids: SteadyMap::default(),
+            requests: Slots::default(),
+            attempts: DeterministicMap::default(),
             replies_owed: Tree::default(),
             dedup: DedupTable::new(room),
             link: Link::Down,
             tag: 0,
             polling: false,
             answered: 0,
-            gauges: Vec::new(),
+            load_metrics: Vec::new(),
             version: None,
             lease: rules::Lease::default(),
             share: None,
             unmade: VecDeque::new(),
             ended: VecDeque::new(),
         };
-        let mut core = Core { admission: Admission::start(settings.clone(), now, state), start: None };
+        let mut core = Core { admission: Admission::new(settings.clone(), now, state), start: None };
         core.admission.host.goes_by(&settings);
         core
     }
 
     /// Txns that are held or run.
     pub fn in_hand(&self) -> usize {
-        self.admission.host.rids.len()
+        self.admission.host.attempts.len()
     }
 
     /// Txns that an answer is owed to.
@@ -229,7 +231,7 @@
 
     /// Txns that a slot is taken for, and marks that are kept, those past their window counted in.
     pub fn in_tables(&self) -> (usize, usize) {
-        (self.admission.host.txns.len(), self.admission.host.dedup.len())
+        (self.admission.host.requests.len(), self.admission.host.dedup.len())
     }
 
     /// Something happens now. What time alone has changed comes first: no act before it.
@@ -246,12 +248,14 @@
         self.follow_unmade();
         while let Some((id, how)) = self.admission.host.ended.pop_front() {
             let now = self.admission.host.now;
-            let Some(txn) = self.admission.host.txn(id) else { continue };
-            match txn.stage {
+            let Some(request) = self.admission.host.request(id) else { continue };
+            match request.stage {
                 Stage::Joined => {
-                    let result = txn.dedup_key.map(|key| self.admission.host.dedup.fate(&key));
+                    let result = request.dedup_key.map(|key| self.admission.host.dedup.fate(&key));
                     match result.filter(|_| how == Outcome::Completed) {
-                        Some(Fate::Settled(bytes)) => self.end_join(id, Some(Payload::Shared(&bytes))),
+                        Some(CachedOutcome::Completed(bytes)) => {
+                            self.end_join(id, Some(Payload::Shared(&bytes)))
+                        }
                         _ => self.end_join(id, None),
                     }
                 }
@@ -265,24 +269,24 @@
     }
 
     /// Answers a repeat from what it repeats.
-    fn end_join(&mut self, id: TxnId, result: Option<Payload>) {
+    fn end_join(&mut self, id: RequestId, result: Option<Payload>) {
         let state = &mut self.admission.host;
         let now = state.now;
         let Some(took) =
-            state.txn(id).filter(|t| t.stage == Stage::Joined).map(|t| now.saturating_sub(t.joined))
+            state.request(id).filter(|t| t.stage == Stage::Joined).map(|t| now.saturating_sub(t.joined))
         else {
             return;
         };
-        let rid = state.rid(id);
-        tell!(rid, settled = result.is_some(), "answered from what it repeats");
+        let attempt = state.attempt(id);
+        tell!(attempt, completed = result.is_some(), "answered from what it repeats");
         if let Some(reply_to) = state.reply_to(id) {
             match result {
-                Some(bytes) => state.ports.settle(reply_to, bytes),
-                None => state.ports.void(reply_to),
+                Some(bytes) => state.ports.complete(reply_to, bytes),
+                None => state.ports.fail(reply_to),
             }
         }
         state.over(id);
-        let how = if result.is_some() { Outcome::Completed } else { Outcome::Errored };
+        let how = if result.is_some() { Outcome::Completed } else { Outcome::Failed };
         self.admission.run_ended(now, id, how, took);
     }
 }
--- a/crates/aldercrank-server/src/core/rules.rs
+++ b/crates/aldercrank-server/src/core/rules.rs
@@ -2,7 +2,7 @@
 //! the clock before anything else happens.
 
 use super::*;
-use aldercrank::Leave;
+use aldercrank::Permission;
 
 /// Until when everything may be taken, and until when what may run again. Without a rule book that is for ever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,54 +10,54 @@
     full: Duration,
     alone: Duration,
     /// What the module has been told.
-    told: Leave,
+    told: Permission,
 }
 
 impl Default for Lease {
     fn default() -> Self {
-        Lease { full: Duration::MAX, alone: Duration::MAX, told: Leave::Everything }
+        Lease { full: Duration::MAX, alone: Duration::MAX, told: Permission::Everything }
     }
 }
 
 impl Lease {
-    fn leave(&self, now: Duration) -> Leave {
+    fn leave(&self, now: Duration) -> Permission {
         match () {
-            () if now < self.full => Leave::Everything,
-            () if now < self.alone => Leave::Idempotent,
-            () => Leave::Nothing,
+            () if now < self.full => Permission::Everything,
+            () if now < self.alone => Permission::Idempotent,
+            () => Permission::Nothing,
         }
     }
 
     /// When the module has to be told something else.
     pub(super) fn next(&self) -> Duration {
         match self.told {
-            Leave::Everything => self.full,
-            Leave::Idempotent => self.alone,
-            Leave::Nothing => Duration::MAX,
+            Permission::Everything => self.full,
+            Permission::Idempotent => self.alone,
+            Permission::Nothing => Duration::MAX,
         }
     }
 
     pub(super) fn covers(&self, effect: Effect) -> bool {
-        self.told.covers(effect)
+        self.told.permits(effect)
     }
 }
 
 impl<P: Ports> CoreState<P> {
     /// Whether calls to the index may be made: a share of the rule book is none without a lease.
     pub(super) fn may_call(&self) -> bool {
-        self.share.is_none_or(|share| share > 0.0 && self.lease.told == Leave::Everything)
+        self.share.is_none_or(|share| share > 0.0 && self.lease.told == Permission::Everything)
     }
 
     /// What the core itself takes from settings.
     pub(super) fn goes_by(&mut self, settings: &Settings) {
-        let products = terms::products(settings);
-        let longest = products.iter().map(|p| p.window).max().unwrap_or_default();
+        let classes = parameters::classes(settings);
+        let longest = classes.iter().map(|p| p.window).max().unwrap_or_default();
         // An entry may have been made under a longer one.
         self.longest = self.longest.max(longest);
         let key = |i: usize| format!("profiles.{i}.give_up");
-        let patience = (0..products.len()).filter_map(|i| settings.span(&key(i))).max();
+        let patience = (0..classes.len()).filter_map(|i| settings.span(&key(i))).max();
         self.patience = patience.unwrap_or(Duration::MAX);
-        self.products = products.into_iter().map(|p| (p.name, p.effect)).collect();
+        self.classes = classes.into_iter().map(|p| (p.name, p.effect)).collect();
     }
 }
 
@@ -75,7 +75,7 @@
     pub fn goes_by(&mut self, now: Duration, settings: &Settings) {
         self.at(now).goes_by(settings);
         self.start_goes_by(settings);
-        self.admission.reset(now, settings);
+        self.admission.apply_settings(now, settings);
         self.follow();
     }
 
@@ -91,7 +91,7 @@
     pub(super) fn follow_unmade(&mut self) {
         while let Some(id) = self.admission.host.unmade.pop_front() {
             let now = self.admission.host.now;
-            let made = self.admission.host.txn(id).and_then(|txn| txn.called.take());
+            let made = self.admission.host.request(id).and_then(|request| request.called.take());
             if made.is_some() {
                 self.admission.call_ended(now, id, Outcome::Unreachable, Duration::ZERO);
             }
@@ -103,7 +103,7 @@
         let lease = &mut self.admission.host.lease;
         let leave = lease.leave(now);
         if std::mem::replace(&mut lease.told, leave) != leave {
-            self.admission.leave(now, leave);
+            self.admission.set_permission(now, leave);
         }
     }
 }
--- a/crates/aldercrank-server/src/core/start.rs
+++ b/crates/aldercrank-server/src/core/start.rs
@@ -1,21 +1,21 @@
-//! How far a start has come, where the service file asks for it: what came back is handed to `aldercrank-start`, and the
+//! How far a start has come, where the service file asks for it: what came back is handed to `aldercrank-pacing`, and the
 //! share that follows is said. It decides nothing: a module that runs this share of its window alone gets less value at
 //! each load (docs/design-start.md), since it learns from the runs themselves how slow its pool is.
 
 use super::*;
-use aldercrank_start::{Look, Warming, WarmingTerms};
+use aldercrank_pacing::{SlowStart, SlowStartConfig, SlowStartStatus};
 
 /// Between two looks at what came back, of the shortest SLA time.
 const LOOK: f64 = 0.25;
 
 pub(super) struct Start {
-    warming: Warming,
+    warming: SlowStart,
     /// Of each product.
     slas: Vec<Duration>,
 }
 
 fn slas(settings: &Settings) -> Vec<Duration> {
-    terms::products(settings).into_iter().map(|p| p.sla).collect()
+    parameters::classes(settings).into_iter().map(|p| p.latency_target).collect()
 }
 
 impl<P: Ports> Core<P> {
@@ -23,17 +23,17 @@
     pub fn warms_up(&mut self, now: Duration, settings: &Settings, cold: bool) {
         let slas = slas(settings);
         let shortest = slas.iter().min().copied().unwrap_or_default();
-        let terms = WarmingTerms {
+        let terms = SlowStartConfig {
             least: settings.num("rules.cold_from").unwrap_or(0.0),
             promised: settings.span("rules.warm_after").unwrap_or_default(),
             look: shortest.mul_f64(LOOK),
         };
-        self.start = Some(Start { warming: Warming::linking(terms), slas });
+        self.start = Some(Start { warming: SlowStart::linking(terms), slas });
         self.pool_up(now, cold);
     }
 
     /// How far the start has come: nothing where nobody asked.
-    pub fn started(&self) -> Option<Look> {
+    pub fn started(&self) -> Option<SlowStartStatus> {
         self.start.as_ref().map(|start| start.warming.now())
     }
 
@@ -50,16 +50,17 @@
         }
     }
 
-    pub(super) fn came_back(&mut self, product: usize, took: Duration) {
+    pub(super) fn came_back(&mut self, class: usize, took: Duration) {
         let Some(start) = &mut self.start else { return };
-        if let Some(sla) = start.slas.get(product).filter(|sla| !sla.is_zero()) {
-            start.warming.settled(took.div_duration_f64(*sla));
+        if let Some(latency_target) = start.slas.get(class).filter(|latency_target| !latency_target.is_zero())
+        {
+            start.warming.completed(took.div_duration_f64(*latency_target));
         }
     }
 
     pub(super) fn turned_away_below(&mut self) {
         if let Some(start) = &mut self.start {
-            start.warming.refused();
+            start.warming.rejected();
         }
     }
 
@@ -70,6 +71,6 @@
     }
 }
 
-fn tell(look: Look) {
+fn tell(look: SlowStartStatus) {
     tracing::info!(phase = look.phase.name(), share = look.share, why = look.why.name(), "start");
 }
--- a/crates/aldercrank-server/src/deadlines.rs
+++ b/crates/aldercrank-server/src/deadlines.rs
@@ -1,20 +1,20 @@
 //! The one ordered structure that all deadlines hang in.
 
 use aldercrank::tree::Tree;
-use aldercrank::SteadyMap;
+use aldercrank::DeterministicMap;
 use std::hash::Hash;
 use std::time::Duration;
 
 /// Each thing has one deadline at most; a new one replaces it.
 #[derive(Debug)]
 pub struct Deadlines<K> {
-    at: SteadyMap<K, Duration>,
+    at: DeterministicMap<K, Duration>,
     order: Tree<(Duration, K)>,
 }
 
 impl<K> Default for Deadlines<K> {
     fn default() -> Self {
-        Deadlines { at: SteadyMap::default(), order: Tree::default() }
+        Deadlines { at: DeterministicMap::default(), order: Tree::default() }
     }
 }
 
--- a/crates/aldercrank-server/src/dedup.rs
+++ b/crates/aldercrank-server/src/dedup.rs
@@ -3,7 +3,7 @@
 use crate::payload::Payload;
 use crate::slots::{Slot, Slots};
 use aldercrank::tree::Tree;
-use aldercrank::{SteadyMap, TxnId};
+use aldercrank::{DeterministicMap, RequestId};
 use bytes::Bytes;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -21,12 +21,12 @@
 impl DedupKey {
     /// All tries of one txn carry one product and one body. A token that comes with others is no repeat: it is
     /// neither answered from the first, nor does it stand in the way of the true one where it comes first.
-    pub fn token(product: &str, token: &str, body: &[u8]) -> DedupKey {
-        DedupKey::Token(digest(&(product, token, body)))
+    pub fn token(class: &str, token: &str, body: &[u8]) -> DedupKey {
+        DedupKey::Token(digest(&(class, token, body)))
     }
 
-    pub fn subject(product: &str, subject: &str) -> DedupKey {
-        DedupKey::Subject(digest(&(product, subject)))
+    pub fn subject(class: &str, subject: &str) -> DedupKey {
+        DedupKey::Subject(digest(&(class, subject)))
     }
 }
 
@@ -43,19 +43,19 @@
 
 /// What a kept txn's run has come to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate {
+pub enum CachedOutcome {
     Open,
-    Settled(Bytes),
+    Completed(Bytes),
     /// It ended otherwise, or its result had to make room.
     Lost,
 }
 
 struct Entry {
     mark: DedupKey,
-    holder: TxnId,
+    holder: RequestId,
     /// The try that ran, and what it came to.
-    ran: Option<TxnId>,
-    fate: Fate,
+    ran: Option<RequestId>,
+    fate: CachedOutcome,
     /// The place of its result among the kept ones.
     kept: u64,
     until: Duration,
@@ -63,7 +63,7 @@
 
 pub struct DedupTable {
     entries: Slots<Entry>,
-    marks: SteadyMap<DedupKey, EntryId>,
+    dedup_entries: DeterministicMap<DedupKey, EntryId>,
     /// Those with a result, in the order in which the results came, and what they take.
     results: Tree<u64, EntryId>,
     results_ever: u64,
@@ -73,21 +73,22 @@
 
 impl DedupTable {
     pub fn new(room: usize) -> DedupTable {
-        let (entries, marks, results) = (Slots::default(), SteadyMap::default(), Tree::default());
-        DedupTable { entries, marks, results, results_ever: 0, bytes: 0, room }
+        let (entries, dedup_entries, results) =
+            (Slots::default(), DeterministicMap::default(), Tree::default());
+        DedupTable { entries, dedup_entries, results, results_ever: 0, bytes: 0, room }
     }
 
     fn entry(&mut self, mark: &DedupKey) -> Option<&mut Entry> {
-        let key = self.marks.get(mark)?;
+        let key = self.dedup_entries.get(mark)?;
         self.entries.get_mut(Slot(key.0))
     }
 
     /// The txn that one with this mark repeats: the one that holds the entry, or, where it has run out since
     /// the repeat came to the machine, the one that ran.
-    pub fn repeated(&mut self, mark: &DedupKey, arrived: Duration, now: Duration) -> Option<TxnId> {
+    pub fn repeated(&mut self, mark: &DedupKey, arrived: Duration, now: Duration) -> Option<RequestId> {
         let entry = self.entry(mark).filter(|e| arrived <= e.until)?;
         // A read may run again; one that came to nothing is no source for others.
-        if matches!(mark, DedupKey::Subject(..)) && entry.fate == Fate::Lost {
+        if matches!(mark, DedupKey::Subject(..)) && entry.fate == CachedOutcome::Lost {
             return None;
         }
         Some(if now <= entry.until { entry.holder } else { entry.ran.unwrap_or(entry.holder) })
@@ -95,16 +96,22 @@
 
     /// Enters a txn or renews its entry; a repeat takes the entry over. Gives the entry, and the txn that it
     /// named before. Nothing when the table is full.
-    pub fn keep(&mut self, mark: &DedupKey, txn: TxnId, until: Duration) -> Option<(EntryId, Option<TxnId>)> {
+    pub fn keep(
+        &mut self,
+        mark: &DedupKey,
+        request: RequestId,
+        until: Duration,
+    ) -> Option<(EntryId, Option<RequestId>)> {
         if let Some(entry) = self.entry(mark) {
-            let before = std::mem::replace(&mut entry.holder, txn);
+            let before = std::mem::replace(&mut entry.holder, request);
             entry.until = entry.until.max(until);
-            let named = entry.ran == Some(before) || before == txn;
-            return Some((self.marks[mark], Some(before).filter(|_| !named)));
+            let named = entry.ran == Some(before) || before == request;
+            return Some((self.dedup_entries[mark], Some(before).filter(|_| !named)));
         }
-        let entry = Entry { mark: *mark, holder: txn, ran: None, fate: Fate::Open, kept: 0, until };
+        let entry =
+            Entry { mark: *mark, holder: request, ran: None, fate: CachedOutcome::Open, kept: 0, until };
         let key = EntryId(self.entries.insert(entry)?.0);
-        self.marks.insert(*mark, key);
+        self.dedup_entries.insert(*mark, key);
         Some((key, None))
     }
 
@@ -121,47 +128,47 @@
         self.entries.is_empty()
     }
 
-    pub fn names(&mut self, mark: &DedupKey, txn: TxnId) -> bool {
-        self.entry(mark).is_some_and(|e| e.holder == txn || e.ran == Some(txn))
+    pub fn names(&mut self, mark: &DedupKey, request: RequestId) -> bool {
+        self.entry(mark).is_some_and(|e| e.holder == request || e.ran == Some(request))
     }
 
     /// Drops the entry of a txn that has not run. One whose try has run stays, whoever holds it.
-    pub fn forget(&mut self, mark: &DedupKey, txn: TxnId) {
-        let Some(entry) = self.entry(mark).filter(|e| e.holder == txn) else { return };
+    pub fn forget(&mut self, mark: &DedupKey, request: RequestId) {
+        let Some(entry) = self.entry(mark).filter(|e| e.holder == request) else { return };
         match entry.ran {
             Some(ran) => entry.holder = ran,
-            None => self.drop_entry(self.marks[mark]),
+            None => self.drop_entry(self.dedup_entries[mark]),
         }
     }
 
     /// It runs. Gives the txn that ran before, whose window is over and whose result goes.
-    pub fn started(&mut self, mark: &DedupKey, txn: TxnId) -> Option<TxnId> {
-        let key = *self.marks.get(mark)?;
+    pub fn started(&mut self, mark: &DedupKey, request: RequestId) -> Option<RequestId> {
+        let key = *self.dedup_entries.get(mark)?;
         self.drop_result(key);
-        let entry = self.entry(mark).filter(|e| e.holder == txn)?;
-        entry.fate = Fate::Open;
-        entry.ran.replace(txn).filter(|before| *before != txn)
+        let entry = self.entry(mark).filter(|e| e.holder == request)?;
+        entry.fate = CachedOutcome::Open;
+        entry.ran.replace(request).filter(|before| *before != request)
     }
 
     /// The run never began: there is nothing to repeat, and the next try is not kept from running.
-    pub fn never_ran(&mut self, mark: &DedupKey, txn: TxnId) {
-        let Some(entry) = self.entry(mark).filter(|e| e.ran == Some(txn)) else { return };
+    pub fn never_ran(&mut self, mark: &DedupKey, request: RequestId) {
+        let Some(entry) = self.entry(mark).filter(|e| e.ran == Some(request)) else { return };
         entry.ran = None;
-        if entry.holder == txn {
-            self.drop_entry(self.marks[mark]);
+        if entry.holder == request {
+            self.drop_entry(self.dedup_entries[mark]);
         }
     }
 
     /// The run has ended, with a result where it went well.
-    pub fn ended(&mut self, mark: &DedupKey, txn: TxnId, result: Option<Payload>) {
+    pub fn ended(&mut self, mark: &DedupKey, request: RequestId, result: Option<Payload>) {
         let number = self.results_ever;
-        let Some(entry) = self.entry(mark).filter(|e| e.ran == Some(txn)) else { return };
-        entry.fate = result.map_or(Fate::Lost, |result| Fate::Settled(result.keep()));
+        let Some(entry) = self.entry(mark).filter(|e| e.ran == Some(request)) else { return };
+        entry.fate = result.map_or(CachedOutcome::Lost, |result| CachedOutcome::Completed(result.keep()));
         entry.kept = number;
         if let Some(result) = result {
             self.bytes += result.bytes().len();
             self.results_ever += 1;
-            self.results.insert(number, self.marks[mark]);
+            self.results.insert(number, self.dedup_entries[mark]);
         }
         // Only results make room. The entries stay, so that nothing runs again for want of memory.
         while self.bytes > self.room {
@@ -170,13 +177,13 @@
         }
     }
 
-    pub fn fate(&mut self, mark: &DedupKey) -> Fate {
-        self.entry(mark).map_or(Fate::Lost, |e| e.fate.clone())
+    pub fn fate(&mut self, mark: &DedupKey) -> CachedOutcome {
+        self.entry(mark).map_or(CachedOutcome::Lost, |e| e.fate.clone())
     }
 
     fn drop_result(&mut self, key: EntryId) {
         if let Some(entry) = self.entries.get_mut(Slot(key.0)) {
-            if let Fate::Settled(bytes) = std::mem::replace(&mut entry.fate, Fate::Lost) {
+            if let CachedOutcome::Completed(bytes) = std::mem::replace(&mut entry.fate, CachedOutcome::Lost) {
                 self.bytes -= bytes.len();
                 self.results.remove(&entry.kept);
             }
@@ -186,7 +193,7 @@
     fn drop_entry(&mut self, key: EntryId) {
         self.drop_result(key);
         if let Some(entry) = self.entries.remove(Slot(key.0)) {
-            self.marks.remove(&entry.mark);
+            self.dedup_entries.remove(&entry.mark);
         }
     }
 
@@ -196,7 +203,7 @@
     }
 
     /// Drops an entry; gives the txns that it named.
-    pub fn lapse(&mut self, key: EntryId) -> Vec<TxnId> {
+    pub fn lapse(&mut self, key: EntryId) -> Vec<RequestId> {
         let entry = self.entries.get(Slot(key.0));
         let named = entry.map(|e| e.ran.into_iter().chain([e.holder]).collect()).unwrap_or_default();
         self.drop_entry(key);
--- a/crates/aldercrank-server/src/lib.rs
+++ b/crates/aldercrank-server/src/lib.rs
@@ -1,5 +1,9 @@
 //! The real backend round aldercrank's module: sockets, clock and signals. The module decides everything.
 
+// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
+#![allow(missing_docs, unreachable_pub)]
+#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+
 pub mod clock;
 pub mod config;
 pub mod core;
@@ -12,4 +16,4 @@
 pub mod phase;
 pub mod slots;
 
-pub use aldercrank_wire::{http, index, members, msgpack, pool};
+pub use aldercrank_protocol::{http, index, membership, msgpack_rpc, worker_pool};
--- a/crates/aldercrank-server/src/logger.rs
+++ b/crates/aldercrank-server/src/logger.rs
@@ -21,18 +21,18 @@
 const MOST: u32 = 3;
 const SECONDS: u64 = 5;
 /// What is told of each txn, under this target.
-pub const OF_TXNS: &str = "aldercrank::txn";
+pub const REQUEST_LOG_TARGET: &str = "aldercrank::request";
 /// Others' events are not ours to log.
 const OURS: &str = "aldercrank";
 
 /// What is logged, and how.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Wish {
+pub struct LogOptions {
     pub verbose: bool,
     /// A JSON document a line, in place of text.
     pub json: bool,
     /// Each txn's way through the server.
-    pub txns: bool,
+    pub requests: bool,
 }
 
 /// Which places have logged how much of late.
@@ -122,7 +122,7 @@
 type Sink = Box<dyn Fn(&[u8]) + Send + Sync>;
 
 pub struct Lines {
-    wish: Wish,
+    wish: LogOptions,
     json: AtomicBool,
     bound: Bound,
     server: OnceLock<String>,
@@ -130,7 +130,7 @@
 }
 
 impl Lines {
-    pub fn new(wish: Wish, sink: Sink) -> Lines {
+    pub fn new(wish: LogOptions, sink: Sink) -> Lines {
         let json = AtomicBool::new(wish.json);
         Lines { wish, json, bound: Bound::default(), server: OnceLock::new(), sink }
     }
@@ -143,7 +143,7 @@
 
     fn wanted(&self, of: &Metadata) -> bool {
         match of.target() {
-            OF_TXNS => self.wish.txns,
+            REQUEST_LOG_TARGET => self.wish.requests,
             target => target.starts_with(OURS) && *of.level() <= self.most(),
         }
     }
@@ -159,7 +159,7 @@
     fn line(&self, at: Duration, event: &Event) {
         let of = event.metadata();
         let place = (of.file().unwrap_or_default(), of.line().unwrap_or_default());
-        let bounded = of.target() != OF_TXNS;
+        let bounded = of.target() != REQUEST_LOG_TARGET;
         let stretch = at.as_secs() / SECONDS;
         let left_out = if bounded { self.bound.admits(place.0, place.1, stretch) } else { Some(0) };
         let Some(left_out) = left_out else { return };
@@ -184,7 +184,7 @@
 
 impl Logger {
     /// From here on all of this process is logged so.
-    pub fn install(wish: Wish) -> Logger {
+    pub fn install(wish: LogOptions) -> Logger {
         let sink = |line: &[u8]| {
             let _ = std::io::stderr().write_all(line);
         };
@@ -209,7 +209,7 @@
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
-        let most = if self.0.wish.txns { Level::DEBUG } else { self.0.most() };
+        let most = if self.0.wish.requests { Level::DEBUG } else { self.0.most() };
         Some(LevelFilter::from_level(most))
     }
 
