--- a/crates/aldercrank-server/src/main.rs
+++ b/crates/aldercrank-server/src/main.rs
@@ -1,14 +1,18 @@
 //! The command line: `aldercrank serve`, `aldercrank check-config`, `aldercrank version`.
 
+// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
+#![allow(missing_docs, unreachable_pub)]
+#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+
 use aldercrank_server::config::Config;
-use aldercrank_server::logger::{Logger, Wish};
+use aldercrank_server::logger::{LogOptions, Logger};
 use aldercrank_server::{net, operate};
 use bpaf::{construct, long, positional, pure, OptionParser, Parser};
 use std::process::ExitCode;
 
 #[derive(Clone)]
 enum Command {
-    Serve { wish: Wish, service: Option<String>, config: Option<String> },
+    Serve { wish: LogOptions, service: Option<String>, config: Option<String> },
     CheckConfig { service: Option<String>, config: Option<String> },
     Version,
     Rules(operate::Rules),
@@ -18,9 +22,9 @@
     let config = || positional::<String>("CONFIG").help("the file, if not the one that ROUTER_CONFIG names");
     let verbose = long("verbose").short('v').help("log more").switch();
     let json = long("json-log").help("log a JSON document a line").switch();
-    let txns =
+    let requests =
         long("log-txns").help("log each txn's way through the server; much, and without a bound").switch();
-    let wish = construct!(Wish { verbose, json, txns });
+    let wish = construct!(LogOptions { verbose, json, requests });
     let service = || {
         let help = "the program's own settings, as deploy/service.kdl shows; all is off without it";
         long("service").help(help).argument::<String>("FILE").optional()
--- a/crates/aldercrank-server/src/net/conns.rs
+++ b/crates/aldercrank-server/src/net/conns.rs
@@ -8,10 +8,10 @@
 
 use super::link::{Link, Loop};
 use super::Due;
-use crate::core::{CallNo, ConnId, ReplyTo};
+use crate::core::{ConnId, MessageId, ReplyTo};
 use crate::deadlines::Deadlines;
-use crate::msgpack::{self, Beside};
-use crate::payload::Out;
+use crate::msgpack_rpc::{self, ResponseFields};
+use crate::payload::OutputBuffer;
 use crate::slots::{Slot, Slots};
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -39,9 +39,9 @@
 pub struct Conn {
     pub(super) link: Link,
     /// Open calls, few enough to look through.
-    pub(super) calls: Vec<CallNo>,
+    pub(super) calls: Vec<MessageId>,
     /// The versions of the rule book that open calls are judged by; empty where there is no book.
-    judged: Vec<(CallNo, u64)>,
+    judged: Vec<(MessageId, u64)>,
     pub(super) state: State,
     /// It waits for its turn to be read.
     pub(super) queued: bool,
@@ -273,7 +273,7 @@
     }
 
     /// Notes a call as open; false where its number is open already.
-    pub(super) fn open(&mut self, conn: ConnId, call: CallNo) -> bool {
+    pub(super) fn open(&mut self, conn: ConnId, call: MessageId) -> bool {
         let Some(c) = self.conns.get_mut(Slot(conn.0)) else { return false };
         if c.calls.contains(&call) {
             return false;
@@ -284,13 +284,18 @@
     }
 
     /// Adds to what is said on a connection; it is written at the end of the turn.
-    pub(super) fn say(&mut self, conn: ConnId, write: impl FnOnce(&mut Out, Beside)) {
+    pub(super) fn say(&mut self, conn: ConnId, write: impl FnOnce(&mut OutputBuffer, ResponseFields)) {
         self.say_judged(conn, None, write);
     }
 
-    fn say_judged(&mut self, conn: ConnId, rules: Option<u64>, write: impl FnOnce(&mut Out, Beside)) {
+    fn say_judged(
+        &mut self,
+        conn: ConnId,
+        rules: Option<u64>,
+        write: impl FnOnce(&mut OutputBuffer, ResponseFields),
+    ) {
         let Some(c) = self.conns.get_mut(Slot(conn.0)) else { return };
-        write(&mut c.link.out, Beside { hint: self.hint.as_deref(), rules });
+        write(&mut c.link.out, ResponseFields { hint: self.hint.as_deref(), rules });
         if !std::mem::replace(&mut c.dirty, true) {
             self.dirty.push(conn);
         }
@@ -307,7 +312,7 @@
     }
 
     /// Says an answer; a call that is not open any more has nobody to read it.
-    pub fn answer(&mut self, reply_to: ReplyTo, write: impl FnOnce(&mut Out, Beside)) {
+    pub fn answer(&mut self, reply_to: ReplyTo, write: impl FnOnce(&mut OutputBuffer, ResponseFields)) {
         let Some(c) = self.get(reply_to.conn) else { return };
         if let Some(at) = c.calls.iter().position(|call| *call == reply_to.call) {
             c.calls.remove(at);
@@ -377,7 +382,7 @@
     pub fn part(&mut self, conn: ConnId, now: Duration, deadlines: &mut Deadlines<Due>) {
         if let Some(c) = self.get(conn).filter(|c| c.state == State::Open) {
             c.state = State::Closing;
-            self.say(conn, |out, _| out.words(msgpack::closing));
+            self.say(conn, |out, _| out.words(msgpack_rpc::write_closing));
             self.rest(conn, now, deadlines);
         }
     }
--- a/crates/aldercrank-server/src/net/edge.rs
+++ b/crates/aldercrank-server/src/net/edge.rs
@@ -5,12 +5,12 @@
 use super::wait::{Ready, Whose};
 use super::{Due, Server};
 use crate::clock::Clock;
-use crate::core::{Ask, CallNo, ConnId, ReplyTo};
+use crate::core::{ConnId, MessageId, ReceivedRequest, ReplyTo};
 use crate::dedup::DedupKey;
-use crate::msgpack::{self, Edge, Fields};
+use crate::msgpack_rpc::{self, Edge, RequestFields};
 use crate::payload::count;
-use crate::pool::{Rid, BYTES};
-use aldercrank::{Arrival, CallerId};
+use crate::worker_pool::{AttemptId, MAX_PAYLOAD_BYTES};
+use aldercrank::{CallerId, IncomingRequest};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
@@ -68,16 +68,16 @@
         &mut self,
         now: Duration,
         method: &'b str,
-        fields: &Fields<'b>,
+        fields: &RequestFields<'b>,
         body: &'b [u8],
-    ) -> Result<Ask<'b>, BadField> {
+    ) -> Result<ReceivedRequest<'b>, BadField> {
         let unix = Clock::unix();
         let t0 = Duration::from_millis(fields.t0.ok_or(BadField::Missing("t0"))?);
         let told = fields.budget.map(Duration::from_millis);
         let budget =
             told.or_else(|| self.server.terms.deadline(method)).ok_or(BadField::Missing("budget"))?;
         // Nothing below zero, should our clock have been set back.
-        let lay = unix.saturating_sub(t0);
+        let unread_for = unix.saturating_sub(t0);
         // And not longer than told.
         let until = t0.checked_add(budget).ok_or(BadField::OutOfRange("budget"))?;
         let left = until.saturating_sub(unix).min(budget);
@@ -98,24 +98,24 @@
         if rank >= 1.0 {
             return Err(BadField::OutOfRange("prio"));
         }
-        let rid = fields.rid.ok_or(BadField::Missing("rid"))?;
-        let arrival = Arrival {
-            product: method,
+        let attempt = fields.attempt.ok_or(BadField::Missing("rid"))?;
+        let arrival = IncomingRequest {
+            class: method,
             subject: fields.obj,
-            expiry: Some(now.checked_add(left).ok_or(BadField::OutOfRange("budget"))?),
+            deadline: Some(now.checked_add(left).ok_or(BadField::OutOfRange("budget"))?),
             memory_kb,
             rank,
             caller: CallerId(fields.peer.ok_or(BadField::Missing("peer"))?),
-            lay,
-            ..Arrival::default()
+            unread_for,
+            ..IncomingRequest::default()
         };
-        let rid = Rid::new(rid).ok_or(BadField::OutOfRange("rid"))?;
-        Ok(Ask { rid, dedup_key, arrival, unread, body })
+        let attempt = AttemptId::new(attempt).ok_or(BadField::OutOfRange("rid"))?;
+        Ok(ReceivedRequest { attempt, dedup_key, arrival, unread, body })
     }
 }
 
 impl Edge for Hear<'_> {
-    fn asked(&mut self, call: CallNo, method: &str, fields: &Fields, body: &[u8]) {
+    fn request(&mut self, call: MessageId, method: &str, fields: &RequestFields, body: &[u8]) {
         if let Err(why) = self.server.open_call(self.conn, call) {
             self.misused = Some(Misuse::Message(why));
             return;
@@ -124,18 +124,20 @@
         let now = self.server.now();
         match self.request(now, method, fields, body) {
             Ok(ask) => self.server.asked(now, reply_to, ask),
-            Err(_) if method == msgpack::RULES && self.server.rules_asked(reply_to, body) => {}
+            Err(_) if method == msgpack_rpc::CONSENSUS_METHOD && self.server.rules_asked(reply_to, body) => {}
             Err(why) => self.misused = Some(Misuse::Field(why)),
         }
     }
 
-    fn checked(&mut self, call: CallNo) {
+    fn health_check(&mut self, call: MessageId) {
         let (good, mut net) = (self.server.fit(), self.server.net());
-        net.edge.say(self.conn, |out, beside| out.words(|words| msgpack::check(words, call, good, beside)));
+        net.edge.say(self.conn, |out, beside| {
+            out.words(|words| msgpack_rpc::write_health(words, call, good, beside))
+        });
         net.rest(self.conn);
     }
 
-    fn interrupted(&mut self, call: CallNo) {
+    fn cancel(&mut self, call: MessageId) {
         // Nothing is owed, but one answer does no harm, and nobody is left without a word.
         let reply_to = ReplyTo { conn: self.conn, call };
         if self.server.net().edge.get(self.conn).is_some_and(|c| c.calls.contains(&call)) {
@@ -144,13 +146,13 @@
         }
     }
 
-    fn senseless(&mut self, call: CallNo, why: &'static str) {
+    fn invalid_request(&mut self, call: MessageId, why: &'static str) {
         // Open, so that it gets its error with all the others.
         let _ = self.server.open_call(self.conn, call);
         self.misused = Some(Misuse::Message(why));
     }
 
-    fn ignored(&mut self, why: &'static str) {
+    fn unknown_notification(&mut self, why: &'static str) {
         self.misused = Some(Misuse::Message(why));
     }
 }
@@ -182,7 +184,7 @@
 
     fn take(&mut self, stream: TcpStream, dry: Duration) {
         let now = self.now();
-        let longer = self.config.result.saturating_sub(BYTES);
+        let longer = self.config.result.saturating_sub(MAX_PAYLOAD_BYTES);
         let sending = SENDING.max(longer / SENDING_PART);
         if let Err(e) = socket2::SockRef::from(&stream).set_send_buffer_size(sending) {
             tracing::debug!(why = %e, "a connection keeps its buffer");
@@ -273,7 +275,7 @@
                 }
             }
             Some(Got::End) => self.edge_ended(conn),
-            Some(Got::Broken) => self.edge_lost(conn),
+            Some(Got::ProtocolError) => self.edge_lost(conn),
             None => {}
         }
         self.chunk = chunk;
@@ -317,7 +319,7 @@
         let mut taken = 0;
         loop {
             let mut hear = Hear { server: self, conn, misused: None };
-            match msgpack::read(&heard[taken..], &mut hear) {
+            match msgpack_rpc::read_request(&heard[taken..], &mut hear) {
                 Ok(Some(n)) => taken += n,
                 Ok(None) => break,
                 Err(broken) => hear.misused = Some(Misuse::Message(broken.0)),
@@ -358,7 +360,7 @@
     }
 
     /// Notes a call as open.
-    fn open_call(&mut self, conn: ConnId, call: CallNo) -> Result<(), &'static str> {
+    fn open_call(&mut self, conn: ConnId, call: MessageId) -> Result<(), &'static str> {
         let mut net = self.net();
         let c = net.edge.get(conn).ok_or("no connection")?;
         if c.calls.len() >= OPEN {
@@ -371,15 +373,15 @@
     pub(super) fn refuse(&mut self, reply_to: ReplyTo, never_ran: bool) {
         self.net().answer(reply_to, |out, beside| {
             out.words(|words| match never_ran {
-                true => msgpack::declined(words, reply_to.call, beside, None, false),
-                false => msgpack::voided(words, reply_to.call, beside),
+                true => msgpack_rpc::write_rejected(words, reply_to.call, beside, None, false),
+                false => msgpack_rpc::write_failed(words, reply_to.call, beside),
             });
         });
     }
 
-    fn asked(&mut self, now: Duration, reply_to: ReplyTo, ask: Ask) {
+    fn asked(&mut self, now: Duration, reply_to: ReplyTo, ask: ReceivedRequest) {
         match &mut self.core {
-            Some(core) => core.txn_read(now, reply_to, ask),
+            Some(core) => core.request_received(now, reply_to, ask),
             None => self.refuse(reply_to, true),
         }
     }
--- a/crates/aldercrank-server/src/net/exchange.rs
+++ b/crates/aldercrank-server/src/net/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::link::{Got, Link, Loop};
 use super::Server;
-use crate::http::{Reader, Reply};
+use crate::http::{Response, ResponseReader};
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 pub struct Exchange {
     link: Link,
-    reader: Reader,
+    reader: ResponseReader,
 }
 
 impl Exchange {
@@ -41,13 +41,13 @@
             }
         })?;
         link.out.words(|words| words.extend_from_slice(&question));
-        let id = keep(Exchange { link, reader: Reader::default() });
+        let id = keep(Exchange { link, reader: ResponseReader::default() });
         cell.set(id);
         Ok(id)
     }
 
     /// Reads what has come: nothing while neither the answer is whole nor the connection at its end.
-    pub fn hear(&mut self, chunk: &mut [u8]) -> Option<Result<Reply, Failure>> {
+    pub fn hear(&mut self, chunk: &mut [u8]) -> Option<Result<Response, Failure>> {
         if self.link.connected().is_err() {
             return Some(Err(Failure::NeverAsked));
         }
@@ -55,8 +55,8 @@
         loop {
             match self.link.read(chunk) {
                 Got::Dry => return None,
-                Got::End | Got::Broken if !self.link.began() => return Some(Err(Failure::NeverAsked)),
-                Got::End | Got::Broken => return Some(Err(Failure::Closed)),
+                Got::End | Got::ProtocolError if !self.link.began() => return Some(Err(Failure::NeverAsked)),
+                Got::End | Got::ProtocolError => return Some(Err(Failure::Closed)),
                 Got::Bytes(n) => self.link.input.extend_from_slice(&chunk[..n]),
             }
             match self.reader.read(&self.link.input) {
@@ -72,7 +72,7 @@
         self.link.began() && self.link.waiting() == 0
     }
 
-    pub fn body(&self, reply: &Reply) -> &[u8] {
+    pub fn body(&self, reply: &Response) -> &[u8] {
         &self.link.input[reply.body.clone()]
     }
 
--- a/crates/aldercrank-server/src/net/index.rs
+++ b/crates/aldercrank-server/src/net/index.rs
@@ -5,9 +5,9 @@
 use super::exchange::{Exchange, Failure};
 use super::{Due, Net, Server};
 use crate::index;
-use crate::pool::Rid;
 use crate::slots::{Slot, Slots};
-use aldercrank::{Outcome, TxnId};
+use crate::worker_pool::AttemptId;
+use aldercrank::{Outcome, RequestId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
 
 struct Conn {
     exchange: Exchange,
-    txn: TxnId,
+    request: RequestId,
 }
 
 #[derive(Default)]
 pub struct Calls {
     conns: Slots<Conn>,
     /// The connection of each call; none where it could not be made.
-    open: BTreeMap<TxnId, Option<CallConn>>,
+    open: BTreeMap<RequestId, Option<CallConn>>,
     most: usize,
 }
 
@@ -34,44 +34,44 @@
 }
 
 impl Net {
-    pub fn call(&mut self, txn: TxnId, rid: Rid, body: &[u8], give_up: Duration) {
+    pub fn call(&mut self, request: RequestId, attempt: AttemptId, body: &[u8], timeout: Duration) {
         let now = self.clock.now();
         let host = self.index_addr.map(|addr| addr.to_string()).unwrap_or_default();
-        let conn = self.new_call(txn, index::request(&host, rid, give_up, body));
-        self.calls.open.insert(txn, conn);
+        let conn = self.new_call(request, index::write_call(&host, attempt, timeout, body));
+        self.calls.open.insert(request, conn);
         // Without a connection it never ran; that is said at once, but not before the module has returned.
-        let at = if conn.is_some() { now + give_up } else { now };
-        self.deadlines.set(Due::Call(txn), at);
+        let at = if conn.is_some() { now + timeout } else { now };
+        self.deadlines.set(Due::Call(request), at);
     }
 
-    fn new_call(&mut self, txn: TxnId, request: Vec<u8>) -> Option<CallConn> {
+    fn new_call(&mut self, request: RequestId, bytes: Vec<u8>) -> Option<CallConn> {
         if self.calls.conns.len() >= self.calls.most {
             tracing::warn!("no room for another call");
             return None;
         }
         let to = self.index_addr?;
         let conns = &mut self.calls.conns;
-        let keep = |exchange| conns.insert(Conn { exchange, txn }).map(CallConn);
-        let begun = Exchange::begin(&self.on_loop, to, request, Server::call_ready, keep);
+        let keep = |exchange| conns.insert(Conn { exchange, request }).map(CallConn);
+        let begun = Exchange::begin(&self.on_loop, to, bytes, Server::call_ready, keep);
         begun.inspect_err(|e| tracing::warn!(why = %e, "the index can't be reached")).ok()?
     }
 
     /// Ends a call by closing its connection, whether it is over or given up.
-    pub fn hang_up(&mut self, txn: TxnId) {
-        self.deadlines.clear(Due::Call(txn));
-        let conn = self.calls.open.remove(&txn).flatten();
+    pub fn hang_up(&mut self, request: RequestId) {
+        self.deadlines.clear(Due::Call(request));
+        let conn = self.calls.open.remove(&request).flatten();
         if let Some(c) = conn.and_then(|conn| self.calls.conns.remove(conn.0)) {
             c.exchange.close(&self.on_loop);
         }
     }
 
     /// Hears on a connection to the index: once the call is over, whose it was, how it went, and the body.
-    fn call_heard(&mut self, conn: CallConn, chunk: &mut [u8]) -> Option<(TxnId, Outcome, Vec<u8>)> {
+    fn call_heard(&mut self, conn: CallConn, chunk: &mut [u8]) -> Option<(RequestId, Outcome, Vec<u8>)> {
         let c = self.calls.conns.get_mut(conn.0)?;
         let (how, body) = match c.exchange.hear(chunk)? {
             Ok(reply) => {
-                let how = index::outcome(&reply);
-                if how == Outcome::Errored {
+                let how = index::call_outcome(&reply);
+                if how == Outcome::Failed {
                     tracing::info!(status = reply.status, "the index answered");
                 }
                 (how, c.exchange.body(&reply).to_vec())
@@ -79,17 +79,17 @@
             Err(Failure::NeverAsked) => (Outcome::Unreachable, Vec::new()),
             Err(Failure::Closed) => {
                 tracing::info!("the index broke a call off");
-                (Outcome::Severed, Vec::new())
+                (Outcome::ConnectionLost, Vec::new())
             }
             // It came from where the call ran: nothing is proved.
             Err(Failure::Unreadable(why)) => {
                 tracing::warn!(why, "the index answered what can't be read");
-                (Outcome::Severed, Vec::new())
+                (Outcome::ConnectionLost, Vec::new())
             }
         };
-        let txn = c.txn;
-        self.hang_up(txn);
-        Some((txn, how, body))
+        let request = c.request;
+        self.hang_up(request);
+        Some((request, how, body))
     }
 }
 
@@ -99,25 +99,25 @@
         let heard = self.net().call_heard(conn, &mut chunk);
         self.chunk = chunk;
         let now = self.now();
-        if let (Some(core), Some((txn, how, reply))) = (&mut self.core, heard) {
-            core.call_ended(now, txn, how, &reply);
+        if let (Some(core), Some((request, how, reply))) = (&mut self.core, heard) {
+            core.call_ended(now, request, how, &reply);
         }
     }
 
     /// The call's time is over, or it could not be made at all.
-    pub fn call_due(&mut self, txn: TxnId) {
+    pub fn call_due(&mut self, request: RequestId) {
         let (now, made) = {
             let mut net = self.net();
-            let made = net.calls.open.get(&txn).copied().flatten().is_some();
-            net.hang_up(txn);
+            let made = net.calls.open.get(&request).copied().flatten().is_some();
+            net.hang_up(request);
             (net.clock.now(), made)
         };
         if made {
             tracing::info!("the index did not answer a call in its time");
         }
-        let how = if made { Outcome::Overdue } else { Outcome::Unreachable };
+        let how = if made { Outcome::TimedOut } else { Outcome::Unreachable };
         if let Some(core) = &mut self.core {
-            core.call_ended(now, txn, how, &[]);
+            core.call_ended(now, request, how, &[]);
         }
     }
 }
--- a/crates/aldercrank-server/src/net/link.rs
+++ b/crates/aldercrank-server/src/net/link.rs
@@ -2,7 +2,7 @@
 
 use super::wait::{Waiter, Whose};
 use super::Server;
-use crate::payload::Out;
+use crate::payload::OutputBuffer;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
 use rustix::io::retry_on_intr;
@@ -22,7 +22,7 @@
     /// The other side says no more; it may still read.
     End,
     /// The connection broke.
-    Broken,
+    ProtocolError,
 }
 
 impl Got {
@@ -31,7 +31,7 @@
             Ok(0) => Got::End,
             Ok(n) => Got::Bytes(n),
             Err(rustix::io::Errno::AGAIN) => Got::Dry,
-            Err(_) => Got::Broken,
+            Err(_) => Got::ProtocolError,
         }
     }
 }
@@ -47,7 +47,7 @@
     token: Option<RegistrationToken>,
     /// What has been read and is not whole.
     pub input: Vec<u8>,
-    pub out: Out,
+    pub out: OutputBuffer,
     connecting: bool,
     /// It was reset. The system tells of that once, so a later read would take it for an end.
     broken: bool,
@@ -55,7 +55,7 @@
 
 impl Link {
     fn of(stream: TcpStream, connecting: bool) -> Link {
-        let (stream, out) = (Rc::new(stream), Out::default());
+        let (stream, out) = (Rc::new(stream), OutputBuffer::default());
         Link { stream, token: None, input: Vec::new(), out, connecting, broken: false }
     }
 
@@ -155,7 +155,7 @@
     /// Reads once, into the front of `into`.
     pub fn read(&mut self, into: &mut [u8]) -> Got {
         match Got::of(retry_on_intr(|| rustix::io::read(&*self.stream, &mut *into))) {
-            Got::End if self.broken => Got::Broken,
+            Got::End if self.broken => Got::ProtocolError,
             got => got,
         }
     }
--- a/crates/aldercrank-server/src/net/members.rs
+++ b/crates/aldercrank-server/src/net/members.rs
@@ -1,17 +1,17 @@
 //! Reports to the membership service, often enough that no entry lapses, and at once when the word changes.
 //! Each has a connection of its own: one that stays without an answer, which counts all the same, holds up
-//! neither the next nor a change of word. When the next is due, `aldercrank-start` says: a fleet that starts, or
+//! neither the next nor a change of word. When the next is due, `aldercrank-pacing` says: a fleet that starts, or
 //! whose service comes back, must not come in one tenth of a second, nor again together ever after.
 
 use super::exchange::{Exchange, Failure};
 use super::{Due, Server};
-use crate::members::{self, EVERY, LAPSE};
+use crate::membership::{self, ENTRY_TTL, REPORT_INTERVAL};
 use crate::slots::{Slot, Slots};
-use aldercrank_start::Pace;
+use aldercrank_pacing::RetryPacer;
 use std::time::Duration;
 
 /// As many as come within the lapse may be out; the oldest gives way.
-const MOST: usize = LAPSE.as_secs().div_ceil(EVERY.as_secs()) as usize;
+const MOST: usize = ENTRY_TTL.as_secs().div_ceil(REPORT_INTERVAL.as_secs()) as usize;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ReportId(Slot);
@@ -26,7 +26,7 @@
     out: Slots<Report>,
     /// The word that was taken last.
     taken: Option<bool>,
-    pace: Pace,
+    pace: RetryPacer,
     /// The last one, until it is known what came of it.
     last: Option<Slot>,
     /// That this server leaves has still to be said.
@@ -34,7 +34,7 @@
 }
 
 impl Reports {
-    pub fn new(pace: Pace) -> Reports {
+    pub fn new(pace: RetryPacer) -> Reports {
         Reports { out: Slots::default(), taken: None, pace, last: None, owed: false }
     }
 
@@ -70,13 +70,13 @@
         // An older word must not come after a newer one, nor may those without an answer pile up.
         let room = (out.len() + 1).saturating_sub(MOST);
         for (n, (since, slot, word)) in out.into_iter().enumerate() {
-            if n < room || word != fit || now >= since + LAPSE {
+            if n < room || word != fit || now >= since + ENTRY_TTL {
                 net.end_report(slot);
             }
         }
         // By then the one that goes out now will have been answered, or it counts as lost.
-        net.deadlines.set(Due::Report, now + EVERY);
-        let report = members::report(&net.members_addr.to_string(), &net.name, fit, version, share);
+        net.deadlines.set(Due::Report, now + REPORT_INTERVAL);
+        let report = membership::write_report(&net.members_addr.to_string(), &net.name, fit, version, share);
         let out = &mut net.reports.out;
         let keep = |exchange| out.insert(Report { exchange, fit, since: now }).map(ReportId);
         let begun = Exchange::begin(&net.on_loop, net.members_addr, report, Server::report_ready, keep);
@@ -88,7 +88,7 @@
             Err(e) => {
                 tracing::warn!(why = %e, "the membership service can't be reached");
                 net.reports.owed = false;
-                let at = net.reports.pace.lost(now);
+                let at = net.reports.pace.failed(now);
                 net.deadlines.set(Due::Report, at);
             }
         }
@@ -101,7 +101,7 @@
             let (now, reports) = (net.clock.now(), &mut net.reports);
             let unanswered = reports.last.take().and_then(|slot| reports.out.get(slot));
             let begun = unanswered.map(|report| report.since);
-            let at = begun.map(|begun| reports.pace.lost(begun)).filter(|at| *at > now);
+            let at = begun.map(|begun| reports.pace.failed(begun)).filter(|at| *at > now);
             at.inspect(|at| net.deadlines.set(Due::Report, *at))
         };
         if later.is_none() {
@@ -127,9 +127,9 @@
         let last = net.reports.last.take_if(|last| *last == id.0).is_some();
         let pace = &mut net.reports.pace;
         let at = match &reply {
-            Ok(reply) if reply.status == 204 => pace.taken(now, since),
-            Ok(reply) => pace.refused(now, reply.back_in),
-            Err(_) => pace.lost(now),
+            Ok(reply) if reply.status == 204 => pace.succeeded(now, since),
+            Ok(reply) => pace.rejected(now, reply.retry_after),
+            Err(_) => pace.failed(now),
         };
         if last {
             net.deadlines.set(Due::Report, at);
--- a/crates/aldercrank-server/src/net/memory.rs
+++ b/crates/aldercrank-server/src/net/memory.rs
@@ -6,7 +6,7 @@
 //! outlives the process, however it ends, and not for certain the machine. So votes count only while the machine has
 //! not been started anew; after that a member recovers as one that has no memory.
 
-use aldercrank_agree::{member::Votes, Doc, Standing};
+use aldercrank_consensus::{member::AcceptorState, CommittedState, ConfigVersion};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions};
 use std::io;
@@ -29,9 +29,9 @@
     form: u32,
     /// The machine's start during which it was written.
     boot: Option<String>,
-    standing: Option<Standing>,
+    standing: Option<CommittedState>,
     text: Option<Arc<str>>,
-    votes: Option<Votes>,
+    votes: Option<AcceptorState>,
 }
 
 /// Nothing is kept where there is no directory.
@@ -78,21 +78,21 @@
         Memory { file, count, kept }
     }
 
-    pub fn votes(&self) -> Option<Votes> {
+    pub fn votes(&self) -> Option<AcceptorState> {
         self.kept.votes.clone()
     }
 
-    pub fn version(&self) -> Option<(Standing, Doc)> {
+    pub fn version(&self) -> Option<(CommittedState, ConfigVersion)> {
         let standing = self.kept.standing?;
-        Some((standing, Doc { stamp: standing.book, text: self.kept.text.clone()? }))
+        Some((standing, ConfigVersion { version_id: standing.book, text: self.kept.text.clone()? }))
     }
 
-    pub fn keep_votes(&mut self, votes: &Votes) {
+    pub fn keep_acceptor_state(&mut self, votes: &AcceptorState) {
         self.kept.votes = Some(votes.clone());
         self.write();
     }
 
-    pub fn keep_version(&mut self, standing: Standing, text: &Arc<str>) {
+    pub fn keep_version(&mut self, standing: CommittedState, text: &Arc<str>) {
         (self.kept.standing, self.kept.text) = (Some(standing), Some(text.clone()));
         self.write();
     }
@@ -129,10 +129,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use aldercrank_agree::Stamp;
+    use aldercrank_consensus::VersionId;
 
-    fn standing(number: u64) -> Standing {
-        Standing { last: number, book: Stamp { number, digest: [number as u8; 32] } }
+    fn standing(number: u64) -> CommittedState {
+        CommittedState { last: number, book: VersionId { number, digest: [number as u8; 32] } }
     }
 
     #[test]
@@ -158,18 +158,18 @@
     fn votes_of_another_start_of_the_machine_are_not_trusted_and_the_version_is_known() {
         let dir = std::env::temp_dir().join(format!("aldercrank-boot-{}", std::process::id()));
         let mut memory = Memory::open(Some(&dir));
-        let votes = Votes {
-            standing: standing(3),
+        let votes = AcceptorState {
+            committed: standing(3),
             text: Arc::from("t"),
             promised: Default::default(),
             accepted: None,
             accepted_text: None,
         };
         memory.keep_version(standing(3), &votes.text);
-        memory.keep_votes(&votes);
+        memory.keep_acceptor_state(&votes);
         assert_eq!(Memory::open(Some(&dir)).votes(), Some(votes.clone()));
         memory.kept.boot = Some("another".to_string());
-        memory.keep_votes(&votes);
+        memory.keep_acceptor_state(&votes);
         let later = Memory::open(Some(&dir));
         assert_eq!((later.votes(), later.version().map(|v| v.0)), (None, Some(standing(3))));
         fs::remove_dir_all(&dir).unwrap();
--- a/crates/aldercrank-server/src/net/mod.rs
+++ b/crates/aldercrank-server/src/net/mod.rs
@@ -16,15 +16,15 @@
 
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::core::{ConnId, Core, Ports, Reminder, ReplyTo, RESULTS_SHARE};
+use crate::core::{ConnId, Core, Ports, ReplyTo, TimerId, RESULTS_SHARE};
 use crate::deadlines::Deadlines;
-use crate::members::{EVERY, LAPSE};
-use crate::msgpack::{self, Beside};
-use crate::payload::{Out, Payload};
+use crate::membership::{ENTRY_TTL, REPORT_INTERVAL};
+use crate::msgpack_rpc::{self, ResponseFields};
+use crate::payload::{OutputBuffer, Payload};
 use crate::phase::Phase;
-use crate::pool as words;
-use crate::pool::{Notice, Rid};
-use aldercrank::{Settings, TxnId};
+use crate::worker_pool;
+use crate::worker_pool::{AttemptId, NoticeNumber};
+use aldercrank::{RequestId, Settings};
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, Mode, PostAction, RegistrationToken};
@@ -59,14 +59,14 @@
 /// Everything that has a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Due {
-    Core(Reminder),
+    Core(TimerId),
     /// Some connection may have been idle for its time.
     Idle,
     /// A connection that was told to close.
     Parted(ConnId),
     /// A connection owes a whole message.
     Whole(ConnId),
-    Call(TxnId),
+    Call(RequestId),
     PoolDial,
     Listen,
     Report,
@@ -104,7 +104,7 @@
 
 impl Net {
     /// Says an answer, with the free value where there is one.
-    fn answer(&mut self, reply_to: ReplyTo, write: impl FnOnce(&mut Out, Beside)) {
+    fn answer(&mut self, reply_to: ReplyTo, write: impl FnOnce(&mut OutputBuffer, ResponseFields)) {
         self.edge.answer(reply_to, write);
         self.rest(reply_to.conn);
     }
@@ -116,46 +116,46 @@
 }
 
 impl Ports for Ways {
-    fn settle(&mut self, reply_to: ReplyTo, result: Payload) {
+    fn complete(&mut self, reply_to: ReplyTo, result: Payload) {
         self.0.borrow_mut().answer(reply_to, |out, beside| {
-            out.words(|words| msgpack::settled(words, reply_to.call, result.bytes().len()));
+            out.words(|words| msgpack_rpc::write_completed(words, reply_to.call, result.bytes().len()));
             out.result(&result);
-            out.words(|words| msgpack::settled_end(words, beside));
+            out.words(|words| msgpack_rpc::write_completed_end(words, beside));
         });
     }
-    fn decline(&mut self, reply_to: ReplyTo, back_in: Option<Duration>, last: bool) {
+    fn reject(&mut self, reply_to: ReplyTo, retry_after: Option<Duration>, last: bool) {
         self.0.borrow_mut().answer(reply_to, |out, beside| {
-            out.words(|words| msgpack::declined(words, reply_to.call, beside, back_in, last));
+            out.words(|words| msgpack_rpc::write_rejected(words, reply_to.call, beside, retry_after, last));
         });
     }
-    fn void(&mut self, reply_to: ReplyTo) {
+    fn fail(&mut self, reply_to: ReplyTo) {
         self.0.borrow_mut().answer(reply_to, |out, beside| {
-            out.words(|words| msgpack::voided(words, reply_to.call, beside));
+            out.words(|words| msgpack_rpc::write_failed(words, reply_to.call, beside));
         });
     }
-    fn judged(&mut self, reply_to: ReplyTo, version: u64) {
+    fn decided_by_version(&mut self, reply_to: ReplyTo, version: u64) {
         self.0.borrow_mut().edge.judge(reply_to, version);
     }
-    fn spawn(&mut self, rid: Rid, product: &str, body: &Rc<[u8]>) {
-        self.0.borrow_mut().pool.spawn(rid, product, body);
+    fn start_run(&mut self, attempt: AttemptId, class: &str, body: &Rc<[u8]>) {
+        self.0.borrow_mut().pool.spawn(attempt, class, body);
     }
-    fn suspend(&mut self, rid: Rid) {
-        self.0.borrow_mut().pool.say(|words| words::suspend(words, rid));
+    fn stop_run(&mut self, attempt: AttemptId) {
+        self.0.borrow_mut().pool.say(|words| worker_pool::write_stop_run(words, attempt));
     }
-    fn supply(&mut self, rid: Rid, reply: &[u8]) {
-        self.0.borrow_mut().pool.say(|words| words::supply(words, rid, reply));
+    fn deliver_call_result(&mut self, attempt: AttemptId, reply: &[u8]) {
+        self.0.borrow_mut().pool.say(|words| worker_pool::write_call_result(words, attempt, reply));
     }
-    fn pass(&mut self, rid: Rid, notice: Notice) {
-        self.0.borrow_mut().pool.say(|words| words::pass(words, rid, notice));
+    fn skip_call(&mut self, attempt: AttemptId, notice: NoticeNumber) {
+        self.0.borrow_mut().pool.say(|words| worker_pool::write_skip_call(words, attempt, notice));
     }
-    fn poll(&mut self, tag: u64) {
-        self.0.borrow_mut().pool.say(|words| words::poll(words, tag));
+    fn request_metrics(&mut self, tag: u64) {
+        self.0.borrow_mut().pool.say(|words| worker_pool::write_metrics_request(words, tag));
     }
-    fn call(&mut self, txn: TxnId, rid: Rid, body: &[u8], give_up: Duration) {
-        self.0.borrow_mut().call(txn, rid, body, give_up);
+    fn start_call(&mut self, request: RequestId, attempt: AttemptId, body: &[u8], timeout: Duration) {
+        self.0.borrow_mut().call(request, attempt, body, timeout);
     }
-    fn hang_up(&mut self, txn: TxnId) {
-        self.0.borrow_mut().hang_up(txn);
+    fn cancel_call(&mut self, request: RequestId) {
+        self.0.borrow_mut().hang_up(request);
     }
     fn health(&mut self, good: bool) {
         let mut net = self.0.borrow_mut();
@@ -169,7 +169,7 @@
     fn advertise(&mut self, value: f64) {
         self.0.borrow_mut().edge.set_hint(value);
     }
-    fn remind(&mut self, what: Reminder, after: Duration) {
+    fn set_timer(&mut self, what: TimerId, after: Duration) {
         let mut net = self.0.borrow_mut();
         let at = net.clock.now() + after;
         net.deadlines.set(Due::Core(what), at);
@@ -255,7 +255,7 @@
             }
             Due::Parted(conn) => self.edge_parted(conn),
             Due::Whole(conn) => self.edge_mute(conn),
-            Due::Call(txn) => self.call_due(txn),
+            Due::Call(request) => self.call_due(request),
             Due::PoolDial => self.pool_dial(),
             Due::Listen => self.listen_again(),
             Due::Report => self.report_due(),
@@ -372,10 +372,10 @@
 impl SocketTerms {
     fn read(settings: &Settings) -> SocketTerms {
         let slack = settings.span("rules.answer_slack").unwrap_or(NAP);
-        let products = aldercrank::terms::products(settings);
-        let patience = products.iter().map(|product| product.expiry).max().unwrap_or(NAP);
+        let classes = aldercrank::parameters::classes(settings);
+        let patience = classes.iter().map(|class| class.deadline).max().unwrap_or(NAP);
         let silent = settings.flag("family_info.passes_deadline") == Some(false);
-        let deadlines = products.into_iter().filter(|_| silent).map(|product| (product.name, product.expiry));
+        let deadlines = classes.into_iter().filter(|_| silent).map(|class| (class.name, class.deadline));
         SocketTerms {
             slice: slack.mul_f64(SLICE_SHARE),
             follows_health: settings.flag("family_info.readiness") != Some(false),
@@ -386,22 +386,22 @@
 
     /// How long the caller of a request that doesn't say so waits: as long as any of its product does. None where
     /// requests have to say so.
-    fn deadline(&self, product: &str) -> Option<Duration> {
-        let known = self.deadlines.iter().find(|(name, _)| **name == *product);
+    fn deadline(&self, class: &str) -> Option<Duration> {
+        let known = self.deadlines.iter().find(|(name, _)| **name == *class);
         // The core turns away what it doesn't know, whatever its deadline.
         known.map(|(_, deadline)| *deadline).or((!self.deadlines.is_empty()).then_some(self.patience))
     }
 }
 
 /// How reports are paced: by the lapse of an entry, and by how many servers there are where that is told.
-fn pace(config: &Config) -> aldercrank_start::Pace {
-    let terms = aldercrank_start::Terms {
-        interval: EVERY,
-        lapse: LAPSE,
-        longest: config.reports_longest.unwrap_or(LAPSE.mul_f64(BACKOFF_SHARE)),
+fn pace(config: &Config) -> aldercrank_pacing::RetryPacer {
+    let terms = aldercrank_pacing::Terms {
+        interval: REPORT_INTERVAL,
+        lapse: ENTRY_TTL,
+        longest: config.reports_longest.unwrap_or(ENTRY_TTL.mul_f64(BACKOFF_SHARE)),
         servers: config.settings.num("peers_total"),
     };
-    aldercrank_start::Pace::new(terms, &config.seed, &config.name, Clock::unix())
+    aldercrank_pacing::RetryPacer::new(terms, &config.seed, &config.name, Clock::unix())
 }
 
 /// Serves until the notice to leave has been followed. `reread` gives the configuration anew, at SIGHUP.
--- a/crates/aldercrank-server/src/net/peers.rs
+++ b/crates/aldercrank-server/src/net/peers.rs
@@ -3,8 +3,8 @@
 
 use super::link::{Got, Link, Loop};
 use super::Server;
-use crate::msgpack::{self, CallNo, Caller, Fields, With, RULES};
-use aldercrank_agree::{Ask, Name, Stamp, Ticket, Told};
+use crate::msgpack_rpc::{self, MessageId, ReceivedFields, RequestFields, ResponseHandler, CONSENSUS_METHOD};
+use aldercrank_consensus::{CorrelationId, PeerRequest, PeerResponse, ServerName, VersionId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     Server,
-    Member,
+    CommitteeMember,
 }
 
 /// One connection, never given out twice.
@@ -29,72 +29,79 @@
     number: PeerNo,
     link: Link,
     next: u32,
-    open: BTreeMap<CallNo, (Side, Ticket)>,
+    open: BTreeMap<MessageId, (Side, CorrelationId)>,
     /// It takes nothing new.
     closing: bool,
 }
 
 /// What has come of a question, or without one.
 pub enum Heard {
-    Told(Side, Ticket, Box<Told>),
-    Lost(Side, Ticket),
-    News(Option<Stamp>),
+    PeerResponse(Side, CorrelationId, Box<PeerResponse>),
+    Lost(Side, CorrelationId),
+    News(Option<VersionId>),
 }
 
 pub struct Peers {
     on_loop: Loop,
-    all: BTreeMap<Name, Peer>,
+    all: BTreeMap<ServerName, Peer>,
     numbers: u64,
     /// Where each is reached.
-    places: BTreeMap<Name, SocketAddr>,
+    places: BTreeMap<ServerName, SocketAddr>,
     /// Where some are reached from here instead.
-    reach: BTreeMap<Name, SocketAddr>,
+    reach: BTreeMap<ServerName, SocketAddr>,
 }
 
 /// What was heard on a connection, gathered while its bytes are borrowed.
 #[derive(Default)]
 struct Ear {
-    answers: Vec<(CallNo, Option<Told>)>,
-    news: Vec<Option<Stamp>>,
+    answers: Vec<(MessageId, Option<PeerResponse>)>,
+    news: Vec<Option<VersionId>>,
     closing: bool,
 }
 
-impl Caller for Ear {
-    fn settled(&mut self, call: CallNo, result: &[u8], _: With) {
+impl ResponseHandler for Ear {
+    fn completed(&mut self, call: MessageId, result: &[u8], _: ReceivedFields) {
         self.answers.push((call, rmp_serde::from_slice(result).ok()));
     }
-    fn declined(&mut self, call: CallNo, _: With) {
+    fn rejected(&mut self, call: MessageId, _: ReceivedFields) {
         self.answers.push((call, None));
     }
-    fn voided(&mut self, call: CallNo, _: &str, _: With) {
+    fn failed(&mut self, call: MessageId, _: &str, _: ReceivedFields) {
         self.answers.push((call, None));
     }
-    fn checked(&mut self, call: CallNo, _: bool, _: With) {
+    fn health_reported(&mut self, call: MessageId, _: bool, _: ReceivedFields) {
         self.answers.push((call, None));
     }
     fn closing(&mut self) {
         self.closing = true;
     }
-    fn news(&mut self, body: &[u8]) {
-        self.news.extend(rmp_serde::from_slice::<Option<Stamp>>(body).ok());
+    fn notified(&mut self, body: &[u8]) {
+        self.news.extend(rmp_serde::from_slice::<Option<VersionId>>(body).ok());
     }
 }
 
 impl Peers {
     pub fn new(on_loop: Loop, reach: &BTreeMap<String, SocketAddr>) -> Peers {
-        let reach = reach.iter().map(|(name, at)| (Name::new(name), *at)).collect();
+        let reach = reach.iter().map(|(name, at)| (ServerName::new(name), *at)).collect();
         Peers { on_loop, all: BTreeMap::new(), numbers: 0, places: BTreeMap::new(), reach }
     }
 
     /// Where members are, by the book in force.
     pub fn know(&mut self, committee: Vec<(String, SocketAddr)>) {
         for (name, at) in committee {
-            self.places.insert(Name::new(&name), at);
+            self.places.insert(ServerName::new(&name), at);
         }
     }
 
     /// Asks; whether it could be. The connection that the question needs may not stand yet.
-    pub fn ask(&mut self, to: &Name, side: Side, ticket: Ticket, ask: &Ask, lost: &mut Vec<(Side, Ticket)>) {
+    pub fn ask(
+        &mut self,
+        to: &ServerName,
+        side: Side,
+        correlation_id: CorrelationId,
+        ask: &PeerRequest,
+        lost: &mut Vec<(Side, CorrelationId)>,
+    ) {
         let stuck = self.all.get(to).is_some_and(|p| p.open.len() >= OPEN);
         if stuck {
             lost.extend(self.close(to));
@@ -102,18 +109,20 @@
         let asked = self.dial(to).is_some_and(|peer| {
             let Ok(body) = rmp_serde::to_vec(ask) else { return false };
             peer.next += 1;
-            let call = CallNo(peer.next);
-            peer.open.insert(call, (side, ticket));
-            peer.link.out.words(|words| msgpack::ask(words, call, RULES, &Fields::default(), &body));
+            let call = MessageId(peer.next);
+            peer.open.insert(call, (side, correlation_id));
+            peer.link.out.words(|words| {
+                msgpack_rpc::write_request(words, call, CONSENSUS_METHOD, &RequestFields::default(), &body)
+            });
             peer.link.flush();
             true
         });
         if !asked {
-            lost.push((side, ticket));
+            lost.push((side, correlation_id));
         }
     }
 
-    fn dial(&mut self, to: &Name) -> Option<&mut Peer> {
+    fn dial(&mut self, to: &ServerName) -> Option<&mut Peer> {
         if !self.all.contains_key(to) {
             let at = *self.reach.get(to).or_else(|| self.places.get(to))?;
             self.numbers += 1;
@@ -128,16 +137,17 @@
     }
 
     /// Ends a connection; gives what was asked on it and not answered.
-    fn close(&mut self, to: &Name) -> Vec<(Side, Ticket)> {
+    fn close(&mut self, to: &ServerName) -> Vec<(Side, CorrelationId)> {
         let Some(peer) = self.all.remove(to) else { return Vec::new() };
         peer.link.close(&self.on_loop);
         peer.open.into_values().collect()
     }
 
     /// A server that is no member keeps the connection to the member that it asks, and no other.
-    pub fn keep_only(&mut self, one: &Name) {
-        let idle = |(name, peer): (&Name, &Peer)| (name != one && peer.open.is_empty()).then(|| name.clone());
-        let idle: Vec<Name> = self.all.iter().filter_map(idle).collect();
+    pub fn keep_only(&mut self, one: &ServerName) {
+        let idle =
+            |(name, peer): (&ServerName, &Peer)| (name != one && peer.open.is_empty()).then(|| name.clone());
+        let idle: Vec<ServerName> = self.all.iter().filter_map(idle).collect();
         for name in idle {
             self.close(&name);
         }
@@ -155,13 +165,13 @@
         while !ended && !peer.link.connecting() {
             match peer.link.read(chunk) {
                 Got::Dry => break,
-                Got::End | Got::Broken => ended = true,
+                Got::End | Got::ProtocolError => ended = true,
                 Got::Bytes(n) => peer.link.input.extend_from_slice(&chunk[..n]),
             }
         }
         let (mut ear, mut taken) = (Ear::default(), 0);
         loop {
-            match msgpack::answer(&peer.link.input[taken..], ANSWER, &mut ear) {
+            match msgpack_rpc::read_response(&peer.link.input[taken..], ANSWER, &mut ear) {
                 Ok(Some(n)) => taken += n,
                 Ok(None) => break,
                 Err(broken) => {
@@ -174,16 +184,18 @@
         peer.link.input.drain(..taken);
         peer.closing |= ear.closing;
         let mut heard: Vec<Heard> = ear.news.into_iter().map(Heard::News).collect();
-        for (call, told) in ear.answers {
-            if let Some((side, ticket)) = peer.open.remove(&call) {
-                heard.push(match told {
-                    Some(told) => Heard::Told(side, ticket, Box::new(told)),
-                    None => Heard::Lost(side, ticket),
+        for (call, response) in ear.answers {
+            if let Some((side, correlation_id)) = peer.open.remove(&call) {
+                heard.push(match response {
+                    Some(response) => Heard::PeerResponse(side, correlation_id, Box::new(response)),
+                    None => Heard::Lost(side, correlation_id),
                 });
             }
         }
         if ended || (peer.closing && peer.open.is_empty()) {
-            heard.extend(self.close(&name).into_iter().map(|(side, ticket)| Heard::Lost(side, ticket)));
+            heard.extend(
+                self.close(&name).into_iter().map(|(side, correlation_id)| Heard::Lost(side, correlation_id)),
+            );
         }
         heard
     }
--- a/crates/aldercrank-server/src/net/pool.rs
+++ b/crates/aldercrank-server/src/net/pool.rs
@@ -6,9 +6,9 @@
 use crate::clock::Clock;
 use crate::core::Core;
 use crate::payload::{count, Payload, LARGE};
-use crate::pool::{self, Notice, Pool, Rid};
+use crate::worker_pool::{self, AttemptId, EventHandler, NoticeNumber};
 use aldercrank::{Outcome, Value};
-use aldercrank_start::{Pace, Terms};
+use aldercrank_pacing::{RetryPacer, Terms};
 use bytes::Bytes;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -29,16 +29,16 @@
     link: Option<Link>,
     /// Counts the links.
     number: u32,
-    reader: pool::Reader,
+    reader: worker_pool::EventReader,
     /// The other side has ended the link: it is read until that shows.
     ended: bool,
     /// The longest result; how long a large message that has come in part will be.
     most: usize,
     wants: Option<usize>,
     /// Spawns that have been said, by where each begins in all that goes out, until they have begun to.
-    unsaid: VecDeque<(u64, Rid)>,
+    unsaid: VecDeque<(u64, AttemptId)>,
     /// The last notice that was taken.
-    last: Notice,
+    last: NoticeNumber,
     bound: bool,
     /// The link to the old place, until the new one is bound: what was said on it can still be read there.
     parting: Option<Link>,
@@ -48,7 +48,7 @@
     bind_said: Duration,
     /// When the worker pool came up, at the latest: the clock counts from the first one's start.
     started: Duration,
-    pace: Pace,
+    pace: RetryPacer,
 }
 
 impl PoolLink {
@@ -59,18 +59,18 @@
         PoolLink {
             link: None,
             number: 0,
-            reader: pool::Reader::at_most(most),
+            reader: worker_pool::EventReader::at_most(most),
             ended: false,
             most,
             wants: None,
             unsaid: VecDeque::new(),
-            last: Notice(0),
+            last: NoticeNumber(0),
             bound: false,
             parting: None,
             lost: None,
             bind_said: Duration::ZERO,
             started: Duration::ZERO,
-            pace: Pace::new(terms, seed, name, Clock::unix()),
+            pace: RetryPacer::new(terms, seed, name, Clock::unix()),
         }
     }
 
@@ -82,12 +82,12 @@
         }
     }
 
-    pub fn spawn(&mut self, rid: Rid, product: &str, body: &Rc<[u8]>) {
+    pub fn spawn(&mut self, attempt: AttemptId, class: &str, body: &Rc<[u8]>) {
         let Some(link) = self.link.as_mut().filter(|_| self.bound) else { return };
-        self.unsaid.push_back((link.out.end(), rid));
-        link.out.words(|words| pool::spawn(words, rid, product, body.len()));
+        self.unsaid.push_back((link.out.end(), attempt));
+        link.out.words(|words| worker_pool::write_start_run(words, attempt, class, body.len()));
         link.out.body(body);
-        link.out.words(pool::after);
+        link.out.words(worker_pool::write_payload_end);
     }
 
     pub fn flush(&mut self) {
@@ -108,7 +108,7 @@
 
 impl Hear<'_> {
     /// Whether a notice is new: replayed ones are taken once.
-    fn fresh(&mut self, notice: Notice) -> bool {
+    fn fresh(&mut self, notice: NoticeNumber) -> bool {
         let mut net = self.server.net();
         let fresh = notice > net.pool.last;
         net.pool.last = net.pool.last.max(notice);
@@ -116,14 +116,14 @@
     }
 }
 
-impl Pool for Hear<'_> {
+impl EventHandler for Hear<'_> {
     fn bound(&mut self, cold: bool, age: Duration) {
         {
             let mut net = self.server.net();
             let net = &mut *net;
             net.pool.bound = true;
             let now = net.clock.now();
-            net.pool.pace.taken(now, now);
+            net.pool.pace.succeeded(now, now);
             if let Some(old) = net.pool.parting.take() {
                 old.close(&net.on_loop);
             }
@@ -131,46 +131,53 @@
         self.server.bound(cold, age);
     }
 
-    fn finished(&mut self, notice: Notice, rid: Rid, how: Outcome, took: Duration, result: &[u8]) {
+    fn run_finished(
+        &mut self,
+        notice: NoticeNumber,
+        attempt: AttemptId,
+        how: Outcome,
+        took: Duration,
+        result: &[u8],
+    ) {
         if self.fresh(notice) {
             let now = self.server.now();
             let shared = self.whole.filter(|_| result.len() >= LARGE).map(|whole| whole.slice_ref(result));
             let result = shared.as_ref().map_or(Payload::Passing(result), Payload::Shared);
             if let Some(core) = &mut self.server.core {
-                core.run_ended(now, rid, how, took, result);
+                core.run_ended(now, attempt, how, took, result);
             }
         }
     }
 
-    fn blocked(&mut self, notice: Notice, rid: Rid, body: &[u8]) {
+    fn run_blocked(&mut self, notice: NoticeNumber, attempt: AttemptId, body: &[u8]) {
         if self.fresh(notice) {
             let now = self.server.now();
             if let Some(core) = &mut self.server.core {
-                core.call_needed(now, rid, notice, body);
+                core.call_needed(now, attempt, notice, body);
             }
         }
     }
 
-    fn chatter(&mut self, notice: Notice) {
+    fn other_notice(&mut self, notice: NoticeNumber) {
         self.fresh(notice);
     }
 
-    fn polled(&mut self, tag: u64, gauges: &[f64]) {
+    fn metrics_reported(&mut self, tag: u64, load_metrics: &[f64]) {
         let now = self.server.now();
         if let Some(core) = &mut self.server.core {
-            core.polled(now, tag, gauges);
+            core.polled(now, tag, load_metrics);
         }
     }
 
-    fn unknown(&mut self, command: &str, id: &str) {
+    fn unknown_attempt(&mut self, command: &str, id: &str) {
         tracing::info!(id, command, "the pool knows no such run");
         let now = self.server.now();
-        if let (Some(core), "spawn", Some(rid)) = (&mut self.server.core, command, Rid::new(id)) {
-            core.run_unknown(now, rid);
+        if let (Some(core), "spawn", Some(attempt)) = (&mut self.server.core, command, AttemptId::new(id)) {
+            core.run_unknown(now, attempt);
         }
     }
 
-    fn nonsense(&mut self, line: &str) {
+    fn malformed_line(&mut self, line: &str) {
         tracing::warn!(line, "the pool said what is no notice");
     }
 }
@@ -202,7 +209,7 @@
             Err(e) => {
                 tracing::warn!(why = %e, "no link to the pool");
                 let now = net.clock.now();
-                let at = net.pool.pace.lost(now);
+                let at = net.pool.pace.failed(now);
                 net.deadlines.set(Due::PoolDial, at);
             }
         }
@@ -231,7 +238,7 @@
         }
         match link.connected() {
             Ok(()) => {
-                link.out.words(|words| pool::bind(words, last));
+                link.out.words(|words| worker_pool::write_bind(words, last));
                 link.flush();
                 net.pool.bind_said = net.clock.now();
                 drop(net);
@@ -272,7 +279,7 @@
                     }
                 }
                 Got::Dry => break false,
-                Got::End | Got::Broken => break true,
+                Got::End | Got::ProtocolError => break true,
             }
             if turns == TURNS {
                 self.net().pool_again = true;
@@ -362,17 +369,17 @@
                 link.close(&net.on_loop);
             }
             now = net.clock.now();
-            net.pool.reader = pool::Reader::at_most(net.pool.most);
+            net.pool.reader = worker_pool::EventReader::at_most(net.pool.most);
             (net.pool.wants, net.pool.ended) = (None, false);
             unsaid = std::mem::take(&mut net.pool.unsaid);
             if std::mem::take(&mut net.pool.bound) {
                 net.pool.lost = Some(now);
             }
-            let at = net.pool.pace.lost(now);
+            let at = net.pool.pace.failed(now);
             net.deadlines.set(Due::PoolDial, at);
         }
         if let Some(core) = &mut self.core {
-            core.pool_lost(now, unsaid.into_iter().map(|(_, rid)| rid));
+            core.pool_lost(now, unsaid.into_iter().map(|(_, attempt)| attempt));
         }
     }
 
@@ -407,7 +414,7 @@
             let other = pool.lost.take().is_some_and(|at| at + age < now || later);
             if other {
                 tracing::warn!("the pool is another one");
-                (pool.last, pool.started) = (Notice(0), now.saturating_sub(age));
+                (pool.last, pool.started) = (NoticeNumber(0), now.saturating_sub(age));
             }
             other
         };
--- a/crates/aldercrank-server/src/net/rules.rs
+++ b/crates/aldercrank-server/src/net/rules.rs
@@ -8,17 +8,18 @@
 use crate::clock::Clock;
 use crate::config::{Config, Rules as Wanted};
 use crate::core::{ConnId, ReplyTo};
-use crate::members;
-use crate::msgpack;
+use crate::membership;
+use crate::msgpack_rpc;
 use aldercrank::Settings;
-use aldercrank_agree::words::Read;
-use aldercrank_agree::{follower, member};
-use aldercrank_agree::{
-    Ask, Doc, Follower, Handover, Level, Member, Name, Stamp, Standing, Terms, Ticket, Told,
+use aldercrank_consensus::messages::VersionSummary;
+use aldercrank_consensus::{follower, member};
+use aldercrank_consensus::{
+    CommittedState, CommitteeMember, ConfigVersion, CorrelationId, Follower, PeerRequest, PeerResponse,
+    PermissionLevel, QuotaHandover, ServerName, Terms, VersionId,
 };
-use aldercrank_rules::{changes, tightens, Book, Role};
-use aldercrank_start::Look;
-use aldercrank_start::Pace;
+use aldercrank_pacing::RetryPacer;
+use aldercrank_pacing::SlowStartStatus;
+use aldercrank_versioned_config::{changes, restrictions, Consistency, VersionedConfig};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -40,7 +41,7 @@
 
 /// Reads of the list service.
 struct Reading {
-    pace: Pace,
+    pace: RetryPacer,
     /// The one that is out, and when it was begun.
     out: Option<(u64, Exchange, Duration)>,
     numbers: u64,
@@ -51,17 +52,17 @@
 
 /// What both sides of the agreement act through.
 struct Hand {
-    me: Name,
+    me: ServerName,
     platform: Settings,
     peers: Peers,
     memory: Memory,
     /// Questions to the member in this very server.
-    local: VecDeque<(Ticket, Ask)>,
-    lost: Vec<(Side, Ticket)>,
-    news: Option<Option<Stamp>>,
+    local: VecDeque<(CorrelationId, PeerRequest)>,
+    lost: Vec<(Side, CorrelationId)>,
+    news: Option<Option<VersionId>>,
     /// A version that has come to be in force here and has not been told on.
-    force: Option<(Doc, Rc<Book>, Duration)>,
-    books: VecDeque<(Stamp, Rc<Book>)>,
+    force: Option<(ConfigVersion, Rc<VersionedConfig>, Duration)>,
+    books: VecDeque<(VersionId, Rc<VersionedConfig>)>,
 }
 
 struct AsServer<'a>(&'a mut Hand);
@@ -73,30 +74,30 @@
     terms: Terms,
     life: u64,
     follower: Follower,
-    member: Option<Member>,
+    member: Option<CommitteeMember>,
     hand: Hand,
     /// Where the book gives shares of the index.
-    shares: Option<Handover<f64>>,
-    book: Option<Rc<Book>>,
+    shares: Option<QuotaHandover<f64>>,
+    book: Option<Rc<VersionedConfig>>,
     since: Duration,
-    told: (Duration, Duration),
-    level: Level,
-    attached: BTreeMap<Name, ConnId>,
+    response: (Duration, Duration),
+    level: PermissionLevel,
+    attached: BTreeMap<ServerName, ConnId>,
     reading: Option<Reading>,
 }
 
-fn stamp(book: &Book) -> Stamp {
-    Stamp { number: book.number.0, digest: book.digest().0 }
+fn version_id(book: &VersionedConfig) -> VersionId {
+    VersionId { number: book.number.0, digest: book.digest().0 }
 }
 
 impl Hand {
     /// The book of this text, read once.
-    fn book(&mut self, wanted: &Stamp, text: &str) -> Option<Rc<Book>> {
+    fn book(&mut self, wanted: &VersionId, text: &str) -> Option<Rc<VersionedConfig>> {
         if let Some((_, book)) = self.books.iter().find(|(known, _)| known == wanted) {
             return Some(book.clone());
         }
-        let book = Rc::new(Book::parse(text).ok()?);
-        if stamp(&book) != *wanted {
+        let book = Rc::new(VersionedConfig::parse(text).ok()?);
+        if version_id(&book) != *wanted {
             return None;
         }
         self.books.push_front((*wanted, book.clone()));
@@ -104,39 +105,49 @@
         Some(book)
     }
 
-    fn read(&mut self, wanted: &Stamp, text: &str, before: Option<&Doc>) -> Option<Read> {
+    fn read(
+        &mut self,
+        wanted: &VersionId,
+        text: &str,
+        before: Option<&ConfigVersion>,
+    ) -> Option<VersionSummary> {
         let book = self.book(wanted, text)?;
-        let before = before.and_then(|doc| self.book(&doc.stamp, &doc.text));
-        let mut misfits = book.misfits(&self.platform, &self.me.0);
+        let before = before.and_then(|doc| self.book(&doc.version_id, &doc.text));
+        let mut incompatibilities = book.incompatibilities(&self.platform, &self.me.0);
         let mut tighter = Vec::new();
         if let Some(before) = before {
-            let fixed = changes(&before, &book).into_iter().filter(|c| c.role == Role::Fixed);
-            misfits.extend(fixed.map(|c| format!("{} can't be changed in service", c.path)));
-            tighter = tightens(&before, &book);
+            let fixed = changes(&before, &book).into_iter().filter(|c| c.role == Consistency::Fixed);
+            incompatibilities.extend(fixed.map(|c| format!("{} can't be changed in service", c.path)));
+            tighter = restrictions(&before, &book);
         }
-        let servers = book.servers().map(|all| all.into_keys().map(Name::new).collect());
-        Some(Read {
-            misfit: misfits.into_iter().next(),
-            committee: book.committee().iter().map(|(name, _)| Name::new(name)).collect(),
+        let servers = book.servers().map(|all| all.into_keys().map(ServerName::new).collect());
+        Some(VersionSummary {
+            misfit: incompatibilities.into_iter().next(),
+            committee: book.committee().iter().map(|(name, _)| ServerName::new(name)).collect(),
             servers,
-            tightens: tighter,
+            restrictions: tighter,
         })
     }
 }
 
 impl follower::Ports for AsServer<'_> {
-    fn ask(&mut self, to: &Name, ticket: Ticket, ask: Ask) {
+    fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, ask: PeerRequest) {
         let hand = &mut *self.0;
         if *to == hand.me {
-            return hand.local.push_back((ticket, ask));
+            return hand.local.push_back((correlation_id, ask));
         }
-        hand.peers.ask(to, Side::Server, ticket, &ask, &mut hand.lost);
-    }
-    fn read(&mut self, stamp: &Stamp, text: &str, before: Option<&Doc>) -> Option<Read> {
-        self.0.read(stamp, text, before)
+        hand.peers.ask(to, Side::Server, correlation_id, &ask, &mut hand.lost);
     }
-    fn in_force(&mut self, doc: &Doc, _: &Read, stood: Duration) {
-        if let Some(book) = self.0.book(&doc.stamp, &doc.text) {
+    fn read(
+        &mut self,
+        version_id: &VersionId,
+        text: &str,
+        before: Option<&ConfigVersion>,
+    ) -> Option<VersionSummary> {
+        self.0.read(version_id, text, before)
+    }
+    fn version_committed(&mut self, doc: &ConfigVersion, _: &VersionSummary, stood: Duration) {
+        if let Some(book) = self.0.book(&doc.version_id, &doc.text) {
             self.0.peers.know(book.committee());
             self.0.force = Some((doc.clone(), book, stood));
         }
@@ -144,29 +155,35 @@
 }
 
 impl member::Ports for AsMember<'_> {
-    fn ask(&mut self, to: &Name, ticket: Ticket, ask: Ask) {
+    fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, ask: PeerRequest) {
         let hand = &mut *self.0;
-        hand.peers.ask(to, Side::Member, ticket, &ask, &mut hand.lost);
+        hand.peers.ask(to, Side::CommitteeMember, correlation_id, &ask, &mut hand.lost);
     }
-    fn news(&mut self, draft: Option<Stamp>) {
+    fn notify(&mut self, draft: Option<VersionId>) {
         self.0.news = Some(draft);
     }
-    fn keep(&mut self, votes: &member::Votes) {
-        self.0.memory.keep_votes(votes);
+    fn keep(&mut self, votes: &member::AcceptorState) {
+        self.0.memory.keep_acceptor_state(votes);
     }
-    fn read(&mut self, stamp: &Stamp, text: &str, before: Option<&Doc>) -> Option<Read> {
-        self.0.read(stamp, text, before)
+    fn read(
+        &mut self,
+        version_id: &VersionId,
+        text: &str,
+        before: Option<&ConfigVersion>,
+    ) -> Option<VersionSummary> {
+        self.0.read(version_id, text, before)
     }
 }
 
 impl Rules {
     pub fn new(config: &Config, wanted: &Wanted, on_loop: super::link::Loop) -> Rules {
-        let (clock, me) = (Clock::default(), Name::new(&config.name));
+        let (clock, me) = (Clock::default(), ServerName::new(&config.name));
         let mut terms = Terms::new(wanted.book.within(), wanted.book.alone());
-        terms.mistake = wanted.mistake;
-        let genesis = Doc { stamp: stamp(&wanted.book), text: Arc::from(wanted.book.text()) };
+        terms.injected_fault = wanted.injected_fault;
+        let genesis =
+            ConfigVersion { version_id: version_id(&wanted.book), text: Arc::from(wanted.book.text()) };
         let committee = wanted.book.committee();
-        let names: Vec<Name> = committee.iter().map(|(name, _)| Name::new(name)).collect();
+        let names: Vec<ServerName> = committee.iter().map(|(name, _)| ServerName::new(name)).collect();
         let own = names.iter().position(|name| *name == me);
         let mut peers = Peers::new(on_loop, &wanted.reach);
         peers.know(committee);
@@ -184,16 +201,16 @@
         let now = clock.now();
         // Only its difference from other lives counts, not that it is a time.
         let life = Clock::unix().as_nanos() as u64;
-        let spread = own.map_or_else(|| aldercrank_start::digest(&config.name), |place| place as u64);
+        let spread = own.map_or_else(|| aldercrank_pacing::digest(&config.name), |place| place as u64);
         let mut follower = Follower::new(me.clone(), names, spread, terms.clone());
         let version = hand.memory.version();
         let newest = version.as_ref().map_or(&genesis, |(_, doc)| doc).clone();
         if let Some((standing, doc)) = version {
-            follower.remembers(now, standing, doc, &mut AsServer(&mut hand));
+            follower.restore(now, standing, doc, &mut AsServer(&mut hand));
         }
         let reading = wanted.read_list.then(|| Reading {
-            pace: Pace::new(
-                aldercrank_start::Terms {
+            pace: RetryPacer::new(
+                aldercrank_pacing::Terms {
                     interval: READ,
                     lapse: READ * 4,
                     longest: READ * 2,
@@ -218,8 +235,8 @@
             shares: None,
             book: None,
             since: now,
-            told: (Duration::ZERO, Duration::ZERO),
-            level: Level::Mute,
+            response: (Duration::ZERO, Duration::ZERO),
+            level: PermissionLevel::Mute,
             attached: BTreeMap::new(),
             reading,
         };
@@ -228,25 +245,33 @@
     }
 
     /// Takes its place on the committee, where the book has one for it.
-    fn join(&mut self, now: Duration, doc: &Doc) {
-        let Some(book) = self.hand.book(&doc.stamp, &doc.text) else { return };
+    fn join(&mut self, now: Duration, doc: &ConfigVersion) {
+        let Some(book) = self.hand.book(&doc.version_id, &doc.text) else { return };
         let on_committee = book.committee().iter().any(|(name, _)| *name == *self.hand.me.0);
         if on_committee && self.member.is_none() {
             let (id, votes) = ((self.hand.me.clone(), self.life), self.hand.memory.votes());
             let remembers = votes.is_some();
             self.life += 1;
-            self.member =
-                Member::new(now, id, doc.clone(), votes, self.terms.clone(), &mut AsMember(&mut self.hand));
-            tracing::info!(remembers, version = doc.stamp.number, "on the committee of the rule book");
+            self.member = CommitteeMember::new(
+                now,
+                id,
+                doc.clone(),
+                votes,
+                self.terms.clone(),
+                &mut AsMember(&mut self.hand),
+            );
+            tracing::info!(remembers, version = doc.version_id.number, "on the committee of the rule book");
         }
     }
 
-    fn told_to(&mut self, now: Duration, side: Side, ticket: Ticket, told: Told) {
+    fn told_to(&mut self, now: Duration, side: Side, correlation_id: CorrelationId, response: PeerResponse) {
         match side {
-            Side::Server => self.follower.heard(now, ticket, told, &mut AsServer(&mut self.hand)),
-            Side::Member => {
+            Side::Server => {
+                self.follower.handle_response(now, correlation_id, response, &mut AsServer(&mut self.hand))
+            }
+            Side::CommitteeMember => {
                 if let Some(member) = &mut self.member {
-                    member.heard(now, ticket, told, &mut AsMember(&mut self.hand));
+                    member.handle_response(now, correlation_id, response, &mut AsMember(&mut self.hand));
                 }
             }
         }
@@ -256,18 +281,20 @@
     fn carry(&mut self, now: Duration) {
         // Each turn asks one member after another; all of them in vain is a wait.
         loop {
-            if let Some((ticket, ask)) = self.hand.local.pop_front() {
-                let told = match &mut self.member {
-                    Some(member) => member.asked(now, ask, &mut AsMember(&mut self.hand)),
-                    None => Told::Silent,
+            if let Some((correlation_id, ask)) = self.hand.local.pop_front() {
+                let response = match &mut self.member {
+                    Some(member) => member.handle_request(now, ask, &mut AsMember(&mut self.hand)),
+                    None => PeerResponse::Silent,
                 };
-                self.told_to(now, Side::Server, ticket, told);
-            } else if let Some((side, ticket)) = self.hand.lost.pop() {
+                self.told_to(now, Side::Server, correlation_id, response);
+            } else if let Some((side, correlation_id)) = self.hand.lost.pop() {
                 match side {
-                    Side::Server => self.follower.lost(now, ticket, &mut AsServer(&mut self.hand)),
-                    Side::Member => {
+                    Side::Server => {
+                        self.follower.request_lost(now, correlation_id, &mut AsServer(&mut self.hand))
+                    }
+                    Side::CommitteeMember => {
                         if let Some(member) = &mut self.member {
-                            member.lost(ticket);
+                            member.request_lost(correlation_id);
                         }
                     }
                 }
@@ -277,12 +304,12 @@
         }
     }
 
-    fn woken(&mut self, now: Duration) {
+    fn timer_fired(&mut self, now: Duration) {
         if now >= self.follower.next() {
-            self.follower.woken(now, &mut AsServer(&mut self.hand));
+            self.follower.timer_fired(now, &mut AsServer(&mut self.hand));
         }
         if let Some(member) = self.member.as_mut().filter(|m| now >= m.next()) {
-            member.woken(now, &mut AsMember(&mut self.hand));
+            member.timer_fired(now, &mut AsMember(&mut self.hand));
         }
     }
 
@@ -299,7 +326,7 @@
     }
 
     fn next(&mut self, now: Duration) -> Duration {
-        let member = self.member.as_ref().map(Member::next);
+        let member = self.member.as_ref().map(CommitteeMember::next);
         let share = self.shares.as_mut().and_then(|s| s.share(now).1);
         let list = self.reading.as_ref().filter(|_| self.member.is_some()).map(|r| r.due);
         let others = [member, share, list].into_iter().flatten();
@@ -307,34 +334,34 @@
     }
 
     /// How things stand, for operators; and how far this server's start has come, where it is followed.
-    fn status(&self, now: Duration, start: Option<Look>) -> String {
+    fn status(&self, now: Duration, start: Option<SlowStartStatus>) -> String {
         let start = start.map(|look| {
             serde_json::json!({"phase": look.phase.name(), "share": look.share, "why": look.why.name()})
         });
-        let version = |standing: Standing| {
+        let version = |standing: CommittedState| {
             serde_json::json!({"last": standing.last, "version": standing.book.number,
-                "digest": format!("{}", aldercrank_rules::Digest(standing.book.digest))})
+                "digest": format!("{}", aldercrank_versioned_config::Digest(standing.book.digest))})
         };
         let (full, _) = self.follower.bounds();
         let committee = self.member.as_ref().map(|m| {
             let servers: Vec<_> = m.servers(now).iter().map(|s| serde_json::json!({
                 "name": &*s.name.0, "last": s.last, "heard_ms": ms(s.heard), "lease_ms": ms(s.lease_left),
-                "weighed": s.weighed.as_ref().map(|(stamp, verdict)| serde_json::json!({
-                    "version": stamp.number, "refuses": verdict.as_ref().err()}))})).collect();
-            let odds: Vec<String> = m.at_odds().iter().map(|(name, stamp)| format!("{name}: {stamp}")).collect();
+                "weighed": s.weighed.as_ref().map(|(version_id, verdict)| serde_json::json!({
+                    "version": version_id.number, "refuses": verdict.as_ref().err()}))})).collect();
+            let odds: Vec<String> = m.conflicting_members().iter().map(|(name, version_id)| format!("{name}: {version_id}")).collect();
             let refused = m.refusals().iter().map(|(n, why)| serde_json::json!({"version": n, "why": why}));
             let refused: Vec<_> = refused.collect();
-            serde_json::json!({"standing": version(m.standing()), "sound": m.sound(), "vouches": m.vouches(now),
-                "draft": m.draft().map(|d| d.stamp.number), "held_up": m.holds_up(now), "at_odds": odds,
+            serde_json::json!({"standing": version(m.committed()), "sound": m.is_active(), "vouches": m.confirms(now),
+                "draft": m.proposed().map(|d| d.version_id.number), "held_up": m.blocked_by(now), "at_odds": odds,
                 "refused": refused, "servers": servers,
                 "members": m.committee().iter().map(|n| n.to_string()).collect::<Vec<_>>()})
         });
         let all = serde_json::json!({
             "server": &*self.hand.me.0, "level": format!("{:?}", self.level).to_lowercase(),
-            "standing": self.follower.standing().map(version), "since_ms": ms(now.saturating_sub(self.since)),
-            "lease_ms": ms(full.saturating_sub(now)), "misfit": self.follower.misfit(), "committee": committee,
+            "standing": self.follower.committed().map(version), "since_ms": ms(now.saturating_sub(self.since)),
+            "lease_ms": ms(full.saturating_sub(now)), "misfit": self.follower.incompatibility(), "committee": committee,
             "start": start,
-            "text": self.follower.doc().map(|doc| &*doc.text), "agree_within_ms": ms(self.terms.within)});
+            "text": self.follower.version().map(|doc| &*doc.text), "agree_within_ms": ms(self.terms.within)});
         all.to_string()
     }
 }
@@ -359,10 +386,10 @@
             let Some(draft) = rules.hand.news.take() else { break };
             self.rules_news(rules, draft);
             // It is news for this very server as well.
-            rules.follower.news(now, draft, &mut AsServer(&mut rules.hand));
+            rules.follower.notify(now, draft, &mut AsServer(&mut rules.hand));
             rules.carry(now);
         }
-        if let (None, Some(home)) = (&rules.member, rules.follower.home()) {
+        if let (None, Some(home)) = (&rules.member, rules.follower.current_member()) {
             let home = home.clone();
             rules.hand.peers.keep_only(&home);
         }
@@ -377,7 +404,7 @@
         &mut self,
         rules: &mut Rules,
         now: Duration,
-        (doc, book): (Doc, Rc<Book>),
+        (doc, book): (ConfigVersion, Rc<VersionedConfig>),
         stood: Duration,
     ) {
         let before = rules.book.replace(book.clone());
@@ -386,16 +413,16 @@
         if share.is_some() || rules.shares.is_some() {
             let own = rules.hand.platform.num("family_info.calls_out").unwrap_or_default();
             // A call that was made lasts no longer than its txn.
-            let give_up = (0..).map_while(|i| rules.hand.platform.span(&format!("profiles.{i}.give_up")));
-            let longest = give_up.max().unwrap_or_default();
-            let shares = rules.shares.get_or_insert_with(|| Handover::new(rules.terms.clone(), longest));
+            let timeout = (0..).map_while(|i| rules.hand.platform.span(&format!("profiles.{i}.give_up")));
+            let longest = timeout.max().unwrap_or_default();
+            let shares = rules.shares.get_or_insert_with(|| QuotaHandover::new(rules.terms.clone(), longest));
             shares.given(now, share.unwrap_or(own), stood);
         }
-        if let Some(standing) = rules.follower.standing() {
+        if let Some(standing) = rules.follower.committed() {
             rules.hand.memory.keep_version(standing, &doc.text);
         }
         let changed = before.map_or(0, |before| changes(&before, &book).len());
-        tracing::info!(version = doc.stamp.number, digest = %book.digest(), changed, "rules in force");
+        tracing::info!(version = doc.version_id.number, digest = %book.digest(), changed, "rules in force");
         rules.join(now, &doc);
         self.rules_core(rules, now);
     }
@@ -415,15 +442,15 @@
     fn rules_lease(&mut self, rules: &mut Rules, now: Duration) {
         let bounds = rules.follower.bounds();
         let level = rules.follower.level(now).0;
-        if bounds != rules.told {
-            rules.told = bounds;
+        if bounds != rules.response {
+            rules.response = bounds;
             self.rules_bounds(rules, now);
         }
         let before = std::mem::replace(&mut rules.level, level);
         if before != level {
             let level = format!("{level:?}").to_lowercase();
             tracing::info!(level, "what may be done by the rule book");
-            if (before == Level::Mute) != (rules.level == Level::Mute) {
+            if (before == PermissionLevel::Mute) != (rules.level == PermissionLevel::Mute) {
                 self.net().good_changed = true;
             }
         }
@@ -437,7 +464,7 @@
             end => (at + end).saturating_sub(now),
         };
         if let Some(core) = &mut self.core {
-            core.leased(at, there(rules.told.0), there(rules.told.1));
+            core.leased(at, there(rules.response.0), there(rules.response.1));
         }
     }
 
@@ -450,19 +477,19 @@
         self.rules = Some(rules);
     }
 
-    fn rules_news(&mut self, rules: &mut Rules, draft: Option<Stamp>) {
+    fn rules_news(&mut self, rules: &mut Rules, draft: Option<VersionId>) {
         let Ok(body) = rmp_serde::to_vec(&draft) else { return };
         let mut net = self.net();
         rules.attached.retain(|_, conn| net.edge.get(*conn).is_some());
         for conn in rules.attached.values() {
-            net.edge.say(*conn, |out, _| out.words(|words| msgpack::news(words, &body)));
+            net.edge.say(*conn, |out, _| out.words(|words| msgpack_rpc::write_notification(words, &body)));
         }
     }
 
     /// Why these settings of the platform's can't be gone by with the book in force.
     pub(super) fn rules_misfit(&self, settings: &Settings) -> Option<String> {
         let rules = self.rules.as_ref()?;
-        rules.book.as_ref()?.misfits(settings, &rules.hand.me.0).into_iter().next()
+        rules.book.as_ref()?.incompatibilities(settings, &rules.hand.me.0).into_iter().next()
     }
 
     /// The platform's settings have changed under the book. Whether there is one.
@@ -478,7 +505,7 @@
 
     /// Whether nothing may be taken, since the rules in force are not known.
     pub(super) fn rules_mute(&self) -> bool {
-        self.rules.as_ref().is_some_and(|rules| rules.level == Level::Mute)
+        self.rules.as_ref().is_some_and(|rules| rules.level == PermissionLevel::Mute)
     }
 
     pub(super) fn rules_version(&self) -> Option<u64> {
@@ -487,31 +514,33 @@
 
     /// Another server, or an operator, asks about the rule book. False where there is none, or it makes no sense.
     pub(super) fn rules_asked(&mut self, reply_to: ReplyTo, body: &[u8]) -> bool {
-        let Ok(ask) = rmp_serde::from_slice::<Ask>(body) else { return false };
-        let mut told = None;
+        let Ok(ask) = rmp_serde::from_slice::<PeerRequest>(body) else { return false };
+        let mut response = None;
         let start = self.core.as_ref().and_then(|core| core.started());
         self.rules_do(|rules, now| {
-            told = Some(match (&ask, &mut rules.member) {
-                (Ask::Status, _) => Told::Status { text: rules.status(now, start) },
-                (_, None) => Told::Silent,
-                (Ask::Renew { from, .. }, Some(_))
+            response = Some(match (&ask, &mut rules.member) {
+                (PeerRequest::Status, _) => PeerResponse::Status { text: rules.status(now, start) },
+                (_, None) => PeerResponse::Silent,
+                (PeerRequest::Renew { from, .. }, Some(_))
                     if rules.attached.len() >= TOLD && !rules.attached.contains_key(from) =>
                 {
-                    Told::Silent
+                    PeerResponse::Silent
                 }
-                (Ask::Renew { from, .. }, Some(member)) => {
+                (PeerRequest::Renew { from, .. }, Some(member)) => {
                     rules.attached.insert(from.clone(), reply_to.conn);
-                    member.asked(now, ask, &mut AsMember(&mut rules.hand))
+                    member.handle_request(now, ask, &mut AsMember(&mut rules.hand))
                 }
-                (_, Some(member)) => member.asked(now, ask, &mut AsMember(&mut rules.hand)),
+                (_, Some(member)) => member.handle_request(now, ask, &mut AsMember(&mut rules.hand)),
             });
         });
-        let Some(bytes) = told.and_then(|told| rmp_serde::to_vec(&told).ok()) else { return false };
+        let Some(bytes) = response.and_then(|response| rmp_serde::to_vec(&response).ok()) else {
+            return false;
+        };
         self.net().answer(reply_to, |out, beside| {
             out.words(|words| {
-                msgpack::settled(words, reply_to.call, bytes.len());
+                msgpack_rpc::write_completed(words, reply_to.call, bytes.len());
                 words.extend_from_slice(&bytes);
-                msgpack::settled_end(words, beside);
+                msgpack_rpc::write_completed_end(words, beside);
             });
         });
         true
@@ -524,9 +553,11 @@
         self.chunk = chunk;
         for heard in heard {
             self.rules_do(|rules, now| match heard {
-                Heard::Told(side, ticket, told) => rules.told_to(now, side, ticket, *told),
-                Heard::Lost(side, ticket) => rules.hand.lost.push((side, ticket)),
-                Heard::News(draft) => rules.follower.news(now, draft, &mut AsServer(&mut rules.hand)),
+                Heard::PeerResponse(side, correlation_id, response) => {
+                    rules.told_to(now, side, correlation_id, *response)
+                }
+                Heard::Lost(side, correlation_id) => rules.hand.lost.push((side, correlation_id)),
+                Heard::News(draft) => rules.follower.notify(now, draft, &mut AsServer(&mut rules.hand)),
             });
         }
     }
@@ -534,7 +565,7 @@
     /// Something of the rule book's is due.
     pub(super) fn rules_due(&mut self) {
         let share = self.rules.as_ref().and_then(|r| r.shares.clone());
-        self.rules_do(|rules, now| rules.woken(now));
+        self.rules_do(|rules, now| rules.timer_fired(now));
         if share != self.rules.as_ref().and_then(|r| r.shares.clone()) {
             // A share has grown by waiting.
             if let Some(mut rules) = self.rules.take() {
@@ -559,11 +590,11 @@
         if let Some((_, exchange, _)) = reading.out.take() {
             tracing::warn!("the list service did not answer a read of the rule book in its time");
             exchange.close(&on_loop);
-            reading.due = reading.pace.lost(now);
+            reading.due = reading.pace.failed(now);
         } else {
             reading.numbers += 1;
             let number = reading.numbers;
-            let question = members::read_rules(
+            let question = membership::write_version_read(
                 &to.to_string(),
                 reading.have.as_ref().map(|(tag, _)| tag.as_str()),
                 READ,
@@ -576,7 +607,7 @@
             };
             if let Err(e) = Exchange::begin(&on_loop, to, question, Server::rules_heard, keep) {
                 tracing::warn!(why = %e, "the list service can't be reached for the rule book");
-                reading.due = reading.pace.lost(now);
+                reading.due = reading.pace.failed(now);
             }
         }
         self.rules_do(|_, _| {});
@@ -613,27 +644,27 @@
                     reading.due = now + READ.mul_f64(READ_AGAIN);
                     self.rules_do(|rules, now| {
                         if let Some(member) = &mut rules.member {
-                            member.undrafted(now, number, &mut AsMember(&mut rules.hand));
+                            member.proposal_withdrawn(now, number, &mut AsMember(&mut rules.hand));
                         }
                     });
                 }
             }
-            Ok(reply) => reading.due = reading.pace.refused(now, reply.back_in),
-            Err(_) => reading.due = reading.pace.lost(now),
+            Ok(reply) => reading.due = reading.pace.rejected(now, reply.retry_after),
+            Err(_) => reading.due = reading.pace.failed(now),
         }
         self.rules_do(|_, _| {});
     }
 
     /// A version stands at the list service.
     fn rules_read_text(&mut self, text: &str) {
-        let book = match Book::parse(text) {
+        let book = match VersionedConfig::parse(text) {
             Ok(book) => book,
             Err(faults) => {
                 let first = faults.first().map(|fault| fault.to_string()).unwrap_or_default();
                 // It has no digest to be read against: what follows it is looked for, oftener at first.
                 if let Some(rules) = &mut self.rules {
                     let now = rules.clock.now();
-                    rules.reading.iter_mut().for_each(|r| r.due = r.pace.lost(now));
+                    rules.reading.iter_mut().for_each(|r| r.due = r.pace.failed(now));
                 }
                 return tracing::error!(
                     first,
@@ -642,19 +673,19 @@
                 );
             }
         };
-        let (stamp, number) = (stamp(&book), book.number.0);
+        let (version_id, number) = (version_id(&book), book.number.0);
         let tag = format!("{number}-{}", book.digest());
         self.rules_do(|rules, now| {
             let Some(reading) = &mut rules.reading else { return };
             let new = reading.have.as_ref().map(|(tag, _)| tag) != Some(&tag);
-            reading.pace.taken(now, now);
+            reading.pace.succeeded(now, now);
             reading.have = Some((tag, number));
             if new {
                 reading.due = now + READ.mul_f64(READ_AGAIN);
             }
-            let doc = Doc { stamp, text: Arc::from(book.text()) };
+            let doc = ConfigVersion { version_id, text: Arc::from(book.text()) };
             let Some(member) = &mut rules.member else { return };
-            match member.drafted(now, doc, &mut AsMember(&mut rules.hand)) {
+            match member.version_proposed(now, doc, &mut AsMember(&mut rules.hand)) {
                 Ok(()) if new => {
                     tracing::info!(version = number, digest = %book.digest(), "a version to come was read")
                 }
--- a/crates/aldercrank-server/src/operate.rs
+++ b/crates/aldercrank-server/src/operate.rs
@@ -1,10 +1,12 @@
 //! `aldercrank rules`: what operators do with the rule book, from a command line. It speaks with servers and with the
 //! list service as any other of theirs does, one question at a time, and waits for its answer.
 
-use aldercrank_agree::{Ask, Told};
-use aldercrank_rules::{changes, tightens, Book};
-use aldercrank_wire::msgpack::{self, CallNo, Caller, Fields, With, RULES};
-use aldercrank_wire::{http, members};
+use aldercrank_consensus::{PeerRequest, PeerResponse};
+use aldercrank_protocol::msgpack_rpc::{
+    self, MessageId, ReceivedFields, RequestFields, ResponseHandler, CONSENSUS_METHOD,
+};
+use aldercrank_protocol::{http, membership};
+use aldercrank_versioned_config::{changes, restrictions, VersionedConfig};
 use bpaf::{construct, long, positional, OptionParser, Parser};
 use serde_json::Value as Json;
 use std::io::{Read, Write};
@@ -92,9 +94,9 @@
 
 type Done = Result<u8, Failed>;
 
-fn read_file(file: &str, code: u8) -> Result<Book, Failed> {
+fn read_file(file: &str, code: u8) -> Result<VersionedConfig, Failed> {
     let text = std::fs::read_to_string(file).map_err(|e| Failed(code, format!("{file}: {e}")))?;
-    Book::parse(&text).map_err(|faults| {
+    VersionedConfig::parse(&text).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(|fault| format!("{file}:{fault}")).collect();
         Failed(code, lines.join("\n"))
     })
@@ -115,9 +117,12 @@
     let book = read_file(file, 1)?;
     if let Some(config) = config {
         let config = crate::config::Config::load(Some(config), None).map_err(|why| Failed(1, why))?;
-        let misfits = book.misfits(&config.settings, &config.name);
-        if !misfits.is_empty() {
-            return Err(Failed(1, format!("{} can't go by it:\n{}", config.name, misfits.join("\n"))));
+        let incompatibilities = book.incompatibilities(&config.settings, &config.name);
+        if !incompatibilities.is_empty() {
+            return Err(Failed(
+                1,
+                format!("{} can't go by it:\n{}", config.name, incompatibilities.join("\n")),
+            ));
         }
     }
     println!("version {} ({}): can be read; agree-within {:?}", book.number, book.digest(), book.within());
@@ -130,7 +135,8 @@
             let status = ask_status(at)?;
             let text =
                 status["text"].as_str().ok_or_else(|| Failed(1, format!("{at} goes by no version yet")))?;
-            Book::parse(text).map_err(|_| Failed(1, format!("{at} has a text that can't be read here")))?
+            VersionedConfig::parse(text)
+                .map_err(|_| Failed(1, format!("{at} has a text that can't be read here")))?
         }
         (None, Some(file)) => read_file(file, 1)?,
         _ => return Err(Failed(2, "name a FILE, or a server with --at ADDR".to_string())),
@@ -142,12 +148,12 @@
 
 fn diff(json: bool, old: &str, new: &str) -> Done {
     let (old, new) = (read_file(old, 2)?, read_file(new, 2)?);
-    let (all, tighter) = (changes(&old, &new), tightens(&old, &new));
+    let (all, tighter) = (changes(&old, &new), restrictions(&old, &new));
     if json {
         let all: Vec<Json> = all
             .iter()
             .map(|c| {
-                let word = |v: &Option<aldercrank_rules::Value>| v.as_ref().map(|v| v.to_string());
+                let word = |v: &Option<aldercrank_versioned_config::Value>| v.as_ref().map(|v| v.to_string());
                 serde_json::json!({"item": c.path.to_string(), "role": format!("{:?}", c.role).to_lowercase(),
                     "from": word(&c.from), "to": word(&c.to)})
             })
@@ -167,7 +173,7 @@
 
 fn propose(to: SocketAddr, at: Option<SocketAddr>, file: &str) -> Done {
     let book = read_file(file, 1)?;
-    let (status, said) = ask_list(to, &members::write_rules(&to.to_string(), &book.text()))?;
+    let (status, said) = ask_list(to, &membership::write_version_proposal(&to.to_string(), &book.text()))?;
     if status / 100 != 2 {
         return Err(Failed(1, format!("the list service refuses it ({status}): {said}")));
     }
@@ -204,7 +210,7 @@
 }
 
 fn withdraw(to: SocketAddr) -> Done {
-    let (status, said) = ask_list(to, &members::drop_rules(&to.to_string()))?;
+    let (status, said) = ask_list(to, &membership::write_version_withdrawal(&to.to_string()))?;
     if status / 100 != 2 {
         return Err(Failed(1, format!("the list service refuses it ({status}): {said}")));
     }
@@ -336,35 +342,41 @@
 }
 
 #[derive(Default)]
-struct Ear(Option<Option<Told>>);
+struct Ear(Option<Option<PeerResponse>>);
 
-impl Caller for Ear {
-    fn settled(&mut self, _: CallNo, result: &[u8], _: With) {
+impl ResponseHandler for Ear {
+    fn completed(&mut self, _: MessageId, result: &[u8], _: ReceivedFields) {
         self.0 = Some(rmp_serde::from_slice(result).ok());
     }
-    fn declined(&mut self, _: CallNo, _: With) {
+    fn rejected(&mut self, _: MessageId, _: ReceivedFields) {
         self.0 = Some(None);
     }
-    fn voided(&mut self, _: CallNo, _: &str, _: With) {
+    fn failed(&mut self, _: MessageId, _: &str, _: ReceivedFields) {
         self.0 = Some(None);
     }
-    fn checked(&mut self, _: CallNo, _: bool, _: With) {}
+    fn health_reported(&mut self, _: MessageId, _: bool, _: ReceivedFields) {}
     fn closing(&mut self) {}
 }
 
 fn ask_status(at: SocketAddr) -> Result<Json, Failed> {
     let mut question = Vec::new();
-    let body = rmp_serde::to_vec(&Ask::Status).map_err(|e| Failed(2, e.to_string()))?;
-    msgpack::ask(&mut question, CallNo(1), RULES, &Fields::default(), &body);
+    let body = rmp_serde::to_vec(&PeerRequest::Status).map_err(|e| Failed(2, e.to_string()))?;
+    msgpack_rpc::write_request(
+        &mut question,
+        MessageId(1),
+        CONSENSUS_METHOD,
+        &RequestFields::default(),
+        &body,
+    );
     let told = ask(at, &question, |heard| {
         let mut ear = Ear::default();
-        match msgpack::answer(heard, ANSWER, &mut ear) {
+        match msgpack_rpc::read_response(heard, ANSWER, &mut ear) {
             Ok(_) => Ok(ear.0),
             Err(broken) => Err(format!("it said what is no answer: {}", broken.0)),
         }
     })?;
     match told {
-        Some(Told::Status { text }) => {
+        Some(PeerResponse::Status { text }) => {
             serde_json::from_str(&text).map_err(|e| Failed(2, format!("{at}: {e}")))
         }
         _ => Err(Failed(2, format!("{at}: it has no rule book"))),
@@ -372,7 +384,7 @@
 }
 
 fn ask_list(at: SocketAddr, question: &[u8]) -> Result<(u16, String), Failed> {
-    let mut reader = http::Reader::default();
+    let mut reader = http::ResponseReader::default();
     ask(at, question, |heard| match reader.read(heard) {
         Ok(reply) => Ok(reply.map(|r| (r.status, String::from_utf8_lossy(&heard[r.body]).into_owned()))),
         Err(why) => Err(format!("it said what is no answer: {why}")),
--- a/crates/aldercrank-server/src/payload.rs
+++ b/crates/aldercrank-server/src/payload.rs
@@ -82,7 +82,7 @@
 
 /// What is to be written: words, and between them payloads by reference.
 #[derive(Debug, Default)]
-pub struct Out {
+pub struct OutputBuffer {
     words: Vec<u8>,
     /// Payloads by where among the words each stands.
     blobs: VecDeque<(usize, Blob)>,
@@ -94,7 +94,7 @@
     written: u64,
 }
 
-impl Out {
+impl OutputBuffer {
     /// Lets `write` add words.
     pub fn words(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         let before = self.words.len();
--- a/crates/aldercrank-server/tests/suite/codecs.rs
+++ b/crates/aldercrank-server/tests/suite/codecs.rs
@@ -1,9 +1,9 @@
 //! Every codec on bytes split anywhere, cut short, and generated at random.
 
 use aldercrank::Outcome;
-use aldercrank_server::core::CallNo;
-use aldercrank_server::pool::{self, Notice, Pool, Rid};
-use aldercrank_server::{http, index, members, msgpack};
+use aldercrank_server::core::MessageId;
+use aldercrank_server::worker_pool::{self, AttemptId, EventHandler, NoticeNumber};
+use aldercrank_server::{http, index, membership, msgpack_rpc};
 use quickcheck::{Gen, QuickCheck};
 use rmp::encode::{write_array_len, write_bin, write_map_len, write_sint, write_str, write_uint};
 use std::time::Duration;
@@ -14,44 +14,51 @@
 #[derive(Default)]
 struct Heard(Vec<String>);
 
-impl msgpack::Edge for Heard {
-    fn asked(&mut self, call: CallNo, method: &str, fields: &msgpack::Fields, body: &[u8]) {
+impl msgpack_rpc::Edge for Heard {
+    fn request(&mut self, call: MessageId, method: &str, fields: &msgpack_rpc::RequestFields, body: &[u8]) {
         self.0.push(format!("asked {} {method} {fields:?} {body:?}", call.0));
     }
-    fn checked(&mut self, call: CallNo) {
+    fn health_check(&mut self, call: MessageId) {
         self.0.push(format!("checked {}", call.0));
     }
-    fn interrupted(&mut self, call: CallNo) {
+    fn cancel(&mut self, call: MessageId) {
         self.0.push(format!("interrupted {}", call.0));
     }
-    fn senseless(&mut self, call: CallNo, _why: &'static str) {
+    fn invalid_request(&mut self, call: MessageId, _why: &'static str) {
         self.0.push(format!("senseless {}", call.0));
     }
-    fn ignored(&mut self, _why: &'static str) {
+    fn unknown_notification(&mut self, _why: &'static str) {
         self.0.push("ignored".to_string());
     }
 }
 
-impl Pool for Heard {
+impl EventHandler for Heard {
     fn bound(&mut self, cold: bool, age: Duration) {
         self.0.push(format!("bound {cold} {age:?}"));
     }
-    fn finished(&mut self, n: Notice, rid: Rid, how: Outcome, took: Duration, result: &[u8]) {
-        self.0.push(format!("finished {} {rid} {how:?} {took:?} {result:?}", n.0));
+    fn run_finished(
+        &mut self,
+        n: NoticeNumber,
+        attempt: AttemptId,
+        how: Outcome,
+        took: Duration,
+        result: &[u8],
+    ) {
+        self.0.push(format!("finished {} {attempt} {how:?} {took:?} {result:?}", n.0));
     }
-    fn blocked(&mut self, n: Notice, rid: Rid, body: &[u8]) {
-        self.0.push(format!("blocked {} {rid} {body:?}", n.0));
+    fn run_blocked(&mut self, n: NoticeNumber, attempt: AttemptId, body: &[u8]) {
+        self.0.push(format!("blocked {} {attempt} {body:?}", n.0));
     }
-    fn chatter(&mut self, n: Notice) {
+    fn other_notice(&mut self, n: NoticeNumber) {
         self.0.push(format!("chatter {}", n.0));
     }
-    fn polled(&mut self, tag: u64, gauges: &[f64]) {
-        self.0.push(format!("polled {tag} {gauges:?}"));
+    fn metrics_reported(&mut self, tag: u64, load_metrics: &[f64]) {
+        self.0.push(format!("polled {tag} {load_metrics:?}"));
     }
-    fn unknown(&mut self, command: &str, id: &str) {
+    fn unknown_attempt(&mut self, command: &str, id: &str) {
         self.0.push(format!("unknown {command} {id}"));
     }
-    fn nonsense(&mut self, _line: &str) {
+    fn malformed_line(&mut self, _line: &str) {
         self.0.push("nonsense".to_string());
     }
 }
@@ -104,7 +111,7 @@
     for part in parts {
         buf.extend(*part);
         loop {
-            match msgpack::read(&buf, &mut heard) {
+            match msgpack_rpc::read_request(&buf, &mut heard) {
                 Ok(Some(n)) => drop(buf.drain(..n)),
                 Ok(None) => break,
                 Err(broken) => {
@@ -118,7 +125,8 @@
 }
 
 fn lines(parts: &[&[u8]]) -> Vec<String> {
-    let (mut heard, mut buf, mut reader) = (Heard::default(), Vec::new(), pool::Reader::default());
+    let (mut heard, mut buf, mut reader) =
+        (Heard::default(), Vec::new(), worker_pool::EventReader::default());
     for part in parts {
         buf.extend(*part);
         while let Some(n) = reader.read(&buf, &mut heard) {
@@ -166,12 +174,12 @@
 #[test]
 fn answers_carry_the_result_as_it_came_and_the_fields_asked_for() {
     let (mut plain, mut full) = (Vec::new(), Vec::new());
-    msgpack::settled(&mut plain, CallNo(7), 3);
+    msgpack_rpc::write_completed(&mut plain, MessageId(7), 3);
     plain.extend([1, 2, 255]);
-    msgpack::settled_end(&mut plain, msgpack::Beside::default());
+    msgpack_rpc::write_completed_end(&mut plain, msgpack_rpc::ResponseFields::default());
     assert_eq!(plain, [0x94, 1, 7, 0xc0, 0x92, 0xc4, 3, 1, 2, 255, 0x80]);
-    let beside = msgpack::Beside { hint: Some("0.85"), rules: None };
-    msgpack::declined(&mut full, CallNo(300), beside, Some(Duration::from_micros(1200)), true);
+    let beside = msgpack_rpc::ResponseFields { hint: Some("0.85"), rules: None };
+    msgpack_rpc::write_rejected(&mut full, MessageId(300), beside, Some(Duration::from_micros(1200)), true);
     let mut expected = vec![0x94, 1, 0xcd, 1, 44, 0x92, 0xaa];
     expected.extend(b"Overloaded\x83\xa4hint\xa40.85\xa7backoff\xa12\xa5final\xa11\xc0");
     assert_eq!(full, expected);
@@ -190,12 +198,12 @@
         "bound true 12.5ms".to_string(),
         format!("finished 1 {RID} Completed 62.067ms [13, 10, 13, 10]"),
         format!("blocked 2 {RID} []"),
-        format!("finished 3 {RID} Superseded 0ns []"),
-        format!("finished 4 {RID} Recalled 1ms []"),
+        format!("finished 3 {RID} NeverStarted 0ns []"),
+        format!("finished 4 {RID} Cancelled 1ms []"),
         "polled 5 [0.62, 3.0, 0.0, 120.0]".to_string(),
         "unknown supply 77".to_string(),
         "chatter 6".to_string(),
-        format!("finished 7 {RID} Errored 1ms []"),
+        format!("finished 7 {RID} Failed 1ms []"),
     ];
     assert_eq!(heard, expected);
 }
@@ -219,8 +227,8 @@
 }
 
 /// What has come so far, in parts, and the reply once it is whole.
-fn answer(parts: &[&[u8]]) -> Result<Option<(http::Reply, Vec<u8>)>, &'static str> {
-    let (mut reader, mut buf) = (http::Reader::default(), Vec::new());
+fn answer(parts: &[&[u8]]) -> Result<Option<(http::Response, Vec<u8>)>, &'static str> {
+    let (mut reader, mut buf) = (http::ResponseReader::default(), Vec::new());
     for part in parts {
         buf.extend(*part);
         if let Some(reply) = reader.read(&buf)? {
@@ -233,20 +241,20 @@
 
 #[test]
 fn http_answers_are_read_when_whole_and_each_proves_what_its_status_says() {
-    let outcome = |text: &str| answer(&[text.as_bytes()]).ok().flatten().map(|r| index::outcome(&r.0));
+    let outcome = |text: &str| answer(&[text.as_bytes()]).ok().flatten().map(|r| index::call_outcome(&r.0));
     let empty =
         |status: &str, fields: &str| format!("HTTP/1.1 {status} X\r\n{fields}Content-Length: 0\r\n\r\n");
     for (status, fields, how) in [
         ("200", "", Outcome::Completed),
-        ("503", "X-Shed: 1\r\n", Outcome::Saturated),
-        ("409", "x-shed: 1\r\n", Outcome::Saturated),
+        ("503", "X-Shed: 1\r\n", Outcome::Rejected),
+        ("409", "x-shed: 1\r\n", Outcome::Rejected),
         // Without the mark nothing is proved.
-        ("503", "", Outcome::Errored),
-        ("409", "", Outcome::Errored),
-        ("500", "X-Shed: 1\r\n", Outcome::Errored),
-        ("504", "", Outcome::Overdue),
-        ("418", "", Outcome::Errored),
-        ("201", "", Outcome::Errored),
+        ("503", "", Outcome::Failed),
+        ("409", "", Outcome::Failed),
+        ("500", "X-Shed: 1\r\n", Outcome::Failed),
+        ("504", "", Outcome::TimedOut),
+        ("418", "", Outcome::Failed),
+        ("201", "", Outcome::Failed),
     ] {
         assert_eq!(outcome(&empty(status, fields)), Some(how), "{status} {fields}");
     }
@@ -284,23 +292,23 @@
 
 #[test]
 fn what_is_said_to_index_members_and_pool_has_the_body_as_it_came() {
-    let rid = Rid::new(RID).unwrap();
-    let call = index::request("h", rid, Duration::from_micros(250_900), b"\r\n\r\n");
+    let attempt = AttemptId::new(RID).unwrap();
+    let call = index::write_call("h", attempt, Duration::from_micros(250_900), b"\r\n\r\n");
     let text = String::from_utf8(call).unwrap();
     assert!(text.starts_with("POST /lookup HTTP/1.1\r\n") && text.ends_with("\r\n\r\n\r\n\r\n"));
     assert!(text.contains(&format!("X-Parent-Id: {RID}\r\nX-Budget-Ms: 250\r\nContent-Length: 4\r\n")));
-    let report = String::from_utf8(members::report("h", "n3", false, None, None)).unwrap();
+    let report = String::from_utf8(membership::write_report("h", "n3", false, None, None)).unwrap();
     assert!(
         report.starts_with("PUT /members/n3 HTTP/1.1\r\n") && report.ends_with("\r\n\r\n{\"phase\":\"OUT\"}")
     );
     assert!(report.contains("Content-Length: 15\r\n"));
     let mut said = Vec::new();
-    pool::spawn(&mut said, rid, "p", 3);
+    worker_pool::write_start_run(&mut said, attempt, "p", 3);
     said.extend(b"\0\r\n");
-    pool::after(&mut said);
-    pool::pass(&mut said, rid, Notice(8));
+    worker_pool::write_payload_end(&mut said);
+    worker_pool::write_skip_call(&mut said, attempt, NoticeNumber(8));
     assert_eq!(said, format!("spawn {RID} p 3\r\n\0\r\n\r\npass {RID} 8\r\n").into_bytes());
-    assert!(Rid::new("9b1f03aa5c7e2d4g").is_none() && Rid::new("9b").is_none());
+    assert!(AttemptId::new("9b1f03aa5c7e2d4g").is_none() && AttemptId::new("9b").is_none());
 }
 
 #[test]
--- a/crates/aldercrank-server/tests/suite/core.rs
+++ b/crates/aldercrank-server/tests/suite/core.rs
@@ -1,11 +1,11 @@
 //! The core between fakes: the four rules on generated inputs beside a plain model, and single cases.
 
-use aldercrank::{Arrival, CallerId, Outcome, Settings, TxnId, Value};
-use aldercrank_server::core::{Ask, CallNo, ConnId, Core, Ports, Reminder, ReplyTo};
+use aldercrank::{CallerId, IncomingRequest, Outcome, RequestId, Settings, Value};
+use aldercrank_server::core::{ConnId, Core, MessageId, Ports, ReceivedRequest, ReplyTo, TimerId};
 use aldercrank_server::deadlines::Deadlines;
 use aldercrank_server::dedup::DedupKey;
 use aldercrank_server::payload::Payload;
-use aldercrank_server::pool::{Notice as Number, Rid};
+use aldercrank_server::worker_pool::{AttemptId, NoticeNumber as Number};
 use quickcheck::{Gen, QuickCheck, TestResult};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -17,10 +17,10 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Said {
-    Spawn(Rid, String, Vec<u8>),
-    Suspend(Rid),
-    Supply(Rid, Vec<u8>),
-    Pass(Rid, u64),
+    Spawn(AttemptId, String, Vec<u8>),
+    Suspend(AttemptId),
+    Supply(AttemptId, Vec<u8>),
+    Pass(AttemptId, u64),
     Poll(u64),
 }
 
@@ -32,17 +32,17 @@
 }
 
 #[derive(Clone, Debug)]
-enum Notice {
-    Ended(Rid, Outcome, Vec<u8>),
-    Blocked(Rid, Vec<u8>),
+enum NoticeNumber {
+    Ended(AttemptId, Outcome, Vec<u8>),
+    Blocked(AttemptId, Vec<u8>),
 }
 
 #[derive(Clone, Debug)]
 struct Seen {
-    rid: Rid,
+    attempt: AttemptId,
     token: Option<u8>,
     arrived: Duration,
-    expiry: Duration,
+    deadline: Duration,
     body: Vec<u8>,
     answers: u32,
     gone: bool,
@@ -52,63 +52,65 @@
 #[derive(Default)]
 struct World {
     now: Duration,
-    reminders: Deadlines<Reminder>,
+    reminders: Deadlines<TimerId>,
     seen: BTreeMap<ReplyTo, Seen>,
-    runs: BTreeMap<Rid, Run>,
+    runs: BTreeMap<AttemptId, Run>,
     began: Vec<(u8, Duration)>,
     /// Said but not read by the pool; and heard by us up to this notice.
     flight: VecDeque<Said>,
     up: bool,
-    notices: Vec<Notice>,
+    notices: Vec<NoticeNumber>,
     heard: usize,
     polled: VecDeque<(usize, u64)>,
-    calls: BTreeMap<TxnId, Rid>,
+    calls: BTreeMap<RequestId, AttemptId>,
     broken: Vec<String>,
     advertised: Option<f64>,
     good: bool,
 }
 
 impl World {
-    fn over(&self, rid: Rid) -> bool {
-        self.seen.values().any(|s| s.rid == rid && (s.answers > 0 || s.gone))
+    fn over(&self, attempt: AttemptId) -> bool {
+        self.seen.values().any(|s| s.attempt == attempt && (s.answers > 0 || s.gone))
     }
 
-    fn end(&mut self, rid: Rid, how: Outcome) {
-        self.runs.insert(rid, Run::Done);
-        let result = if how == Outcome::Completed { result(rid) } else { Vec::new() };
-        self.notices.push(Notice::Ended(rid, how, result));
+    fn end(&mut self, attempt: AttemptId, how: Outcome) {
+        self.runs.insert(attempt, Run::Done);
+        let result = if how == Outcome::Completed { result(attempt) } else { Vec::new() };
+        self.notices.push(NoticeNumber::Ended(attempt, how, result));
     }
 
     fn deliver(&mut self, said: Said) {
         match said {
-            Said::Spawn(rid, product, body) => {
-                let seen = self.seen.values().find(|s| s.rid == rid).cloned().unwrap();
-                if seen.body != body || (seen.token.is_some() != (product == "p1")) {
-                    self.broken.push(format!("{rid} came changed"));
+            Said::Spawn(attempt, class, body) => {
+                let seen = self.seen.values().find(|s| s.attempt == attempt).cloned().unwrap();
+                if seen.body != body || (seen.token.is_some() != (class == "p1")) {
+                    self.broken.push(format!("{attempt} came changed"));
                 }
-                match self.runs.get(&rid) {
-                    None | Some(Run::Done) if self.over(rid) => {
-                        self.notices.push(Notice::Ended(rid, Outcome::Superseded, vec![]))
+                match self.runs.get(&attempt) {
+                    None | Some(Run::Done) if self.over(attempt) => {
+                        self.notices.push(NoticeNumber::Ended(attempt, Outcome::NeverStarted, vec![]))
                     }
-                    Some(Run::Done) if seen.token.is_some() => self.broken.push(format!("{rid} ran twice")),
-                    None | Some(Run::Done) => self.begin(rid, &seen),
+                    Some(Run::Done) if seen.token.is_some() => {
+                        self.broken.push(format!("{attempt} ran twice"))
+                    }
+                    None | Some(Run::Done) => self.begin(attempt, &seen),
                     Some(_) => {}
                 }
             }
-            Said::Suspend(rid) if self.runs.get(&rid) == Some(&Run::Going) => {
-                self.end(rid, Outcome::Recalled)
+            Said::Suspend(attempt) if self.runs.get(&attempt) == Some(&Run::Going) => {
+                self.end(attempt, Outcome::Cancelled)
             }
-            Said::Supply(rid, reply) => {
-                if let Some(Run::AtCall(n)) = self.runs.get(&rid).copied() {
+            Said::Supply(attempt, reply) => {
+                if let Some(Run::AtCall(n)) = self.runs.get(&attempt).copied() {
                     if reply != n.to_string().into_bytes() {
-                        self.broken.push(format!("{rid} had the reply to another call"));
+                        self.broken.push(format!("{attempt} had the reply to another call"));
                     }
-                    self.runs.insert(rid, Run::Going);
+                    self.runs.insert(attempt, Run::Going);
                 }
             }
-            Said::Pass(rid, notice) => {
-                if self.runs.get(&rid) == Some(&Run::AtCall(notice)) {
-                    self.runs.insert(rid, Run::Going);
+            Said::Pass(attempt, notice) => {
+                if self.runs.get(&attempt) == Some(&Run::AtCall(notice)) {
+                    self.runs.insert(attempt, Run::Going);
                 }
             }
             Said::Poll(tag) => self.polled.push_back((self.notices.len(), tag)),
@@ -116,31 +118,31 @@
         }
     }
 
-    fn begin(&mut self, rid: Rid, seen: &Seen) {
+    fn begin(&mut self, attempt: AttemptId, seen: &Seen) {
         if let Some(token) = seen.token {
             if self.began.iter().any(|(t, at)| *t == token && seen.arrived.saturating_sub(*at) <= WINDOW) {
                 self.broken.push(format!("token {token} ran twice"));
             }
             self.began.push((token, seen.arrived));
         }
-        self.runs.insert(rid, Run::Going);
+        self.runs.insert(attempt, Run::Going);
     }
 
-    fn answer(&mut self, reply_to: ReplyTo, declined: bool) {
+    fn answer(&mut self, reply_to: ReplyTo, rejected: bool) {
         let Some(seen) = self.seen.get_mut(&reply_to) else { return };
         seen.answers += 1;
-        let (twice, rid) = (seen.answers > 1, seen.rid);
+        let (twice, attempt) = (seen.answers > 1, seen.attempt);
         if twice {
-            self.broken.push(format!("{rid} answered twice"));
+            self.broken.push(format!("{attempt} answered twice"));
         }
-        if declined && self.runs.contains_key(&rid) {
-            self.broken.push(format!("{rid} declined once run"));
+        if rejected && self.runs.contains_key(&attempt) {
+            self.broken.push(format!("{attempt} declined once run"));
         }
     }
 }
 
-fn result(rid: Rid) -> Vec<u8> {
-    format!("made for {rid}").into_bytes()
+fn result(attempt: AttemptId) -> Vec<u8> {
+    format!("made for {attempt}").into_bytes()
 }
 
 #[derive(Clone, Default)]
@@ -156,44 +158,45 @@
 }
 
 impl Ports for Fake {
-    fn settle(&mut self, reply_to: ReplyTo, bytes: Payload) {
+    fn complete(&mut self, reply_to: ReplyTo, bytes: Payload) {
         let bytes = bytes.bytes();
         let mut w = self.0.borrow_mut();
         w.answer(reply_to, false);
         let seen = w.seen[&reply_to].clone();
         let made = |s: &Seen| {
-            result(s.rid) == bytes && (s.rid == seen.rid || s.token == seen.token && s.token.is_some())
+            result(s.attempt) == bytes
+                && (s.attempt == seen.attempt || s.token == seen.token && s.token.is_some())
         };
         if !w.seen.values().any(made) {
-            w.broken.push(format!("{} has a result that no run made for it", seen.rid));
+            w.broken.push(format!("{} has a result that no run made for it", seen.attempt));
         }
     }
-    fn decline(&mut self, reply_to: ReplyTo, _: Option<Duration>, _: bool) {
+    fn reject(&mut self, reply_to: ReplyTo, _: Option<Duration>, _: bool) {
         self.0.borrow_mut().answer(reply_to, true);
     }
-    fn void(&mut self, reply_to: ReplyTo) {
+    fn fail(&mut self, reply_to: ReplyTo) {
         self.0.borrow_mut().answer(reply_to, false);
     }
-    fn spawn(&mut self, rid: Rid, product: &str, body: &Rc<[u8]>) {
-        self.say(Said::Spawn(rid, product.to_string(), body.to_vec()));
+    fn start_run(&mut self, attempt: AttemptId, class: &str, body: &Rc<[u8]>) {
+        self.say(Said::Spawn(attempt, class.to_string(), body.to_vec()));
     }
-    fn suspend(&mut self, rid: Rid) {
-        self.say(Said::Suspend(rid));
+    fn stop_run(&mut self, attempt: AttemptId) {
+        self.say(Said::Suspend(attempt));
     }
-    fn supply(&mut self, rid: Rid, reply: &[u8]) {
-        self.say(Said::Supply(rid, reply.to_vec()));
+    fn deliver_call_result(&mut self, attempt: AttemptId, reply: &[u8]) {
+        self.say(Said::Supply(attempt, reply.to_vec()));
     }
-    fn pass(&mut self, rid: Rid, notice: Number) {
-        self.say(Said::Pass(rid, notice.0));
+    fn skip_call(&mut self, attempt: AttemptId, notice: Number) {
+        self.say(Said::Pass(attempt, notice.0));
     }
-    fn poll(&mut self, tag: u64) {
+    fn request_metrics(&mut self, tag: u64) {
         self.say(Said::Poll(tag));
     }
-    fn call(&mut self, txn: TxnId, rid: Rid, _: &[u8], _: Duration) {
-        self.0.borrow_mut().calls.insert(txn, rid);
+    fn start_call(&mut self, request: RequestId, attempt: AttemptId, _: &[u8], _: Duration) {
+        self.0.borrow_mut().calls.insert(request, attempt);
     }
-    fn hang_up(&mut self, txn: TxnId) {
-        self.0.borrow_mut().calls.remove(&txn);
+    fn cancel_call(&mut self, request: RequestId) {
+        self.0.borrow_mut().calls.remove(&request);
     }
     fn health(&mut self, good: bool) {
         self.0.borrow_mut().good = good;
@@ -202,7 +205,7 @@
     fn advertise(&mut self, value: f64) {
         self.0.borrow_mut().advertised = Some(value);
     }
-    fn remind(&mut self, what: Reminder, after: Duration) {
+    fn set_timer(&mut self, what: TimerId, after: Duration) {
         let mut w = self.0.borrow_mut();
         let at = w.now + after;
         w.reminders.set(what, at);
@@ -219,7 +222,7 @@
             {"name": "p0", "effect": "retryable", "goal_time": 1000000, "give_up": 3000000, "points": 1.0},
             {"name": "p1", "effect": "dedup", "goal_time": 1000000, "give_up": 3000000, "points": 3.0,
                 "window": WINDOW.as_micros() as u64}]});
-    aldercrank_json::settings(&json)
+    aldercrank_json_settings::settings(&json)
 }
 
 struct Play {
@@ -242,27 +245,31 @@
         self.world.0.borrow().now
     }
 
-    fn read(&mut self, token: Option<u8>, left: Duration, lay: Duration) -> ReplyTo {
+    fn read(&mut self, token: Option<u8>, left: Duration, unread_for: Duration) -> ReplyTo {
         self.next += 1;
         let (now, call) = (self.now(), self.next);
-        let (arrived, expiry) = (now.saturating_sub(lay), now + left);
-        let rid = Rid::new(&format!("{call:016x}")).unwrap();
-        let reply_to = ReplyTo { conn: ConnId(call % 3), call: CallNo(call) };
+        let (arrived, deadline) = (now.saturating_sub(unread_for), now + left);
+        let attempt = AttemptId::new(&format!("{call:016x}")).unwrap();
+        let reply_to = ReplyTo { conn: ConnId(call % 3), call: MessageId(call) };
         let body = vec![call as u8; 3];
-        let seen = Seen { rid, token, arrived, expiry, body: body.clone(), answers: 0, gone: false };
+        let seen = Seen { attempt, token, arrived, deadline, body: body.clone(), answers: 0, gone: false };
         self.world.0.borrow_mut().seen.insert(reply_to, seen);
-        let product = if token.is_some() { "p1" } else { "p0" };
-        let arrival = Arrival {
-            product,
-            expiry: Some(expiry),
+        let class = if token.is_some() { "p1" } else { "p0" };
+        let arrival = IncomingRequest {
+            class,
+            deadline: Some(deadline),
             memory_kb: 10.0,
             rank: 0.9,
-            lay: now - arrived,
+            unread_for: now - arrived,
             caller: CallerId(1),
-            ..Arrival::default()
+            ..IncomingRequest::default()
         };
         let mark = token.map(|t| DedupKey::token("p1", &t.to_string(), b""));
-        self.core.txn_read(now, reply_to, Ask { rid, dedup_key: mark, arrival, unread: lay, body: &body });
+        self.core.request_received(
+            now,
+            reply_to,
+            ReceivedRequest { attempt, dedup_key: mark, arrival, unread: unread_for, body: &body },
+        );
         reply_to
     }
 
@@ -298,10 +305,12 @@
             };
             match next {
                 Err(tag) => self.core.polled(now, tag, &[0.5, 1.0]),
-                Ok((_, Notice::Ended(rid, how, bytes))) => {
-                    self.core.run_ended(now, rid, how, MS * 100, Payload::Passing(&bytes))
+                Ok((_, NoticeNumber::Ended(attempt, how, bytes))) => {
+                    self.core.run_ended(now, attempt, how, MS * 100, Payload::Passing(&bytes))
+                }
+                Ok((n, NoticeNumber::Blocked(attempt, body))) => {
+                    self.core.call_needed(now, attempt, Number(n), &body)
                 }
-                Ok((n, Notice::Blocked(rid, body))) => self.core.call_needed(now, rid, Number(n), &body),
             }
         }
     }
@@ -318,12 +327,13 @@
             let Some(said) = said else { break };
             self.world.0.borrow_mut().deliver(said);
         }
-        let unwritten: Vec<Rid> = {
+        let unwritten: Vec<AttemptId> = {
             let mut w = self.world.0.borrow_mut();
             w.up = false;
             w.polled.clear();
             let rest = w.flight.drain(..).skip(written);
-            rest.filter_map(|said| if let Said::Spawn(rid, ..) = said { Some(rid) } else { None }).collect()
+            rest.filter_map(|said| if let Said::Spawn(attempt, ..) = said { Some(attempt) } else { None })
+                .collect()
         };
         self.core.pool_lost(self.now(), unwritten);
     }
@@ -345,35 +355,35 @@
                 self.core.reminded(next, what);
             }
             let mut w = self.world.0.borrow_mut();
-            let late = |s: &&Seen| s.answers == 0 && !s.gone && next > s.expiry + MS * 110;
-            if let Some(rid) = w.seen.values().find(late).map(|s| s.rid) {
-                w.broken.push(format!("{rid} lost"));
+            let late = |s: &&Seen| s.answers == 0 && !s.gone && next > s.deadline + MS * 110;
+            if let Some(attempt) = w.seen.values().find(late).map(|s| s.attempt) {
+                w.broken.push(format!("{attempt} lost"));
             }
         }
     }
 
-    fn running(&self, which: u8, at: impl Fn(&Run) -> bool) -> Option<Rid> {
+    fn running(&self, which: u8, at: impl Fn(&Run) -> bool) -> Option<AttemptId> {
         let w = self.world.0.borrow();
-        let all: Vec<Rid> = w.runs.iter().filter(|(_, r)| at(r)).map(|(rid, _)| *rid).collect();
+        let all: Vec<AttemptId> = w.runs.iter().filter(|(_, r)| at(r)).map(|(attempt, _)| *attempt).collect();
         all.get(usize::from(which) % all.len().max(1)).copied()
     }
 
-    fn block(&mut self, rid: Rid) {
+    fn block(&mut self, attempt: AttemptId) {
         let mut w = self.world.0.borrow_mut();
         let n = w.notices.len() as u64 + 1;
-        w.runs.insert(rid, Run::AtCall(n));
-        w.notices.push(Notice::Blocked(rid, n.to_string().into_bytes()));
+        w.runs.insert(attempt, Run::AtCall(n));
+        w.notices.push(NoticeNumber::Blocked(attempt, n.to_string().into_bytes()));
     }
 
     fn reply(&mut self, which: u8, how: Outcome) {
         let call = {
             let mut w = self.world.0.borrow_mut();
-            let Some(txn) = w.calls.keys().nth(usize::from(which) % w.calls.len().max(1)).copied() else {
+            let Some(request) = w.calls.keys().nth(usize::from(which) % w.calls.len().max(1)).copied() else {
                 return;
             };
-            let rid = w.calls.remove(&txn).unwrap();
-            let Some(Run::AtCall(n)) = w.runs.get(&rid).copied() else { return };
-            (txn, n.to_string().into_bytes())
+            let attempt = w.calls.remove(&request).unwrap();
+            let Some(Run::AtCall(n)) = w.runs.get(&attempt).copied() else { return };
+            (request, n.to_string().into_bytes())
         };
         self.core.call_ended(self.now(), call.0, how, &call.1);
     }
@@ -407,25 +417,27 @@
         5 | 6 => play.flow(),
         7 => play.hear(usize::from(which % 3)),
         8 | 9 => {
-            if let Some(rid) = play.running(which, |r| *r == Run::Going) {
-                let how = if much % 7 == 0 { Errored } else { Completed };
-                play.world.0.borrow_mut().end(rid, how);
+            if let Some(attempt) = play.running(which, |r| *r == Run::Going) {
+                let how = if much % 7 == 0 { Failed } else { Completed };
+                play.world.0.borrow_mut().end(attempt, how);
             }
         }
         10 => {
-            if let Some(rid) = play.running(which, |r| *r == Run::Going) {
-                play.block(rid);
+            if let Some(attempt) = play.running(which, |r| *r == Run::Going) {
+                play.block(attempt);
             }
         }
         11 => {
             // The pool ends what waits at a call for nobody.
-            if let Some(rid) = play.running(which, |r| matches!(r, Run::AtCall(_))) {
-                if play.world.0.borrow().over(rid) {
-                    play.world.0.borrow_mut().end(rid, Recalled);
+            if let Some(attempt) = play.running(which, |r| matches!(r, Run::AtCall(_))) {
+                if play.world.0.borrow().over(attempt) {
+                    play.world.0.borrow_mut().end(attempt, Cancelled);
                 }
             }
         }
-        12 => play.reply(which, [Completed, Completed, Errored, Saturated, Severed][usize::from(much) % 5]),
+        12 => {
+            play.reply(which, [Completed, Completed, Failed, Rejected, ConnectionLost][usize::from(much) % 5])
+        }
         16 if which < 100 => {
             let now = play.now();
             let full = now + MS * u32::from(much % 700);
@@ -457,8 +469,8 @@
     play.bind();
     for _ in 0..60 {
         play.flow();
-        while let Some(rid) = play.running(0, |r| *r != Run::Done) {
-            play.world.0.borrow_mut().end(rid, Outcome::Completed);
+        while let Some(attempt) = play.running(0, |r| *r != Run::Done) {
+            play.world.0.borrow_mut().end(attempt, Outcome::Completed);
         }
         play.pass(MS * 500);
     }
@@ -482,8 +494,8 @@
     let (first, second) = (play.read(Some(1), MS * 2000, MS), play.read(Some(2), MS * 2000, MS));
     play.flow();
     let repeat = play.read(Some(1), MS * 2000, MS);
-    let rid = play.world.0.borrow().seen[&first].rid;
-    play.world.0.borrow_mut().end(rid, Outcome::Completed);
+    let attempt = play.world.0.borrow().seen[&first].attempt;
+    play.world.0.borrow_mut().end(attempt, Outcome::Completed);
     play.flow();
     assert_eq!([first, second, repeat].map(|s| play.answers(s)), [1, 0, 1]);
     // Long after, from the result that was kept; past the window it runs anew.
@@ -554,12 +566,12 @@
 
 #[test]
 fn a_reply_waits_for_the_link_and_a_call_left_out_is_said_again() {
-    for how in [Outcome::Completed, Outcome::Overdue] {
+    for how in [Outcome::Completed, Outcome::TimedOut] {
         let mut play = Play::new();
         let read = play.read(None, MS * 2500, MS);
         play.flow();
-        let rid = play.world.0.borrow().seen[&read].rid;
-        play.block(rid);
+        let attempt = play.world.0.borrow().seen[&read].attempt;
+        play.block(attempt);
         play.flow();
         if how == Outcome::Completed {
             play.lose(0);
@@ -572,7 +584,7 @@
         }
         play.bind();
         play.flow();
-        assert_eq!(play.running(0, |r| *r == Run::Going), Some(rid), "{how:?}");
+        assert_eq!(play.running(0, |r| *r == Run::Going), Some(attempt), "{how:?}");
     }
 }
 
@@ -581,35 +593,35 @@
     let mut play = Play::new();
     let good = play.read(Some(3), MS * 2000, MS);
     play.flow();
-    let rid = play.world.0.borrow().seen[&good].rid;
-    for (call, product, rid, mark) in [
-        (900, "p9", Rid::new("00000000000000ff").unwrap(), None),
-        (901, "p1", Rid::new("00000000000000fe").unwrap(), None),
-        (902, "p0", rid, None),
+    let attempt = play.world.0.borrow().seen[&good].attempt;
+    for (call, class, attempt, mark) in [
+        (900, "p9", AttemptId::new("00000000000000ff").unwrap(), None),
+        (901, "p1", AttemptId::new("00000000000000fe").unwrap(), None),
+        (902, "p0", attempt, None),
     ] {
-        let reply_to = ReplyTo { conn: ConnId(9), call: CallNo(call) };
+        let reply_to = ReplyTo { conn: ConnId(9), call: MessageId(call) };
         let seen = play.world.0.borrow().seen[&good].clone();
-        let odd = Seen { rid: Rid::new(&format!("{call:016}")).unwrap(), answers: 0, ..seen };
+        let odd = Seen { attempt: AttemptId::new(&format!("{call:016}")).unwrap(), answers: 0, ..seen };
         play.world.0.borrow_mut().seen.insert(reply_to, odd);
-        let arrival = Arrival { product, expiry: Some(MS * 2000), ..Arrival::default() };
-        play.core.txn_read(
+        let arrival = IncomingRequest { class, deadline: Some(MS * 2000), ..IncomingRequest::default() };
+        play.core.request_received(
             play.now(),
             reply_to,
-            Ask { rid, dedup_key: mark, arrival, unread: Duration::MAX, body: &[] },
+            ReceivedRequest { attempt, dedup_key: mark, arrival, unread: Duration::MAX, body: &[] },
         );
         play.flow();
-        assert_eq!((play.answers(reply_to), play.world.0.borrow().runs.len()), (1, 1), "{product}");
+        assert_eq!((play.answers(reply_to), play.world.0.borrow().runs.len()), (1, 1), "{class}");
     }
     // A run that the pool does not know is over, and its place is free.
     let unknown = play.read(None, MS * 2000, MS);
-    let rid = play.world.0.borrow().seen[&unknown].rid;
-    play.core.run_unknown(play.now(), rid);
+    let attempt = play.world.0.borrow().seen[&unknown].attempt;
+    play.core.run_unknown(play.now(), attempt);
     assert_eq!((play.answers(unknown), play.core.in_hand()), (1, 1));
     // Notices for ids that were never heard of change nothing.
-    let stranger = Rid::new("ffffffffffffffff").unwrap();
+    let stranger = AttemptId::new("ffffffffffffffff").unwrap();
     play.core.run_ended(play.now(), stranger, Outcome::Completed, MS, Payload::Passing(b"x"));
     play.core.call_needed(play.now(), stranger, Number(99), b"x");
-    play.core.call_ended(play.now(), TxnId(4_000_000_000), Outcome::Completed, b"x");
+    play.core.call_ended(play.now(), RequestId(4_000_000_000), Outcome::Completed, b"x");
     assert_eq!((play.answers(good), play.core.owed()), (0, 1));
 }
 
@@ -637,7 +649,7 @@
     let mut cfg = settings();
     cfg.set("family_info.cold", Value::Flag(true));
     let cold = Fake::default();
-    Core::start(cfg, Duration::ZERO, 0, cold.clone()).reminded(MS * 30, Reminder::Tick);
+    Core::start(cfg, Duration::ZERO, 0, cold.clone()).reminded(MS * 30, TimerId::Tick);
     assert!(cold.0.borrow().advertised.is_some());
 }
 
@@ -680,17 +692,18 @@
     let mut play = Play::new();
     play.pass(MS * 500);
     // One that came in 1970, by its word: gone long ago, declined, and no proof of slow reading.
-    let reply_to = ReplyTo { conn: ConnId(8), call: CallNo(1) };
-    let rid = Rid::new("00000000000000aa").unwrap();
-    let (arrived, expiry) = (Duration::ZERO, play.now());
-    let seen = Seen { rid, token: None, arrived, expiry, body: vec![], answers: 0, gone: false };
+    let reply_to = ReplyTo { conn: ConnId(8), call: MessageId(1) };
+    let attempt = AttemptId::new("00000000000000aa").unwrap();
+    let (arrived, deadline) = (Duration::ZERO, play.now());
+    let seen = Seen { attempt, token: None, arrived, deadline, body: vec![], answers: 0, gone: false };
     play.world.0.borrow_mut().seen.insert(reply_to, seen);
-    let lay = Duration::from_secs(1_700_000_000);
-    let arrival = Arrival { product: "p0", expiry: Some(play.now()), lay, ..Arrival::default() };
-    play.core.txn_read(
+    let unread_for = Duration::from_secs(1_700_000_000);
+    let arrival =
+        IncomingRequest { class: "p0", deadline: Some(play.now()), unread_for, ..IncomingRequest::default() };
+    play.core.request_received(
         play.now(),
         reply_to,
-        Ask { rid, dedup_key: None, arrival, unread: Duration::MAX, body: &[] },
+        ReceivedRequest { attempt, dedup_key: None, arrival, unread: Duration::MAX, body: &[] },
     );
     assert_eq!(play.answers(reply_to), 1);
     for _ in 0..10 {
@@ -707,14 +720,30 @@
         let mut play = Play::new();
         play.pass(MS * 2500);
         for call in 0..60 {
-            let rid = Rid::new(&format!("{:016x}", 7000 + call)).unwrap();
-            let (reply_to, now) = (ReplyTo { conn: ConnId(7), call: CallNo(call) }, play.now());
-            let (lay, expiry) = (MS * 2000, now + MS * 200);
-            let seen =
-                Seen { rid, token: None, arrived: now - lay, expiry, body: vec![], answers: 0, gone: false };
+            let attempt = AttemptId::new(&format!("{:016x}", 7000 + call)).unwrap();
+            let (reply_to, now) = (ReplyTo { conn: ConnId(7), call: MessageId(call) }, play.now());
+            let (unread_for, deadline) = (MS * 2000, now + MS * 200);
+            let seen = Seen {
+                attempt,
+                token: None,
+                arrived: now - unread_for,
+                deadline,
+                body: vec![],
+                answers: 0,
+                gone: false,
+            };
             play.world.0.borrow_mut().seen.insert(reply_to, seen);
-            let arrival = Arrival { product: "p0", expiry: Some(expiry), lay, ..Arrival::default() };
-            play.core.txn_read(now, reply_to, Ask { rid, dedup_key: None, arrival, unread, body: &[] });
+            let arrival = IncomingRequest {
+                class: "p0",
+                deadline: Some(deadline),
+                unread_for,
+                ..IncomingRequest::default()
+            };
+            play.core.request_received(
+                now,
+                reply_to,
+                ReceivedRequest { attempt, dedup_key: None, arrival, unread, body: &[] },
+            );
             play.flow();
         }
         play.pass(MS * 100);
@@ -725,7 +754,7 @@
 /// How a call was answered: not yet, declined without a run, or otherwise.
 fn answers(play: &Play, reply_to: ReplyTo) -> (u32, bool) {
     let w = play.world.0.borrow();
-    (w.seen[&reply_to].answers, w.runs.contains_key(&w.seen[&reply_to].rid))
+    (w.seen[&reply_to].answers, w.runs.contains_key(&w.seen[&reply_to].attempt))
 }
 
 #[test]
@@ -740,8 +769,8 @@
     assert!(held.len() > 2, "cores are few");
     // It stands stopped: nothing reminds it of anything. Then a run ends, which would start a held one.
     play.world.0.borrow_mut().now += MS * 1500;
-    let (now, rid) = (play.now(), play.world.0.borrow().runs.keys().next().copied().unwrap());
-    play.world.0.borrow_mut().end(rid, Outcome::Completed);
+    let (now, attempt) = (play.now(), play.world.0.borrow().runs.keys().next().copied().unwrap());
+    play.world.0.borrow_mut().end(attempt, Outcome::Completed);
     play.flow();
     assert!(
         held.iter().all(|reply_to| answers(&play, *reply_to) == (1, false)),
@@ -770,19 +799,19 @@
     play.core.in_force(now, &settings(), 3, Some(0.0));
     let inquiry = play.read(None, MS * 2500, Duration::ZERO);
     play.flow();
-    let rid = play.world.0.borrow().seen[&inquiry].rid;
+    let attempt = play.world.0.borrow().seen[&inquiry].attempt;
     {
         let mut w = play.world.0.borrow_mut();
         let n = w.notices.len() as u64 + 1;
-        w.runs.insert(rid, Run::AtCall(n));
-        w.notices.push(Notice::Blocked(rid, b"ask".to_vec()));
+        w.runs.insert(attempt, Run::AtCall(n));
+        w.notices.push(NoticeNumber::Blocked(attempt, b"ask".to_vec()));
     }
     for _ in 0..20 {
         play.flow();
         play.pass(MS * 30);
     }
     assert!(play.world.0.borrow().calls.is_empty(), "none is made");
-    assert_eq!(play.world.0.borrow().runs[&rid], Run::Going, "it was told to go on without");
+    assert_eq!(play.world.0.borrow().runs[&attempt], Run::Going, "it was told to go on without");
     play.core.in_force(play.now(), &settings(), 4, Some(2.0));
     assert!(play.world.0.borrow().broken.is_empty());
 }
@@ -790,26 +819,26 @@
 /// Takes what is said and forgets it, but for the calls, whose txns are needed.
 #[derive(Default)]
 struct Deaf {
-    calls: Vec<TxnId>,
+    calls: Vec<RequestId>,
 }
 
 impl Ports for Deaf {
-    fn settle(&mut self, _: ReplyTo, _: Payload) {}
-    fn decline(&mut self, _: ReplyTo, _: Option<Duration>, _: bool) {}
-    fn void(&mut self, _: ReplyTo) {}
-    fn spawn(&mut self, _: Rid, _: &str, _: &Rc<[u8]>) {}
-    fn suspend(&mut self, _: Rid) {}
-    fn supply(&mut self, _: Rid, _: &[u8]) {}
-    fn pass(&mut self, _: Rid, _: Number) {}
-    fn poll(&mut self, _: u64) {}
-    fn call(&mut self, txn: TxnId, _: Rid, _: &[u8], _: Duration) {
-        self.calls.push(txn);
-    }
-    fn hang_up(&mut self, _: TxnId) {}
+    fn complete(&mut self, _: ReplyTo, _: Payload) {}
+    fn reject(&mut self, _: ReplyTo, _: Option<Duration>, _: bool) {}
+    fn fail(&mut self, _: ReplyTo) {}
+    fn start_run(&mut self, _: AttemptId, _: &str, _: &Rc<[u8]>) {}
+    fn stop_run(&mut self, _: AttemptId) {}
+    fn deliver_call_result(&mut self, _: AttemptId, _: &[u8]) {}
+    fn skip_call(&mut self, _: AttemptId, _: Number) {}
+    fn request_metrics(&mut self, _: u64) {}
+    fn start_call(&mut self, request: RequestId, _: AttemptId, _: &[u8], _: Duration) {
+        self.calls.push(request);
+    }
+    fn cancel_call(&mut self, _: RequestId) {}
     fn health(&mut self, _: bool) {}
     fn close_idle(&mut self, _: Duration) {}
     fn advertise(&mut self, _: f64) {}
-    fn remind(&mut self, _: Reminder, _: Duration) {}
+    fn set_timer(&mut self, _: TimerId, _: Duration) {}
 }
 
 #[test]
@@ -820,39 +849,59 @@
     let mut now = Duration::ZERO;
     for n in 1..=100_000u32 {
         now += MS;
-        let rid = Rid::new(&format!("{n:016x}")).unwrap();
-        let reply_to = ReplyTo { conn: ConnId(n), call: CallNo(1) };
-        let expiry = Some(now + MS * 2500);
-        let arrival = Arrival { product: "p0", expiry, memory_kb: 10.0, rank: 0.9, ..Arrival::default() };
-        core.txn_read(now, reply_to, Ask { rid, dedup_key: None, arrival, unread: MS, body: b"x" });
+        let attempt = AttemptId::new(&format!("{n:016x}")).unwrap();
+        let reply_to = ReplyTo { conn: ConnId(n), call: MessageId(1) };
+        let deadline = Some(now + MS * 2500);
+        let arrival = IncomingRequest {
+            class: "p0",
+            deadline,
+            memory_kb: 10.0,
+            rank: 0.9,
+            ..IncomingRequest::default()
+        };
+        core.request_received(
+            now,
+            reply_to,
+            ReceivedRequest { attempt, dedup_key: None, arrival, unread: MS, body: b"x" },
+        );
         // Gone while it runs, while its call is out, as it ends, or by its connection.
         match n % 4 {
             0 => core.caller_gone(now, reply_to),
             1 => {
-                core.call_needed(now, rid, Number(u64::from(n)), b"ask");
+                core.call_needed(now, attempt, Number(u64::from(n)), b"ask");
                 core.conn_lost(now, reply_to.conn);
             }
             2 => core.conn_lost(now, reply_to.conn),
             _ => {}
         }
-        core.run_ended(now, rid, Outcome::Completed, MS, Payload::Passing(b"r"));
+        core.run_ended(now, attempt, Outcome::Completed, MS, Payload::Passing(b"r"));
         core.caller_gone(now, reply_to);
         assert_eq!((core.in_hand(), core.owed(), core.in_tables()), (0, 0, (0, 0)), "after {n}");
     }
     // And while they are held: more than may run at once, all of one connection.
     for n in 0..500u32 {
-        let rid = Rid::new(&format!("{:016x}", 200_000 + n)).unwrap();
-        let reply_to = ReplyTo { conn: ConnId(7), call: CallNo(n) };
-        let expiry = Some(now + MS * 2500);
-        let arrival = Arrival { product: "p0", expiry, memory_kb: 10.0, rank: 0.9, ..Arrival::default() };
-        core.txn_read(now, reply_to, Ask { rid, dedup_key: None, arrival, unread: MS, body: b"x" });
+        let attempt = AttemptId::new(&format!("{:016x}", 200_000 + n)).unwrap();
+        let reply_to = ReplyTo { conn: ConnId(7), call: MessageId(n) };
+        let deadline = Some(now + MS * 2500);
+        let arrival = IncomingRequest {
+            class: "p0",
+            deadline,
+            memory_kb: 10.0,
+            rank: 0.9,
+            ..IncomingRequest::default()
+        };
+        core.request_received(
+            now,
+            reply_to,
+            ReceivedRequest { attempt, dedup_key: None, arrival, unread: MS, body: b"x" },
+        );
     }
     assert!(core.in_hand() > 8);
     core.conn_lost(now, ConnId(7));
     // What runs is the pool's to end; nothing is held, and nothing is owed.
     for n in 0..500u32 {
-        let rid = Rid::new(&format!("{:016x}", 200_000 + n)).unwrap();
-        core.run_ended(now, rid, Outcome::Recalled, MS, Payload::Passing(b""));
+        let attempt = AttemptId::new(&format!("{:016x}", 200_000 + n)).unwrap();
+        core.run_ended(now, attempt, Outcome::Cancelled, MS, Payload::Passing(b""));
     }
     assert_eq!((core.in_hand(), core.owed(), core.in_tables()), (0, 0, (0, 0)));
 }
--- a/crates/aldercrank-server/tests/suite/crossings.rs
+++ b/crates/aldercrank-server/tests/suite/crossings.rs
@@ -16,7 +16,7 @@
 
 /// Asks for so many results of the longest kind, and has the pool make them all.
 fn fill(edge: &mut Edge, pool: &mut PoolEnd, requests: u32) {
-    (1..=requests).for_each(|n| edge.ask(n, "map", &rid(n), None, b""));
+    (1..=requests).for_each(|n| edge.ask(n, "map", &attempt(n), None, b""));
     for n in 1..=requests {
         let (words, _) = pool.next();
         pool.finish(n, &words[1], &[7; RESULT]);
@@ -37,8 +37,8 @@
     let mut pool = program.serving();
     let mut edge = program.connect_slow();
     fill(&mut edge, &mut pool, 8);
-    edge.ask(9, "map", &rid(9), None, b"");
-    assert_eq!(pool.next().0[1], rid(9));
+    edge.ask(9, "map", &attempt(9), None, b"");
+    assert_eq!(pool.next().0[1], attempt(9));
     let mut writer = edge.0.try_clone().unwrap();
     let flood = std::thread::spawn(move || writer.write_all(&[0xc1; 300 * 1024]));
     let heard = whole(&mut edge);
@@ -84,8 +84,8 @@
     fill(&mut edge, &mut pool, 32);
     // Answered once the server has asked for something after the last result.
     let mut other = program.connect();
-    other.ask(1, "map", &rid(99), None, b"");
-    assert_eq!(pool.next().0[1], rid(99));
+    other.ask(1, "map", &attempt(99), None, b"");
+    assert_eq!(pool.next().0[1], attempt(99));
     edge.0.shutdown(std::net::Shutdown::Write).unwrap();
     std::thread::sleep(Duration::from_millis(1200));
     assert_eq!(answers(&whole(&mut edge)), 32);
@@ -99,7 +99,7 @@
     edge.0.write_all(&check(1)).unwrap();
     edge.hears(&[b"closing"]);
     program.pause();
-    edge.ask(2, "map", &rid(2), None, b"");
+    edge.ask(2, "map", &attempt(2), None, b"");
     // The time to end it has come as well when the process goes on.
     std::thread::sleep(Duration::from_millis(1200));
     program.resume();
@@ -116,9 +116,9 @@
     edge.0.write_all(&check(1)).unwrap();
     let heard = whole(&mut edge);
     assert!(heard.windows(7).any(|w| w == b"closing"));
-    edge.ask(2, "map", &rid(2), None, b"");
+    edge.ask(2, "map", &attempt(2), None, b"");
     let mut other = program.connect();
-    other.ask(1, "map", &rid(3), None, b"");
+    other.ask(1, "map", &attempt(3), None, b"");
     pool.runs(1, 3, b"three");
     other.hears(&[b"three"]);
     assert_eq!(edge.0.read(&mut [0; 16]).unwrap(), 0);
@@ -132,7 +132,7 @@
     let mut edge = program.connect();
     edge.0.write_all(&check(1)).unwrap();
     edge.hears(&[b"closing"]);
-    let message = request(2, "map", &rid(2), None, b"");
+    let message = request(2, "map", &attempt(2), None, b"");
     let (first, second) = message.split_at(message.len() / 2);
     std::thread::sleep(Duration::from_millis(700));
     edge.0.write_all(first).unwrap();
@@ -148,11 +148,11 @@
 fn crowd(program: &Program, pool: &mut PoolEnd) -> Vec<Edge> {
     let open = |n: u32| {
         let mut edge = program.connect();
-        edge.ask(1, "buy", &rid(n), Some("t"), b"");
+        edge.ask(1, "buy", &attempt(n), Some("t"), b"");
         edge
     };
     let mut all = vec![open(1)];
-    assert_eq!(pool.next().0[1], rid(1));
+    assert_eq!(pool.next().0[1], attempt(1));
     all.extend((2..=60).map(open));
     all
 }
@@ -166,7 +166,7 @@
     program.term();
     // Beyond the grace.
     std::thread::sleep(Duration::from_millis(500));
-    pool.finish(1, &rid(1), b"done");
+    pool.finish(1, &attempt(1), b"done");
     for mut edge in all.drain(..) {
         assert_eq!(answers(&whole(&mut edge)), 1);
     }
@@ -182,7 +182,7 @@
     pool.bound("0", "3.5");
     program.pause();
     let mut edge = program.connect();
-    edge.ask(1, "buy", &rid(1), Some("t"), b"");
+    edge.ask(1, "buy", &attempt(1), Some("t"), b"");
     program.term();
     program.resume();
     assert_eq!(answers(&whole(&mut edge)), 1);
@@ -210,8 +210,8 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.serving();
     let mut edge = program.connect();
-    edge.ask(1, "map", &rid(1), None, b"");
-    assert_eq!(pool.next().0[1], rid(1));
+    edge.ask(1, "map", &attempt(1), None, b"");
+    assert_eq!(pool.next().0[1], attempt(1));
     program.pause();
     std::fs::write(&program.config, "{\"name\": \"n1\"").unwrap();
     program.signal("-HUP");
@@ -219,7 +219,7 @@
     program.resume();
     assert!(program.reports.iter().any(|r| r.ends_with("{\"phase\":\"OUT\"}")));
     program.signal("-HUP");
-    pool.finish(1, &rid(1), b"one");
+    pool.finish(1, &attempt(1), b"one");
     edge.hears(&[b"one"]);
     drop(edge);
     assert!(program.ended().success());
@@ -240,7 +240,7 @@
         assert!(within(&other, Duration::from_millis(300)).is_none(), "{path}");
     }
     let mut edge = program.connect();
-    edge.ask(1, "map", &rid(1), None, b"");
+    edge.ask(1, "map", &attempt(1), None, b"");
     pool.runs(1, 1, b"one");
     edge.hears(&[b"one"]);
 }
@@ -272,11 +272,11 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.serving();
     let mut edge = program.connect();
-    edge.ask(1, "map", &rid(1), None, b"");
+    edge.ask(1, "map", &attempt(1), None, b"");
     pool.runs(4, 1, b"one");
     edge.hears(&[b"one"]);
-    edge.ask(2, "map", &rid(2), None, b"");
-    assert_eq!(pool.next().0[1], rid(2));
+    edge.ask(2, "map", &attempt(2), None, b"");
+    assert_eq!(pool.next().0[1], attempt(2));
     program.pause();
     drop(pool);
     std::thread::sleep(Duration::from_millis(1200));
@@ -285,7 +285,7 @@
     pool.bound("4", "400");
     // What ran on the old one is over; what the new one says counts from its first notice on.
     edge.hears(&[&[0x94, 1, 2, 0x92]]);
-    edge.ask(3, "map", &rid(3), None, b"");
+    edge.ask(3, "map", &attempt(3), None, b"");
     pool.runs(1, 3, b"three");
     edge.hears(&[b"three"]);
 }
@@ -295,17 +295,17 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.serving();
     let mut edge = program.connect();
-    edge.ask(1, "buy", &rid(1), Some("t"), b"");
-    assert_eq!(pool.next().0[1], rid(1));
+    edge.ask(1, "buy", &attempt(1), Some("t"), b"");
+    assert_eq!(pool.next().0[1], attempt(1));
     program.restart();
     drop(edge);
     let mut pool = PoolEnd::accept(&program.pool);
     assert_eq!(pool.next().0, ["bind", "0"]);
     pool.say("bound warm 2000\r\n");
     // Of a run of the one before nothing is known, and it harms nothing.
-    pool.finish(1, &rid(1), b"one");
+    pool.finish(1, &attempt(1), b"one");
     let mut edge = program.connect();
-    edge.ask(1, "buy", &rid(2), Some("u"), b"");
+    edge.ask(1, "buy", &attempt(2), Some("u"), b"");
     pool.runs(2, 2, b"two");
     edge.hears(&[b"two"]);
 }
@@ -322,7 +322,7 @@
         assert_eq!(pool.next().0, ["bind", "0"]);
         pool.say("bound cold 10\r\n");
         let mut edge = program.connect();
-        edge.ask(1, "map", &rid(1), None, b"");
+        edge.ask(1, "map", &attempt(1), None, b"");
         pool.runs(1, 1, b"one");
         edge.hears(&[b"one"]);
         assert!(began.elapsed() < Duration::from_secs(10));
@@ -352,7 +352,7 @@
     http(back(addr), said, listed);
     assert!(program.reports.recv_timeout(LONG).unwrap().ends_with("{\"phase\":\"UP\"}"));
     let mut edge = program.connect();
-    edge.ask(1, "map", &rid(1), None, b"");
+    edge.ask(1, "map", &attempt(1), None, b"");
     pool.runs(1, 1, b"one");
     edge.hears(&[b"one"]);
 }
@@ -366,7 +366,7 @@
     std::thread::sleep(Duration::from_secs(1));
     let sleeps = program.sleeps() - before;
     assert!(sleeps < 400, "{sleeps}");
-    pool.finish(1, &rid(1), b"done");
+    pool.finish(1, &attempt(1), b"done");
     // Those that are answered go, and make room for the others.
     for mut edge in all.drain(..) {
         edge.hears(&[b"done"]);
--- a/crates/aldercrank-server/tests/suite/golden_config.rs
+++ b/crates/aldercrank-server/tests/suite/golden_config.rs
@@ -163,13 +163,13 @@
 }
 
 fn senseless_settings() -> Vec<Vec<(&'static str, Json)>> {
-    let product = json!({"name": "map-extract", "effect": "retryable"});
+    let class = json!({"name": "map-extract", "effect": "retryable"});
     vec![
         vec![("/settings/profiles", json!([]))],
         vec![("/settings/profiles/0/name", json!(1))],
         vec![("/settings/profiles/1/name", json!("map-extract"))],
-        vec![("/settings/profiles/-", product.clone())],
-        vec![("/settings/profiles/-", product.clone()), ("/settings/profiles/-", product)],
+        vec![("/settings/profiles/-", class.clone())],
+        vec![("/settings/profiles/-", class.clone()), ("/settings/profiles/-", class)],
         vec![("/settings/profiles/0/points", json!("one"))],
         vec![("/settings/profiles/1/effect", json!(3))],
         vec![("/settings/profiles/0/window", json!(-5)), ("/settings/profiles/1/give_up", json!(true))],
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -1,8 +1,10 @@
 //! Messages about the rule book inside MessagePack-RPC: what one server writes and the other reads.
 
 use super::{compare, hex};
-use aldercrank_agree::{Ask, Name, Stamp, Standing, Told};
-use aldercrank_server::msgpack::{self, Beside, CallNo, Caller, Edge, Fields, With, RULES};
+use aldercrank_consensus::{CommittedState, PeerRequest, PeerResponse, ServerName, VersionId};
+use aldercrank_server::msgpack_rpc::{
+    self, Edge, MessageId, ReceivedFields, RequestFields, ResponseFields, ResponseHandler, CONSENSUS_METHOD,
+};
 use serde::Serialize;
 use std::fmt::Write;
 use std::time::Duration;
@@ -15,53 +17,56 @@
 struct Notes(Vec<String>);
 
 impl Edge for Notes {
-    fn asked(&mut self, call: CallNo, method: &str, fields: &Fields, body: &[u8]) {
-        assert_eq!(*fields, Fields::default());
+    fn request(&mut self, call: MessageId, method: &str, fields: &RequestFields, body: &[u8]) {
+        assert_eq!(*fields, RequestFields::default());
         self.0.push(format!("call {} of {method:?}, no fields, body {}", call.0, hex(body)));
     }
-    fn checked(&mut self, call: CallNo) {
+    fn health_check(&mut self, call: MessageId) {
         self.0.push(format!("call {} of \"check\"", call.0));
     }
-    fn interrupted(&mut self, call: CallNo) {
+    fn cancel(&mut self, call: MessageId) {
         self.0.push(format!("call {} interrupted", call.0));
     }
-    fn senseless(&mut self, call: CallNo, why: &'static str) {
+    fn invalid_request(&mut self, call: MessageId, why: &'static str) {
         self.0.push(format!("call {} makes no sense: {why}", call.0));
     }
-    fn ignored(&mut self, why: &'static str) {
+    fn unknown_notification(&mut self, why: &'static str) {
         self.0.push(format!("ignored: {why}"));
     }
 }
 
 /// What goes along with an answer.
-fn beside(with: With) -> String {
-    format!("hint {:?}, backoff {:?}, final {}, rules {:?}", with.hint, with.back_in, with.last, with.rules)
+fn beside(with: ReceivedFields) -> String {
+    format!(
+        "hint {:?}, backoff {:?}, final {}, rules {:?}",
+        with.hint, with.retry_after, with.last, with.rules
+    )
 }
 
-impl Caller for Notes {
-    fn settled(&mut self, call: CallNo, result: &[u8], with: With) {
+impl ResponseHandler for Notes {
+    fn completed(&mut self, call: MessageId, result: &[u8], with: ReceivedFields) {
         self.0.push(format!("call {} settled with {}; {}", call.0, hex(result), beside(with)));
     }
-    fn declined(&mut self, call: CallNo, with: With) {
+    fn rejected(&mut self, call: MessageId, with: ReceivedFields) {
         self.0.push(format!("call {} Overloaded; {}", call.0, beside(with)));
     }
-    fn voided(&mut self, call: CallNo, why: &str, with: With) {
+    fn failed(&mut self, call: MessageId, why: &str, with: ReceivedFields) {
         self.0.push(format!("call {} {why:?}; {}", call.0, beside(with)));
     }
-    fn checked(&mut self, call: CallNo, good: bool, with: With) {
+    fn health_reported(&mut self, call: MessageId, good: bool, with: ReceivedFields) {
         self.0.push(format!("call {} checked {good}; {}", call.0, beside(with)));
     }
     fn closing(&mut self) {
         self.0.push("closing".to_string());
     }
-    fn news(&mut self, body: &[u8]) {
+    fn notified(&mut self, body: &[u8]) {
         self.0.push(format!("news with body {}", hex(body)));
     }
 }
 
 fn read_as_server(bytes: &[u8]) -> String {
     let mut notes = Notes::default();
-    match msgpack::read(bytes, &mut notes) {
+    match msgpack_rpc::read_request(bytes, &mut notes) {
         Ok(length) => format!("{length:?} bytes: {}", notes.0.join("; then ")),
         Err(broken) => format!("broken: {}", broken.0),
     }
@@ -69,7 +74,7 @@
 
 fn read_as_caller(bytes: &[u8]) -> String {
     let mut notes = Notes::default();
-    match msgpack::answer(bytes, LONGEST_ANSWER, &mut notes) {
+    match msgpack_rpc::read_response(bytes, LONGEST_ANSWER, &mut notes) {
         Ok(length) => format!("{length:?} bytes: {}", notes.0.join("; then ")),
         Err(broken) => format!("broken: {}", broken.0),
     }
@@ -79,27 +84,33 @@
     rmp_serde::to_vec(value).unwrap()
 }
 
-fn version(number: u64) -> Stamp {
-    Stamp { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
+fn version(number: u64) -> VersionId {
+    VersionId { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
 }
 
 fn request(call: u32, body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack::ask(&mut bytes, CallNo(call), RULES, &Fields::default(), body);
+    msgpack_rpc::write_request(
+        &mut bytes,
+        MessageId(call),
+        CONSENSUS_METHOD,
+        &RequestFields::default(),
+        body,
+    );
     bytes
 }
 
-fn response(call: u32, body: &[u8], beside: Beside) -> Vec<u8> {
+fn response(call: u32, body: &[u8], beside: ResponseFields) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack::settled(&mut bytes, CallNo(call), body.len());
+    msgpack_rpc::write_completed(&mut bytes, MessageId(call), body.len());
     bytes.extend_from_slice(body);
-    msgpack::settled_end(&mut bytes, beside);
+    msgpack_rpc::write_completed_end(&mut bytes, beside);
     bytes
 }
 
-fn notification(draft: Option<Stamp>) -> Vec<u8> {
+fn notification(draft: Option<VersionId>) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack::news(&mut bytes, &pack(&draft));
+    msgpack_rpc::write_notification(&mut bytes, &pack(&draft));
     bytes
 }
 
@@ -127,24 +138,25 @@
 #[test]
 fn messages_about_the_rule_book_are_framed_as_recorded() {
     let mut out = String::new();
-    let renew = Ask::Renew { from: Name::new("n1"), last: 8, weighed: Some((version(9), Ok(()))) };
-    whole(&mut out, "request Status", &request(1, &pack(&Ask::Status)), read_as_server);
+    let renew =
+        PeerRequest::Renew { from: ServerName::new("n1"), last: 8, weighed: Some((version(9), Ok(()))) };
+    whole(&mut out, "request Status", &request(1, &pack(&PeerRequest::Status)), read_as_server);
     whole(&mut out, "request Renew", &request(128, &pack(&renew)), read_as_server);
-    let fetch = request(u32::MAX, &pack(&Ask::Fetch { stamp: version(9) }));
+    let fetch = request(u32::MAX, &pack(&PeerRequest::Fetch { version_id: version(9) }));
     whole(&mut out, "request Fetch", &fetch, read_as_server);
-    let standing = Standing { last: 9, book: version(8) };
-    let lease = Told::Lease {
-        standing,
+    let standing = CommittedState { last: 9, book: version(8) };
+    let lease = PeerResponse::Lease {
+        committed: standing,
         age: Some(Duration::from_millis(1500)),
         stood: Duration::from_secs(60),
-        draft: Some(version(10)),
+        proposed: Some(version(10)),
     };
-    let plain = Beside::default();
-    let full = Beside { hint: Some("0.85"), rules: Some(8) };
-    whole(&mut out, "response Fine", &response(1, &pack(&Told::Fine), plain), read_as_caller);
-    whole(&mut out, "response Silent", &response(300, &pack(&Told::Silent), full), read_as_caller);
+    let plain = ResponseFields::default();
+    let full = ResponseFields { hint: Some("0.85"), rules: Some(8) };
+    whole(&mut out, "response Fine", &response(1, &pack(&PeerResponse::Fine), plain), read_as_caller);
+    whole(&mut out, "response Silent", &response(300, &pack(&PeerResponse::Silent), full), read_as_caller);
     whole(&mut out, "response Lease", &response(70_000, &pack(&lease), full), read_as_caller);
-    let text = Told::Text { stamp: version(8), text: "rules 8 {\n}\n".repeat(1000) };
+    let text = PeerResponse::Text { version_id: version(8), text: "rules 8 {\n}\n".repeat(1000) };
     block(&mut out, "response Text, long", &response(2, &pack(&text), plain), read_as_caller);
     whole(&mut out, "notification of no draft", &notification(None), read_as_caller);
     whole(&mut out, "notification of a draft", &notification(Some(version(9))), read_as_caller);
@@ -156,23 +168,29 @@
     let mut out = String::new();
     let mut as_caller = |title: &str, bytes: &[u8]| block(&mut out, title, bytes, read_as_caller);
     let mut bytes = Vec::new();
-    msgpack::declined(&mut bytes, CallNo(3), Beside::default(), Some(Duration::from_millis(20)), true);
+    msgpack_rpc::write_rejected(
+        &mut bytes,
+        MessageId(3),
+        ResponseFields::default(),
+        Some(Duration::from_millis(20)),
+        true,
+    );
     as_caller("response: overloaded", &bytes);
     bytes.clear();
-    msgpack::voided(&mut bytes, CallNo(3), Beside::default());
+    msgpack_rpc::write_failed(&mut bytes, MessageId(3), ResponseFields::default());
     as_caller("response: internal", &bytes);
     bytes.clear();
-    msgpack::check(&mut bytes, CallNo(3), true, Beside::default());
+    msgpack_rpc::write_health(&mut bytes, MessageId(3), true, ResponseFields::default());
     as_caller("response: health check", &bytes);
     bytes.clear();
-    msgpack::closing(&mut bytes);
+    msgpack_rpc::write_closing(&mut bytes);
     as_caller("notification: closing", &bytes);
-    let result = |length| response(4, &vec![7; length], Beside::default());
+    let result = |length| response(4, &vec![7; length], ResponseFields::default());
     as_caller("response at the limit", &result(LONGEST_ANSWER - 9));
     as_caller("response over the limit", &result(LONGEST_ANSWER - 8));
     as_caller("response with no result", &result(0));
     as_caller("two responses, the first of which is read", &[result(1), result(2)].concat());
-    as_caller("a request where a response is due", &request(1, &pack(&Ask::Status)));
+    as_caller("a request where a response is due", &request(1, &pack(&PeerRequest::Status)));
     let news = |tail: &[u8]| [&[0x93, 2, 0xa5][..], b"rules", tail].concat();
     as_caller("notification with two bodies", &news(&[0x92, 0xc4, 1, 0xc0, 0xc4, 1, 0xc0]));
     as_caller("notification without a body", &news(&[0x90]));
@@ -187,6 +205,9 @@
     as_server("request over the longest body", &request(5, &[7; 2049]));
     as_server("request with an empty body", &request(5, &[]));
     as_server("notification where a request is due", &notification(None));
-    as_server("response where a request is due", &response(1, &pack(&Told::Fine), Beside::default()));
+    as_server(
+        "response where a request is due",
+        &response(1, &pack(&PeerResponse::Fine), ResponseFields::default()),
+    );
     compare("consensus/framing-odd.txt", &out);
 }
--- a/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
@@ -2,8 +2,8 @@
 //! file has a fixed boot id in place of the machine's.
 
 use super::{compare, golden, hex, recording};
-use aldercrank_agree::member::Votes;
-use aldercrank_agree::{Ballot, Decision, Name, Stamp, Standing, Verdict};
+use aldercrank_consensus::member::AcceptorState;
+use aldercrank_consensus::{Ballot, CommittedState, Decision, ServerName, Verdict, VersionId};
 use aldercrank_server::net::memory::Memory;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -91,21 +91,21 @@
     changed
 }
 
-fn version(number: u64) -> Stamp {
-    Stamp { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
+fn version(number: u64) -> VersionId {
+    VersionId { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
 }
 
-fn standing(last: u64, number: u64) -> Standing {
-    Standing { last, book: version(number) }
+fn standing(last: u64, number: u64) -> CommittedState {
+    CommittedState { last, book: version(number) }
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: Some(Name::new("n2")), life: 1_764_748_800_123_456_789 }
+    Ballot { round, by: Some(ServerName::new("n2")), life: 1_764_748_800_123_456_789 }
 }
 
-fn votes(promised: Ballot, accepted: Option<(Decision, Option<&str>)>) -> Votes {
-    Votes {
-        standing: standing(8, 8),
+fn votes(promised: Ballot, accepted: Option<(Decision, Option<&str>)>) -> AcceptorState {
+    AcceptorState {
+        committed: standing(8, 8),
         text: Arc::from("rules 8 {\n}\n"),
         promised: promised.clone(),
         accepted: accepted.as_ref().map(|(decision, _)| (promised, decision.clone())),
@@ -114,14 +114,14 @@
 }
 
 fn in_force() -> Decision {
-    Decision { stamp: version(9), verdict: Verdict::InForce }
+    Decision { version_id: version(9), verdict: Verdict::InForce }
 }
 
 fn refused() -> Decision {
-    Decision { stamp: version(9), verdict: Verdict::Refused("its number is used up".to_string()) }
+    Decision { version_id: version(9), verdict: Verdict::Refused("its number is used up".to_string()) }
 }
 
-fn say_version(version: &Stamp) -> String {
+fn say_version(version: &VersionId) -> String {
     format!("{} with digest {}", version.number, hex(&version.digest))
 }
 
@@ -130,7 +130,7 @@
     format!("round {}, by {by:?}, life {}", ballot.round, ballot.life)
 }
 
-fn say_standing(standing: &Standing) -> String {
+fn say_standing(standing: &CommittedState) -> String {
     format!("last {}, book {}", standing.last, say_version(&standing.book))
 }
 
@@ -141,12 +141,12 @@
         None => out.push_str("  version none\n"),
         Some((standing, text)) => {
             let _ = writeln!(out, "  version standing {}", say_standing(&standing));
-            assert_eq!(text.stamp, standing.book);
+            assert_eq!(text.version_id, standing.book);
             let _ = writeln!(out, "  version text {:?}", &text.text[..text.text.len().min(60)]);
         }
     }
     let Some(votes) = memory.votes() else { return out + "  votes none\n" };
-    let _ = writeln!(out, "  votes standing {}", say_standing(&votes.standing));
+    let _ = writeln!(out, "  votes standing {}", say_standing(&votes.committed));
     let _ = writeln!(out, "  votes text {:?}", &*votes.text);
     let _ = writeln!(out, "  votes promised {}", say_ballot(&votes.promised));
     match &votes.accepted {
@@ -156,7 +156,7 @@
                 Verdict::InForce => "InForce".to_string(),
                 Verdict::Refused(why) => format!("Refused {why:?}"),
             };
-            let (ballot, of) = (say_ballot(ballot), say_version(&decision.stamp));
+            let (ballot, of) = (say_ballot(ballot), say_version(&decision.version_id));
             let _ = writeln!(out, "  votes accepted {verdict} for {of} in {ballot}");
         }
     }
@@ -188,7 +188,7 @@
 
 /// The calls of which the golden file is the outcome.
 fn calls() -> Vec<(&'static str, Call)> {
-    let keep = |votes: Votes| move |memory: &mut Memory| memory.keep_votes(&votes);
+    let keep = |votes: AcceptorState| move |memory: &mut Memory| memory.keep_acceptor_state(&votes);
     let first = votes(Ballot::default(), None);
     let accepted = votes(ballot(300), Some((in_force(), Some("rules 9 {\n}\n"))));
     let no_text = votes(ballot(301), Some((refused(), None)));
@@ -341,7 +341,7 @@
     let _ = write!(out, "a short text after it\n{}{}", layout(&directory.bytes()), meaning(&memory));
     let _ = write!(out, "opened again\n{}", meaning(&Memory::open(Some(&directory.0))));
     let mut nowhere = Memory::open(None);
-    nowhere.keep_votes(&votes(ballot(1), None));
+    nowhere.keep_acceptor_state(&votes(ballot(1), None));
     let _ = write!(out, "without a directory, after votes were kept\n{}", meaning(&nowhere));
     let blocked = Directory::holding(&file);
     let inside_a_file = Memory::open(Some(Path::new(&blocked.0.join(FILE))));
--- a/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
@@ -3,10 +3,12 @@
 
 use super::compare;
 use crate::harness::{free, http, listed, listen, LONG};
-use aldercrank_agree::{Ask, Stamp, Standing, Told};
-use aldercrank_rules::Book;
-use aldercrank_server::msgpack::{self, CallNo, Caller, Fields, With, RULES};
+use aldercrank_consensus::{CommittedState, PeerRequest, PeerResponse, VersionId};
+use aldercrank_server::msgpack_rpc::{
+    self, MessageId, ReceivedFields, RequestFields, ResponseHandler, CONSENSUS_METHOD,
+};
 use aldercrank_server::net::memory::Memory;
+use aldercrank_versioned_config::VersionedConfig;
 use serde_json::Value as Json;
 use std::fmt::Write as _;
 use std::io::{Read, Write};
@@ -46,7 +48,7 @@
         std::fs::write(&path, text).unwrap();
         path
     };
-    let product = |name: &str, effect: &str| {
+    let class = |name: &str, effect: &str| {
         serde_json::json!({"name": name, "effect": effect, "goal_time": 1000000, "give_up": 3000000,
             "points": 1.0, "window": 9000000})
     };
@@ -57,16 +59,16 @@
             "family_info": {"cores": 20, "memory_kb": 9000.0, "run_factor": 4.0, "advert": "share_of",
                 "idle": 400000, "halt": "abort", "calls_out": 4.0, "meters": ["cpu_busy", "runnable"]},
             "rules": {"answer_slack": 60000, "fall_multiple": 5.0, "stop_sending_within": 300000},
-            "profiles": [product("map-extract", "retryable"), product("licence-buy", "dedup")]}});
+            "profiles": [class("map-extract", "retryable"), class("licence-buy", "dedup")]}});
     let text = format!(
         "rules 8 {{\n    committee {{ {committee} }}\n    product \"licence-buy\" {{ points 5 }}\n    \
          servers {{ a \"n1\" }}\n}}\n"
     );
-    let book = Book::parse(&text).unwrap();
+    let book = VersionedConfig::parse(&text).unwrap();
     let mut service = format!("rules {{\n    book {:?}\n", file("rules.kdl", text).to_str().unwrap());
     if memory {
-        let version = Stamp { number: 8, digest: book.digest().0 };
-        let standing = Standing { last: 9, book: version };
+        let version = VersionId { number: 8, digest: book.digest().0 };
+        let standing = CommittedState { last: 9, book: version };
         Memory::open(Some(&directory)).keep_version(standing, &Arc::from(book.text()));
         let _ = writeln!(service, "    dir {:?}", directory.to_str().unwrap());
     }
@@ -81,15 +83,15 @@
 }
 
 #[derive(Default)]
-struct Answer(Option<Told>);
+struct Answer(Option<PeerResponse>);
 
-impl Caller for Answer {
-    fn settled(&mut self, _: CallNo, result: &[u8], _: With) {
+impl ResponseHandler for Answer {
+    fn completed(&mut self, _: MessageId, result: &[u8], _: ReceivedFields) {
         self.0 = rmp_serde::from_slice(result).ok();
     }
-    fn declined(&mut self, _: CallNo, _: With) {}
-    fn voided(&mut self, _: CallNo, _: &str, _: With) {}
-    fn checked(&mut self, _: CallNo, _: bool, _: With) {}
+    fn rejected(&mut self, _: MessageId, _: ReceivedFields) {}
+    fn failed(&mut self, _: MessageId, _: &str, _: ReceivedFields) {}
+    fn health_reported(&mut self, _: MessageId, _: bool, _: ReceivedFields) {}
     fn closing(&mut self) {}
 }
 
@@ -98,17 +100,23 @@
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(LONG)).unwrap();
     let mut request = Vec::new();
-    let body = rmp_serde::to_vec(&Ask::Status).unwrap();
-    msgpack::ask(&mut request, CallNo(1), RULES, &Fields::default(), &body);
+    let body = rmp_serde::to_vec(&PeerRequest::Status).unwrap();
+    msgpack_rpc::write_request(
+        &mut request,
+        MessageId(1),
+        CONSENSUS_METHOD,
+        &RequestFields::default(),
+        &body,
+    );
     stream.write_all(&request).unwrap();
     let (mut heard, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
         let count = stream.read(&mut chunk).ok().filter(|count| *count > 0)?;
         heard.extend_from_slice(&chunk[..count]);
         let mut answer = Answer::default();
-        if msgpack::answer(&heard, 1 << 20, &mut answer).unwrap().is_some() {
+        if msgpack_rpc::read_response(&heard, 1 << 20, &mut answer).unwrap().is_some() {
             return match answer.0 {
-                Some(Told::Status { text }) => Some(text),
+                Some(PeerResponse::Status { text }) => Some(text),
                 _ => panic!("no status"),
             };
         }
@@ -116,7 +124,7 @@
 }
 
 /// Asks until the answer is as wanted.
-fn settled(address: SocketAddr, wanted: fn(&Json) -> bool) -> String {
+fn completed(address: SocketAddr, wanted: fn(&Json) -> bool) -> String {
     let until = Instant::now() + LONG;
     loop {
         if let Some(text) = status(address) {
@@ -180,7 +188,7 @@
 fn a_status_answer_has_the_recorded_fields_and_is_shown_as_recorded() {
     let server = start(0, "n1 \"127.0.0.1:7001\"", false);
     // The member vouches for what stands, and has given its own server a lease.
-    let text = settled(server.address, |json| {
+    let text = completed(server.address, |json| {
         let committee = &json["committee"];
         committee["vouches"] == true && json["level"] == "full" && committee["servers"][0]["last"] == 8
     });
@@ -211,7 +219,7 @@
     for (number, title, memory) in [(1, "without a memory", false), (2, "with a memory", true)] {
         let server = start(number, committee, memory);
         // It has asked its own member again, with what it had learned by then.
-        let text = settled(server.address, |json| {
+        let text = completed(server.address, |json| {
             let asked_with = &json["committee"]["servers"][0]["last"];
             !asked_with.is_null() && *asked_with == json["standing"]["last"]
         });
--- a/crates/aldercrank-server/tests/suite/harness.rs
+++ b/crates/aldercrank-server/tests/suite/harness.rs
@@ -80,7 +80,7 @@
         (read > 0).then(|| line.split_whitespace().map(str::to_string).collect())
     }
 
-    fn gauges(&mut self, tag: &str) {
+    fn load_metrics(&mut self, tag: &str) {
         self.say(&format!("polled {tag} 0.1 1 0.2 3\r\n"));
     }
 
@@ -115,7 +115,7 @@
                 let bytes = self.bytes_of(&words);
                 return Some((words, bytes));
             }
-            self.gauges(&words[1]);
+            self.load_metrics(&words[1]);
         }
     }
 
@@ -126,12 +126,12 @@
 
     /// The next command has to be the word to run this one, which ends well.
     pub fn runs(&mut self, notice: u32, number: u32, result: &[u8]) {
-        assert_eq!(self.next().0[1], rid(number));
-        self.finish(notice, &rid(number), result);
+        assert_eq!(self.next().0[1], attempt(number));
+        self.finish(notice, &attempt(number), result);
     }
 
-    pub fn finish(&mut self, notice: u32, rid: &str, result: &[u8]) {
-        self.say(&format!("finished {notice} {rid} ok 20.5 {}\r\n", result.len()));
+    pub fn finish(&mut self, notice: u32, attempt: &str, result: &[u8]) {
+        self.say(&format!("finished {notice} {attempt} ok 20.5 {}\r\n", result.len()));
         self.reader.get_mut().write_all(result).unwrap();
         self.say("\r\n");
     }
@@ -245,7 +245,7 @@
             }
             None => away = vec![(index_addr, say_call), (members_addr, say_report)],
         }
-        let product = |name: &str, effect: &str| {
+        let class = |name: &str, effect: &str| {
             serde_json::json!({"name": name, "effect": effect, "goal_time": 2000000, "give_up": 5000000,
                 "points": 1.0, "window": 9000000})
         };
@@ -256,7 +256,7 @@
                 "family_info": {"cores": 20, "memory_kb": 9000.0, "run_factor": 4.0, "advert": "share_of",
                     "idle": 400000, "halt": "abort", "calls_out": 4.0, "meters": ["cpu_busy", "runnable"]},
                 "rules": {"answer_slack": 60000, "fall_multiple": 5.0, "stop_sending_within": 300000},
-                "profiles": [product("map", "retryable"), product("buy", "dedup")]}});
+                "profiles": [class("map", "retryable"), class("buy", "dedup")]}});
         change(&mut config);
         let path =
             std::env::temp_dir().join(format!("aldercrank-{}-{}.json", std::process::id(), edge.port()));
@@ -374,19 +374,19 @@
 }
 
 /// A request that came to the machine now, as an edge node writes it.
-pub fn request(id: u32, product: &str, rid: &str, token: Option<&str>, body: &[u8]) -> Vec<u8> {
+pub fn request(id: u32, class: &str, attempt: &str, token: Option<&str>, body: &[u8]) -> Vec<u8> {
     let t0 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string();
-    let mut fields = vec![("rid", rid), ("t0", &t0), ("peer", "4"), ("budget", "3000"), ("mem", "24.5")];
+    let mut fields = vec![("rid", attempt), ("t0", &t0), ("peer", "4"), ("budget", "3000"), ("mem", "24.5")];
     fields.push(("prio", "0.9"));
     fields.extend(token.map(|t| ("token", t)));
-    call(id, product, &fields, body)
+    call(id, class, &fields, body)
 }
 
 pub struct Edge(pub TcpStream);
 
 impl Edge {
-    pub fn ask(&mut self, id: u32, product: &str, rid: &str, token: Option<&str>, body: &[u8]) {
-        self.0.write_all(&request(id, product, rid, token, body)).unwrap();
+    pub fn ask(&mut self, id: u32, class: &str, attempt: &str, token: Option<&str>, body: &[u8]) {
+        self.0.write_all(&request(id, class, attempt, token, body)).unwrap();
     }
 
     /// Reads until all these parts have come, one after the other; gives what came.
@@ -421,7 +421,7 @@
     bytes.windows(2).filter(|w| *w == [0x94, 1]).count()
 }
 
-pub fn rid(n: u32) -> String {
+pub fn attempt(n: u32) -> String {
     format!("{n:016x}")
 }
 
--- a/crates/aldercrank-server/tests/suite/main.rs
+++ b/crates/aldercrank-server/tests/suite/main.rs
@@ -1,4 +1,13 @@
 //! Tests of the real backend; none needs the bench.
+
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
 mod codecs;
 mod core;
 mod crossings;
--- a/crates/aldercrank-server/tests/suite/sockets.rs
+++ b/crates/aldercrank-server/tests/suite/sockets.rs
@@ -18,25 +18,25 @@
     edge.0.write_all(&check(2)).unwrap();
     edge.hears(&[&[0x94, 1, 2, 0xc0, 0x92, 0xc3]]);
     // Two txns at once, answered the other way round; the first makes a call.
-    edge.ask(3, "map", &rid(3), None, &[0, 13, 10]);
-    edge.ask(4, "buy", &rid(4), Some("t"), b"");
-    assert_eq!(pool.next(), (vec!["spawn".into(), rid(3), "map".into(), "3".into()], vec![0, 13, 10]));
-    assert_eq!(pool.next().0[1], rid(4));
-    pool.say(&format!("blocked 1 {} 2\r\n\r\n\r\n", rid(3)));
+    edge.ask(3, "map", &attempt(3), None, &[0, 13, 10]);
+    edge.ask(4, "buy", &attempt(4), Some("t"), b"");
+    assert_eq!(pool.next(), (vec!["spawn".into(), attempt(3), "map".into(), "3".into()], vec![0, 13, 10]));
+    assert_eq!(pool.next().0[1], attempt(4));
+    pool.say(&format!("blocked 1 {} 2\r\n\r\n\r\n", attempt(3)));
     let asked = program.calls.recv_timeout(LONG).unwrap();
-    assert!(asked.contains(&format!("X-Parent-Id: {}\r\n", rid(3))) && asked.ends_with("\r\n\r\n\r\n"));
-    assert_eq!(pool.next(), (vec!["supply".into(), rid(3), "8".into()], b"reply\r\n!".to_vec()));
-    pool.finish(2, &rid(4), b"\xff\0four");
+    assert!(asked.contains(&format!("X-Parent-Id: {}\r\n", attempt(3))) && asked.ends_with("\r\n\r\n\r\n"));
+    assert_eq!(pool.next(), (vec!["supply".into(), attempt(3), "8".into()], b"reply\r\n!".to_vec()));
+    pool.finish(2, &attempt(4), b"\xff\0four");
     edge.hears(&[&[0x94, 1, 4, 0xc0, 0x92, 0xc4, 6], b"\xff\0four", b"hint"]);
     // A repeat is answered from what was kept.
-    edge.ask(5, "buy", &rid(5), Some("t"), b"");
+    edge.ask(5, "buy", &attempt(5), Some("t"), b"");
     edge.hears(&[&[0x94, 1, 5, 0xc0, 0x92, 0xc4, 6], b"\xff\0four"]);
     // Told to leave: listed as OUT, bad to checks, what runs is waited for, then everything closes.
     program.term();
     assert!(program.reports.iter().any(|r| r.ends_with("{\"phase\":\"OUT\"}")));
     edge.0.write_all(&check(6)).unwrap();
     edge.hears(&[&[0x94, 1, 6, 0xc0, 0x92, 0xc2]]);
-    pool.finish(3, &rid(3), b"three");
+    pool.finish(3, &attempt(3), b"three");
     edge.hears(&[&[0x94, 1, 3, 0xc0, 0x92, 0xc4, 5], b"three", b"closing"]);
     drop(edge);
     assert!(program.ended().success());
@@ -47,18 +47,18 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.serving();
     let mut edge = program.connect();
-    (1..=3).for_each(|n| edge.ask(n, "buy", &rid(n), Some(&rid(n)), b"b"));
-    (1..=3).for_each(|n| assert_eq!(pool.next().0[1], rid(n)));
-    pool.finish(1, &rid(1), b"one");
+    (1..=3).for_each(|n| edge.ask(n, "buy", &attempt(n), Some(&attempt(n)), b"b"));
+    (1..=3).for_each(|n| assert_eq!(pool.next().0[1], attempt(n)));
+    pool.finish(1, &attempt(1), b"one");
     edge.hears(&[b"one"]);
     drop(pool);
     let mut pool = PoolEnd::accept(&program.pool);
     pool.bound("1", "99000");
-    pool.finish(1, &rid(2), b"old");
-    pool.finish(2, &rid(9), b"for nobody");
+    pool.finish(1, &attempt(2), b"old");
+    pool.finish(2, &attempt(9), b"for nobody");
     pool.say("gibberish\r\nunknown spawn 77\r\n");
     // The last one is the one that shows, so that all of them have been read when the link goes.
-    pool.finish(3, &rid(2), b"two");
+    pool.finish(3, &attempt(2), b"two");
     let heard = edge.hears(&[b"two"]);
     assert!(!heard.windows(3).any(|w| w == b"old"));
     // One that came up after the link was lost has nothing of what the other ran.
@@ -66,9 +66,9 @@
     let mut pool = PoolEnd::accept(&program.pool);
     pool.bound("3", "0.5");
     edge.hears(&[&[0x94, 1, 3, 0x92], b"Internal"]);
-    edge.ask(4, "buy", &rid(4), Some("t"), b"b");
-    assert_eq!(pool.next().0[1], rid(4));
-    pool.finish(1, &rid(4), b"four");
+    edge.ask(4, "buy", &attempt(4), Some("t"), b"b");
+    assert_eq!(pool.next().0[1], attempt(4));
+    pool.finish(1, &attempt(4), b"four");
     edge.hears(&[b"four"]);
 }
 
@@ -79,9 +79,9 @@
     let mut pool = program.serving();
     let mut edge = program.connect();
     for (n, body) in [(1, "good"), (2, "evil")] {
-        edge.ask(n, "buy", &rid(n), Some(&rid(n)), b"");
+        edge.ask(n, "buy", &attempt(n), Some(&attempt(n)), b"");
         assert_eq!(pool.next().0[0], "spawn");
-        pool.say(&format!("blocked {n} {} 4\r\n{body}\r\n", rid(n)));
+        pool.say(&format!("blocked {n} {} 4\r\n{body}\r\n", attempt(n)));
         assert!(program.calls.recv_timeout(LONG).unwrap().ends_with(body));
         if n == 1 {
             assert_eq!(pool.next().1, b"fine");
@@ -96,16 +96,16 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.serving();
     let (mut bad, mut crowd, mut good) = (program.connect(), program.connect(), program.connect());
-    bad.ask(1, "map", &rid(1), None, b"");
-    assert_eq!(pool.next().0[1], rid(1));
+    bad.ask(1, "map", &attempt(1), None, b"");
+    assert_eq!(pool.next().0[1], attempt(1));
     bad.0.write_all(&[0xc1, 0xc1]).unwrap();
     // At once, though what it asked still runs: a reply that comes later reaches nobody.
     assert!(bad.closes().windows(8).any(|w| w == b"Internal"));
-    pool.finish(1, &rid(1), b"done");
+    pool.finish(1, &attempt(1), b"done");
     // One call more than may be open: it is not run, and what is open is answered.
-    (1..=33).for_each(|n| crowd.ask(n, "map", &rid(100 + n), None, b""));
-    good.ask(1, "map", &rid(2), None, b"");
-    good.ask(2, "nothing", &rid(3), None, b"");
+    (1..=33).for_each(|n| crowd.ask(n, "map", &attempt(100 + n), None, b""));
+    good.ask(1, "map", &attempt(2), None, b"");
+    good.ask(2, "nothing", &attempt(3), None, b"");
     good.0.write_all(&interrupt(77)).unwrap();
     good.hears(&[&[0x94, 1, 2, 0x92], b"Internal"]);
     let answers = crowd.closes().windows(2).filter(|w| *w == [0x94, 1]).count();
@@ -115,13 +115,14 @@
     // Each kind gets an error or a close, and nothing of it comes to the pool.
     let time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string();
     let with = |name: &str, value: &str| {
-        let (mut fields, rid) = (vec![("t0", time.as_str()), ("peer", "4"), ("budget", "3000")], rid(9));
-        fields.extend([("rid", rid.as_str()), ("mem", "24.5"), ("prio", "0.9")]);
+        let (mut fields, attempt) =
+            (vec![("t0", time.as_str()), ("peer", "4"), ("budget", "3000")], attempt(9));
+        fields.extend([("rid", attempt.as_str()), ("mem", "24.5"), ("prio", "0.9")]);
         fields.retain(|(n, _)| *n != name);
         fields.push((name, value));
         call(1, "map", &fields, b"")
     };
-    let twice = [with("x", ""), with("rid", &rid(8))].concat();
+    let twice = [with("x", ""), with("rid", &attempt(8))].concat();
     let mut spoilt = vec![b"GET / HTTP/1.1\r\n\r\n".to_vec(), vec![0x94, 0, 0xff], twice];
     spoilt.extend([[0xc6, 0xff, 0xff, 0xff, 0xff].to_vec(), vec![0x93, 2, 0xa1, b'x', 0x90]]);
     for (name, value) in [
@@ -146,14 +147,14 @@
         let heard = bad.closes();
         assert!(!heard.windows(3).any(|w| w == [0x94, 1, 0xc0]), "{bytes:?}");
     }
-    good.ask(10, "map", &rid(10), None, b"");
+    good.ask(10, "map", &attempt(10), None, b"");
     loop {
         // But for the first of two under one number, which was stopped.
         let (words, _) = pool.next();
-        if words[1] == rid(10) {
+        if words[1] == attempt(10) {
             break;
         }
-        assert!(words[0] == "suspend" || words[1] != rid(8), "{words:?}");
+        assert!(words[0] == "suspend" || words[1] != attempt(8), "{words:?}");
     }
 }
 
@@ -163,15 +164,15 @@
     let mut pool = program.serving();
     let (mut half, mut busy) = (program.connect(), program.connect());
     half.0.write_all(&[0x94, 0, 1]).unwrap();
-    busy.ask(1, "map", &rid(1), None, b"");
-    assert_eq!(pool.next().0[1], rid(1));
+    busy.ask(1, "map", &attempt(1), None, b"");
+    assert_eq!(pool.next().0[1], attempt(1));
     // More than the descriptors that edge nodes may have: the silent make room, one at work does not.
     let mut silent: Vec<Edge> = (0..100).map(|_| program.connect()).collect();
     let mut good = program.connect();
     good.0.write_all(&check(1)).unwrap();
     good.0.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     good.hears(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc3]]);
-    pool.finish(1, &rid(1), b"done");
+    pool.finish(1, &attempt(1), b"done");
     busy.hears(&[b"done"]);
     // All have a close well before anybody would give up on one.
     let began = Instant::now();
@@ -186,8 +187,8 @@
     let mut pool = program.serving();
     let (mut idle, mut busy) = (program.connect(), program.connect());
     idle.0.write_all(&check(1)).unwrap();
-    busy.ask(1, "map", &rid(1), None, b"");
-    assert_eq!(pool.next().0[1], rid(1));
+    busy.ask(1, "map", &attempt(1), None, b"");
+    assert_eq!(pool.next().0[1], attempt(1));
     // Checks keep theirs: it is not idle.
     let mut checks = program.connect();
     for n in 1..=7 {
@@ -198,7 +199,7 @@
     // One that has never said anything is closed without a word; this one has.
     let told = idle.closes();
     assert!(told.ends_with(&[&[0x93, 2, 0xa7], b"closing".as_slice(), &[0x90]].concat()));
-    pool.finish(1, &rid(1), b"late");
+    pool.finish(1, &attempt(1), b"late");
     busy.hears(&[b"late", b"closing"]);
 }
 
@@ -206,7 +207,7 @@
 fn the_notice_before_the_pool_is_up_ends_it_cleanly_and_what_comes_too_soon_is_declined() {
     let mut program = Program::start(|_| None);
     let mut edge = program.connect();
-    edge.ask(1, "map", &rid(1), None, b"");
+    edge.ask(1, "map", &attempt(1), None, b"");
     edge.hears(&[&[0x94, 1, 1, 0x92], b"Overloaded"]);
     program.term();
     edge.hears(&[b"closing"]);
@@ -241,9 +242,9 @@
     // As many as may be open at once.
     let all = 32;
     let writing =
-        std::thread::spawn(move || (1..=all).for_each(|n| writer.ask(n, "map", &rid(n), None, b"")));
+        std::thread::spawn(move || (1..=all).for_each(|n| writer.ask(n, "map", &attempt(n), None, b"")));
     for n in 1..=20 {
-        good.ask(n, "map", &rid(1000 + n), None, b"");
+        good.ask(n, "map", &attempt(1000 + n), None, b"");
         good.hears(&[&[0x94, 1, n as u8]]);
     }
     let mut heard = Vec::new();
@@ -264,12 +265,12 @@
     pool.bound("0", "3.5");
     let mut edge = program.connect();
     // A refused call provably never ran: it is tried again, and in the end the txn is voided in time.
-    edge.ask(1, "buy", &rid(1), Some("t"), b"");
-    assert_eq!(pool.next().0[1], rid(1));
-    pool.say(&format!("blocked 1 {} 1\r\n?\r\n", rid(1)));
-    edge.ask(2, "map", &rid(2), None, b"");
-    assert_eq!(pool.next().0[1], rid(2));
-    pool.finish(2, &rid(2), b"two");
+    edge.ask(1, "buy", &attempt(1), Some("t"), b"");
+    assert_eq!(pool.next().0[1], attempt(1));
+    pool.say(&format!("blocked 1 {} 1\r\n?\r\n", attempt(1)));
+    edge.ask(2, "map", &attempt(2), None, b"");
+    assert_eq!(pool.next().0[1], attempt(2));
+    pool.finish(2, &attempt(2), b"two");
     edge.hears(&[b"two", &[0x94, 1, 1, 0x92], b"Internal"]);
     let (addr, said) = program.away.pop().unwrap();
     http(back(addr), said, listed);
@@ -281,12 +282,12 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.serving();
     let mut edge = program.connect();
-    (1..=4).for_each(|n| edge.ask(n, "buy", &rid(n), Some(&rid(n)), b""));
-    (1..=4).for_each(|n| assert_eq!(pool.next().0[1], rid(n)));
+    (1..=4).for_each(|n| edge.ask(n, "buy", &attempt(n), Some(&attempt(n)), b""));
+    (1..=4).for_each(|n| assert_eq!(pool.next().0[1], attempt(n)));
     program.signal("-STOP");
     // While it stands still a result comes for one, and the time of all runs out; one more is asked.
-    pool.finish(1, &rid(1), b"one");
-    edge.ask(5, "buy", &rid(1), Some(&rid(1)), b"");
+    pool.finish(1, &attempt(1), b"one");
+    edge.ask(5, "buy", &attempt(1), Some(&attempt(1)), b"");
     std::thread::sleep(Duration::from_millis(3200));
     program.signal("-CONT");
     let mut heard = Vec::new();
@@ -301,8 +302,8 @@
     }
     assert_eq!(answers(&heard), 5, "{heard:?}");
     // What the pool hears next is the word for another txn: nothing was run again.
-    edge.ask(6, "buy", &rid(6), Some(&rid(6)), b"");
-    assert_eq!(pool.next().0[1], rid(6));
+    edge.ask(6, "buy", &attempt(6), Some(&attempt(6)), b"");
+    assert_eq!(pool.next().0[1], attempt(6));
 }
 
 #[test]
@@ -310,19 +311,19 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.serving();
     let mut edge = program.connect();
-    edge.ask(1, "map", &rid(1), None, b"");
-    edge.ask(2, "buy", &rid(2), Some("t"), b"");
-    assert_eq!([pool.next().0[1].clone(), pool.next().0[1].clone()], [rid(1), rid(2)]);
+    edge.ask(1, "map", &attempt(1), None, b"");
+    edge.ask(2, "buy", &attempt(2), Some("t"), b"");
+    assert_eq!([pool.next().0[1].clone(), pool.next().0[1].clone()], [attempt(1), attempt(2)]);
     (1..=2).for_each(|n| edge.0.write_all(&interrupt(n)).unwrap());
     // What may run again is stopped; what runs once goes on, and a repeat gets what came of it.
-    assert_eq!(pool.next().0, ["suspend".to_string(), rid(1)]);
-    pool.say(&format!("finished 1 {} halted 9 0\r\n\r\n", rid(1)));
-    edge.ask(3, "buy", &rid(3), Some("t"), b"");
-    pool.finish(2, &rid(2), b"two");
+    assert_eq!(pool.next().0, ["suspend".to_string(), attempt(1)]);
+    pool.say(&format!("finished 1 {} halted 9 0\r\n\r\n", attempt(1)));
+    edge.ask(3, "buy", &attempt(3), Some("t"), b"");
+    pool.finish(2, &attempt(2), b"two");
     // An interrupt that crosses the answer changes nothing; nor does one for a call that never was.
     edge.0.write_all(&interrupt(3)).unwrap();
     edge.0.write_all(&interrupt(99)).unwrap();
-    edge.0.write_all(&call(4, "map", &[("rid", &rid(4)), ("t0", "soon"), ("budget", "9")], b"")).unwrap();
+    edge.0.write_all(&call(4, "map", &[("rid", &attempt(4)), ("t0", "soon"), ("budget", "9")], b"")).unwrap();
     let heard = edge.closes();
     let answered = |n: u8| heard.windows(3).filter(|w| *w == [0x94, 1, n]).count();
     assert_eq!((answered(1), answered(2), answered(3), answered(4)), (1, 1, 1, 1));
@@ -333,14 +334,14 @@
     let mut program = Program::start(|_| ok("old"));
     let mut pool = program.serving();
     let mut edge = program.connect();
-    (1..=2).for_each(|n| edge.ask(n, "buy", &rid(n), Some(&rid(n)), b""));
-    (1..=2).for_each(|n| assert_eq!(pool.next().0[1], rid(n)));
+    (1..=2).for_each(|n| edge.ask(n, "buy", &attempt(n), Some(&attempt(n)), b""));
+    (1..=2).for_each(|n| assert_eq!(pool.next().0[1], attempt(n)));
     // Neither a file that is cut short nor the same addresses again changes anything.
     std::fs::write(&program.config, "{\"name\":").unwrap();
     program.signal("-HUP");
     std::thread::sleep(Duration::from_millis(100));
     program.reload(&[]);
-    pool.finish(1, &rid(1), b"one");
+    pool.finish(1, &attempt(1), b"one");
     edge.hears(&[b"one"]);
     // The new places; each is listened on from here alone.
     let ip = program.edge.ip().to_string();
@@ -353,16 +354,16 @@
     let mut moved = PoolEnd::accept(&new_pool);
     assert_eq!(moved.next().0, ["bind", "1"]);
     // What comes before the new link is bound is said on it, and a result said on the old one counts once.
-    pool.finish(2, &rid(2), b"two");
-    edge.ask(3, "buy", &rid(3), Some("t"), b"");
+    pool.finish(2, &attempt(2), b"two");
+    edge.ask(3, "buy", &attempt(3), Some("t"), b"");
     std::thread::sleep(Duration::from_millis(50));
     moved.say("bound warm 99000\r\n");
-    moved.finish(2, &rid(2), b"two");
-    assert_eq!(moved.next().0[..2], ["spawn".to_string(), rid(3)]);
-    moved.say(&format!("blocked 3 {} 1\r\n?\r\n", rid(3)));
-    assert_eq!(moved.next(), (vec!["supply".into(), rid(3), "3".into()], b"new".to_vec()));
+    moved.finish(2, &attempt(2), b"two");
+    assert_eq!(moved.next().0[..2], ["spawn".to_string(), attempt(3)]);
+    moved.say(&format!("blocked 3 {} 1\r\n?\r\n", attempt(3)));
+    assert_eq!(moved.next(), (vec!["supply".into(), attempt(3), "3".into()], b"new".to_vec()));
     assert!(calls.try_recv().is_ok() && program.calls.try_recv().is_err());
-    moved.finish(4, &rid(3), b"three");
+    moved.finish(4, &attempt(3), b"three");
     let heard = edge.hears(&[b"two", b"three"]);
     assert_eq!(heard.windows(3).filter(|w| *w == b"two").count(), 1);
     assert!(reports.recv_timeout(LONG).unwrap().ends_with("{\"phase\":\"UP\"}"));
@@ -382,24 +383,24 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.serving();
     let mut edge = program.connect();
-    edge.ask(1, "buy", &rid(1), Some("t1"), b"");
-    assert_eq!(pool.next().0[1], rid(1));
+    edge.ask(1, "buy", &attempt(1), Some("t1"), b"");
+    assert_eq!(pool.next().0[1], attempt(1));
     // Withdrawn; and cores can't change in service, which the log says.
     let profiles = program.told["settings"]["profiles"].as_array().unwrap();
     let place = profiles.iter().position(|p| p["name"] == "buy").unwrap();
     program.told["settings"]["profiles"][place]["offered"] = false.into();
     program.reload(&[]);
     std::thread::sleep(Duration::from_millis(150));
-    edge.ask(2, "buy", &rid(2), Some("t2"), b"");
+    edge.ask(2, "buy", &attempt(2), Some("t2"), b"");
     edge.hears(&[b"Overloaded"]);
-    pool.finish(1, &rid(1), b"bought");
+    pool.finish(1, &attempt(1), b"bought");
     edge.hears(&[b"bought"]);
     program.told["settings"]["profiles"][place]["offered"] = true.into();
     program.reload(&[]);
     std::thread::sleep(Duration::from_millis(150));
-    edge.ask(3, "buy", &rid(3), Some("t3"), b"");
-    assert_eq!(pool.next().0[1], rid(3));
-    pool.finish(2, &rid(3), b"again");
+    edge.ask(3, "buy", &attempt(3), Some("t3"), b"");
+    assert_eq!(pool.next().0[1], attempt(3));
+    pool.finish(2, &attempt(3), b"again");
     edge.hears(&[b"again"]);
 }
 
@@ -409,17 +410,17 @@
     let mut pool = program.serving();
     let (mut good, mut bad) = (program.connect(), program.connect());
     // The made-up call comes first; the true one runs, and a true repeat is answered from it.
-    bad.ask(1, "buy", &rid(1), Some("t"), b"false");
-    assert_eq!(pool.next().0[1], rid(1));
-    good.ask(1, "buy", &rid(2), Some("t"), b"true");
-    assert_eq!(pool.next().0[1], rid(2));
-    pool.say(&format!("unknown spawn {}\r\n", rid(1)));
+    bad.ask(1, "buy", &attempt(1), Some("t"), b"false");
+    assert_eq!(pool.next().0[1], attempt(1));
+    good.ask(1, "buy", &attempt(2), Some("t"), b"true");
+    assert_eq!(pool.next().0[1], attempt(2));
+    pool.say(&format!("unknown spawn {}\r\n", attempt(1)));
     bad.hears(&[&[0x94, 1, 1, 0x92], b"Internal"]);
-    pool.finish(1, &rid(2), b"made");
+    pool.finish(1, &attempt(2), b"made");
     good.hears(&[b"made"]);
-    bad.ask(2, "buy", &rid(3), Some("t"), b"false");
-    assert_eq!(pool.next().0[1], rid(3));
-    good.ask(2, "buy", &rid(4), Some("t"), b"true");
+    bad.ask(2, "buy", &attempt(3), Some("t"), b"false");
+    assert_eq!(pool.next().0[1], attempt(3));
+    good.ask(2, "buy", &attempt(4), Some("t"), b"true");
     good.hears(&[&[0x94, 1, 2, 0xc0], b"made"]);
 }
 
@@ -453,14 +454,14 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.serving();
     let mut edge = program.connect();
-    edge.ask(1, "map", &rid(1), None, b"a");
-    edge.ask(2, "map", &rid(2), None, b"b");
+    edge.ask(1, "map", &attempt(1), None, b"a");
+    edge.ask(2, "map", &attempt(2), None, b"b");
     pool.next();
     pool.next();
     let large: Vec<u8> = (0..250_000u32).map(|i| (i.wrapping_mul(2_654_435_761) >> 24) as u8).collect();
-    let mut said = format!("finished 1 {} ok 20.5 {}\r\n", rid(1), large.len()).into_bytes();
+    let mut said = format!("finished 1 {} ok 20.5 {}\r\n", attempt(1), large.len()).into_bytes();
     said.extend(&large);
-    said.extend(format!("\r\nfinished 2 {} ok 20.5 5\r\nsmall\r\n", rid(2)).bytes());
+    said.extend(format!("\r\nfinished 2 {} ok 20.5 5\r\nsmall\r\n", attempt(2)).bytes());
     // Cut within the first line, the result, its end and the second line.
     let mut from = 0;
     for to in [9, 40, 100_000, said.len() - 66, said.len() - 30, said.len()] {
@@ -475,12 +476,12 @@
         edge.hears(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc6], &size, &large, &[0x94, 1, 2, 0xc0, 0x92], b"small"]);
     assert_eq!(all.windows(3).filter(|w| *w == [0x94, 1, 1]).count(), 1);
     // One over the bound is nobody's result: its txn is not settled by it.
-    edge.ask(3, "map", &rid(3), None, b"c");
+    edge.ask(3, "map", &attempt(3), None, b"c");
     pool.next();
-    pool.say(&format!("finished 3 {} ok 20.5 300000\r\n", rid(3)));
-    edge.ask(4, "map", &rid(4), None, b"d");
+    pool.say(&format!("finished 3 {} ok 20.5 300000\r\n", attempt(3)));
+    edge.ask(4, "map", &attempt(4), None, b"d");
     pool.next();
-    pool.finish(4, &rid(4), b"after");
+    pool.finish(4, &attempt(4), b"after");
     let all = edge.hears(&[&[0x94, 1, 4, 0xc0, 0x92], b"after"]);
     assert!(!all.windows(4).any(|w| *w == [0x94, 1, 3, 0xc0]));
 }
@@ -491,7 +492,7 @@
     let mut pool = program.serving();
     let mut edge = program.connect();
     for n in 1..=32 {
-        edge.ask(n, "map", &rid(n), None, b"x");
+        edge.ask(n, "map", &attempt(n), None, b"x");
     }
     (1..=20).for_each(|_| assert_eq!(pool.next().0[0], "spawn"));
     let all: Vec<u8> = (1..=32).flat_map(interrupt).collect();
@@ -505,15 +506,15 @@
         }
     }
     // The connection has room for as many again, and each number is free.
-    edge.ask(1, "map", &rid(100), None, b"x");
+    edge.ask(1, "map", &attempt(100), None, b"x");
     let words = loop {
         let (words, _) = pool.next();
-        if words[1] == rid(100) {
+        if words[1] == attempt(100) {
             break words;
         }
     };
     assert_eq!(words[0], "spawn");
-    pool.finish(100, &rid(100), b"done");
+    pool.finish(100, &attempt(100), b"done");
     let all = edge.hears(&[b"done"]);
     assert_eq!(all.windows(8).filter(|w| *w == b"Internal").count(), 32);
 }
@@ -524,11 +525,11 @@
     let mut pool = program.serving();
     let mut edge = program.connect();
     let body: Vec<u8> = (0..2048u32).map(|i| (i % 251) as u8).collect();
-    edge.ask(1, "map", &rid(1), None, &body);
+    edge.ask(1, "map", &attempt(1), None, &body);
     assert_eq!(pool.next().1, body);
-    pool.finish(1, &rid(1), &body);
+    pool.finish(1, &attempt(1), &body);
     edge.hears(&[&body]);
-    edge.ask(2, "map", &rid(2), None, &vec![1; 2049]);
+    edge.ask(2, "map", &attempt(2), None, &vec![1; 2049]);
     let all = edge.closes();
     assert!(all.windows(8).any(|w| w == b"Internal"));
 }
@@ -551,7 +552,7 @@
     };
     let half_read = |n: u32| {
         let mut edge = program.connect();
-        edge.ask(1, "map", &rid(n), None, b"x");
+        edge.ask(1, "map", &attempt(n), None, b"x");
         // The first of it has come, the rest does not fit into the sockets.
         edge.hears(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc6]]);
     };
@@ -559,7 +560,7 @@
     let before = ["descriptors", "memory"].map(|what| held(what, &program));
     (21..=220).for_each(half_read);
     let mut edge = program.connect();
-    edge.ask(1, "map", &rid(1000), None, b"x");
+    edge.ask(1, "map", &attempt(1000), None, b"x");
     edge.hears(&[&[7; 200_000]]);
     drop(edge);
     std::thread::sleep(Duration::from_millis(100));
