--- a/crates/aldercrank-server/tests/suite/tables.rs
+++ b/crates/aldercrank-server/tests/suite/tables.rs
@@ -1,11 +1,11 @@
 //! Slots, deadlines, keys, phases and the configuration.
 
-use aldercrank::TxnId;
+use aldercrank::RequestId;
 use aldercrank_server::config::Config;
 use aldercrank_server::deadlines::Deadlines;
-use aldercrank_server::dedup::{DedupKey, DedupTable, Fate};
-use aldercrank_server::logger::{Bound, Lines, Logger, Wish};
-use aldercrank_server::payload::{Out, Payload};
+use aldercrank_server::dedup::{CachedOutcome, DedupKey, DedupTable};
+use aldercrank_server::logger::{Bound, Lines, LogOptions, Logger};
+use aldercrank_server::payload::{OutputBuffer, Payload};
 use aldercrank_server::phase::Phase;
 use aldercrank_server::slots::Slots;
 use std::collections::VecDeque;
@@ -44,18 +44,18 @@
 fn a_key_links_repeats_by_arrival_and_its_window_outlives_results_that_make_room() {
     let mut keys = DedupTable::new(10);
     let (mark, other) = (DedupKey::token("p", "t", b"x"), DedupKey::token("p", "u", b"x"));
-    let (a, b, c) = (TxnId(1), TxnId(2), TxnId(3));
+    let (a, b, c) = (RequestId(1), RequestId(2), RequestId(3));
     let (key, _) = keys.keep(&mark, a, S * 10).unwrap();
     assert_eq!(keys.repeated(&mark, S * 11, S * 11), None, "came after the window");
     assert!(keys.started(&mark, a).is_none());
     keys.ended(&mark, a, Some(Payload::Passing(b"12345678")));
     assert_eq!(keys.repeated(&mark, S * 9, S * 12), Some(a), "came within the window, read late");
-    assert_eq!(keys.fate(&mark), Fate::Settled(b"12345678".as_slice().into()));
+    assert_eq!(keys.fate(&mark), CachedOutcome::Completed(b"12345678".as_slice().into()));
     // Another's result takes the room; the entry stays, so nothing runs again.
     keys.keep(&other, c, S * 10).unwrap();
     keys.started(&other, c);
     keys.ended(&other, c, Some(Payload::Passing(b"123")));
-    assert_eq!((keys.fate(&mark), keys.repeated(&mark, S, S)), (Fate::Lost, Some(a)));
+    assert_eq!((keys.fate(&mark), keys.repeated(&mark, S, S)), (CachedOutcome::Lost, Some(a)));
     // One read after the window runs anew; the entry names it alone.
     assert_eq!(keys.keep(&mark, b, S * 30).unwrap().1, None);
     assert_eq!((keys.started(&mark, b), keys.names(&mark, a)), (Some(a), false));
@@ -91,7 +91,7 @@
 }
 
 /// What is logged under a wish by a few events.
-fn logged(wish: Wish) -> String {
+fn logged(wish: LogOptions) -> String {
     use tracing_subscriber::layer::SubscriberExt;
     let lines = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let into = lines.clone();
@@ -104,7 +104,7 @@
         tracing::debug!(target: "aldercrank::a", "more");
         tracing::info!(target: "calloop", "not ours");
         for _ in 0..9 {
-            tracing::debug!(target: "aldercrank::txn", rid = "0a", "read");
+            tracing::debug!(target: "aldercrank::request", attempt = "0a", "read");
         }
     });
     let all = lines.lock().unwrap().clone();
@@ -113,15 +113,15 @@
 
 #[test]
 fn the_log_is_text_or_json_and_tells_of_txns_only_where_that_is_wanted() {
-    let said = logged(Wish::default());
+    let said = logged(LogOptions::default());
     let (at, line) = said.split_once(' ').unwrap();
     assert!(at.parse::<f64>().unwrap() > 1e9);
     assert_eq!(line, "warn taken aback status=503 why=\"two\\nlines\"\n", "one line, whatever is said");
-    let said = logged(Wish { verbose: true, json: true, txns: true });
+    let said = logged(LogOptions { verbose: true, json: true, requests: true });
     let lines: Vec<serde_json::Value> = said.lines().map(|l| serde_json::from_str(l).unwrap()).collect();
     assert_eq!(lines.len(), 11, "the way of a txn is not cut short: {said}");
     assert_eq!((&lines[0]["status"], &lines[0]["server"]), (&503.into(), &"n7".into()));
-    assert_eq!((&lines[1]["said"], &lines[10]["rid"]), (&"more".into(), &"0a".into()));
+    assert_eq!((&lines[1]["said"], &lines[10]["attempt"]), (&"more".into(), &"0a".into()));
 }
 
 #[test]
@@ -190,7 +190,7 @@
             state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
             (state >> 33) % n
         };
-        let (mut out, mut plain) = (Out::default(), Vec::<u8>::new());
+        let (mut out, mut plain) = (OutputBuffer::default(), Vec::<u8>::new());
         let mut slow = Slow { takes: VecDeque::new(), taken: Vec::new() };
         for step in 0..400u64 {
             let most = if draw(9) == 0 { 9000 } else { 90 };
--- a/crates/aldercrank-service/src/lib.rs
+++ b/crates/aldercrank-service-config/src/lib.rs
@@ -2,6 +2,10 @@
 //! or not at all, and all that is wrong with it is said at once, by line and column. What is not in the file is
 //! off. No I/O.
 
+// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
+#![allow(missing_docs, unreachable_pub)]
+#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+
 mod reader;
 
 use std::collections::BTreeMap;
--- a/crates/aldercrank-service/tests/file.rs
+++ b/crates/aldercrank-service-config/tests/file.rs
@@ -1,6 +1,15 @@
 //! The service file as people write it, and as nobody should.
 
-use aldercrank_service::{parse, Log, Reports, Results, Rules, Service, Start};
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
+use aldercrank_service_config::{parse, Log, Reports, Results, Rules, Service, Start};
 
 fn faults(text: &str) -> Vec<String> {
     parse(text).unwrap_err().iter().map(|fault| fault.to_string()).collect()
--- a/crates/aldercrank-service/tests/golden.rs
+++ b/crates/aldercrank-service-config/tests/golden.rs
@@ -1,6 +1,15 @@
 //! Golden file of the service file: the KDL text, then its decoded values, or its faults by line and column.
 
-use aldercrank_service::{parse, Rules, Service};
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
+use aldercrank_service_config::{parse, Rules, Service};
 use std::fmt::Write;
 
 #[path = "../../../tests/golden/compare.rs"]
--- a/crates/aldercrank-drill/src/lib.rs
+++ b/crates/aldercrank-simulator-adapter/src/lib.rs
@@ -1,6 +1,10 @@
 //! Decodes batches of the drill's wire into calls of `Admission` and encodes what it tells its host. Decides nothing.
 
-use aldercrank::{Admission, Arrival, CallerId, Host, Outcome, TxnId};
+// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
+#![allow(missing_docs, unreachable_pub)]
+#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+
+use aldercrank::{Admission, CallerId, Host, IncomingRequest, Outcome, RequestId};
 use serde_json::{json, Value as Json};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,15 +18,15 @@
 }
 
 impl Host for Outbox {
-    fn start(&mut self, txn: TxnId) {
-        self.0.push(json!({"t": "Process", "request_id": txn.0}));
+    fn start_run(&mut self, request: RequestId) {
+        self.0.push(json!({"t": "Process", "request_id": request.0}));
     }
-    fn stop(&mut self, txn: TxnId) {
-        self.0.push(json!({"t": "Stop", "request_id": txn.0}));
+    fn stop_run(&mut self, request: RequestId) {
+        self.0.push(json!({"t": "Stop", "request_id": request.0}));
     }
-    fn decline(&mut self, txn: TxnId, back_in: Option<Duration>, last: bool) {
-        let mut action = json!({"t": "SayNo", "request_id": txn.0});
-        if let Some(span) = back_in {
+    fn reject(&mut self, request: RequestId, retry_after: Option<Duration>, last: bool) {
+        let mut action = json!({"t": "SayNo", "request_id": request.0});
+        if let Some(span) = retry_after {
             action["hold_off"] = us(span).into();
         }
         if last {
@@ -30,34 +34,34 @@
         }
         self.0.push(action);
     }
-    fn void(&mut self, txn: TxnId) {
-        self.0.push(json!({"t": "EndFailed", "request_id": txn.0}));
+    fn fail(&mut self, request: RequestId) {
+        self.0.push(json!({"t": "EndFailed", "request_id": request.0}));
     }
-    fn keep(&mut self, txn: TxnId, span: Duration) {
-        self.0.push(json!({"t": "Remember", "request_id": txn.0, "for_time": us(span)}));
+    fn remember(&mut self, request: RequestId, span: Duration) {
+        self.0.push(json!({"t": "Remember", "request_id": request.0, "for_time": us(span)}));
     }
-    fn forget(&mut self, txn: TxnId) {
-        self.0.push(json!({"t": "Erase", "request_id": txn.0}));
+    fn forget(&mut self, request: RequestId) {
+        self.0.push(json!({"t": "Erase", "request_id": request.0}));
     }
-    fn join(&mut self, txn: TxnId) {
-        self.0.push(json!({"t": "Join", "request_id": txn.0}));
+    fn join_original(&mut self, request: RequestId) {
+        self.0.push(json!({"t": "Join", "request_id": request.0}));
     }
-    fn call(&mut self, txn: TxnId, give_up_after: Duration) {
-        self.0.push(json!({"t": "Dial", "request_id": txn.0, "give_up_after": us(give_up_after)}));
+    fn start_call(&mut self, request: RequestId, timeout: Duration) {
+        self.0.push(json!({"t": "Dial", "request_id": request.0, "give_up_after": us(timeout)}));
     }
-    fn skip_call(&mut self, txn: TxnId) {
-        self.0.push(json!({"t": "Skip", "request_id": txn.0}));
+    fn skip_call(&mut self, request: RequestId) {
+        self.0.push(json!({"t": "Skip", "request_id": request.0}));
     }
-    fn health(&mut self, good: bool, stored: bool) {
+    fn set_health(&mut self, good: bool, stored: bool) {
         self.0.push(json!({"t": "Fitness", "enable": good, "stored": stored}));
     }
     fn close_idle(&mut self, span: Duration) {
         self.0.push(json!({"t": "CloseIdle", "for_time": us(span)}));
     }
-    fn advertise(&mut self, value: f64) {
+    fn set_load_hint(&mut self, value: f64) {
         self.0.push(json!({"t": "Say", "value": value}));
     }
-    fn wake(&mut self, after: Duration) {
+    fn set_timer(&mut self, after: Duration) {
         self.0.push(json!({"t": "Remind", "delay": us(after), "tag": "tick"}));
     }
     fn log(&mut self, line: &str) {
@@ -108,8 +112,8 @@
     fn event(&mut self, i: u64, clock: u64, item: &Json) {
         let name = item.get("t").and_then(Json::as_str).unwrap_or_default();
         if name == "PowerOn" {
-            let settings = item.get("env").map(aldercrank_json::settings).unwrap_or_default();
-            let admission = Admission::start(settings, Duration::ZERO, Outbox::default());
+            let settings = item.get("env").map(aldercrank_json_settings::settings).unwrap_or_default();
+            let admission = Admission::new(settings, Duration::ZERO, Outbox::default());
             self.instances.insert(i, Instance { admission, zero: clock });
             return;
         }
@@ -127,19 +131,20 @@
         };
         let span =
             |field: &str| Duration::from_micros(item.get(field).and_then(Json::as_u64).unwrap_or_default());
-        let id = item.get("request_id").and_then(Json::as_u64).and_then(|n| u32::try_from(n).ok()).map(TxnId);
+        let id =
+            item.get("request_id").and_then(Json::as_u64).and_then(|n| u32::try_from(n).ok()).map(RequestId);
         match (name, id) {
-            ("NewRequest", Some(id)) => admission.txn_read(now, id, &arrival(item, at("drop_dead"))),
+            ("NewRequest", Some(id)) => admission.request_received(now, id, &arrival(item, at("drop_dead"))),
             ("Alarm", _) => {
                 let gauges: Vec<f64> = item
                     .get("pressure")
                     .and_then(Json::as_array)
                     .map(|row| row.iter().map(|g| g.as_f64().unwrap_or_default()).collect())
                     .unwrap_or_default();
-                admission.woken(now, &gauges);
+                admission.timer_fired(now, &gauges);
             }
             ("WindDown", _) => admission.drain(now, at("drop_dead").unwrap_or(now)),
-            ("Awaiting", Some(id)) => admission.call_needed(now, id),
+            ("Awaiting", Some(id)) => admission.call_requested(now, id),
             ("WoundUp", Some(id)) => admission.run_ended(now, id, outcome(item), span("duration")),
             ("CallEnded", Some(id)) => admission.call_ended(now, id, outcome(item), span("duration")),
             ("ClientGone", Some(id)) => admission.caller_gone(now, id),
@@ -148,37 +153,37 @@
     }
 }
 
-fn arrival(item: &Json, expiry: Option<Duration>) -> Arrival<'_> {
+fn arrival(item: &Json, deadline: Option<Duration>) -> IncomingRequest<'_> {
     let text = |field: &str| item.get(field).and_then(Json::as_str);
     let num = |field: &str| item.get(field).and_then(Json::as_f64).unwrap_or_default();
     let int = |field: &str| item.get(field).and_then(Json::as_u64).unwrap_or_default();
     let bits = int("bitmap");
-    Arrival {
-        product: text("cls").unwrap_or_default(),
+    IncomingRequest {
+        class: text("cls").unwrap_or_default(),
         tenant: text("user_group"),
         subject: text("name_key"),
-        expiry,
+        deadline,
         work: Some(int("estimate")).filter(|w| *w > 0 && bits & 1 != 0).map(Duration::from_micros),
         memory_kb: num("footprint"),
         rank: num("precedence"),
         retry: bits & 2 != 0,
         write: bits & 4 != 0,
         caller: CallerId(int("by")),
-        lay: Duration::from_micros(int("lay")),
-        repeats: Some(int("dup_of")).filter(|d| *d > 0).and_then(|d| u32::try_from(d).ok()).map(TxnId),
+        unread_for: Duration::from_micros(int("lay")),
+        repeats: Some(int("dup_of")).filter(|d| *d > 0).and_then(|d| u32::try_from(d).ok()).map(RequestId),
     }
 }
 
 fn outcome(item: &Json) -> Outcome {
     match item.get("result").and_then(Json::as_str).unwrap_or_default() {
         "completed" => Outcome::Completed,
-        "saturated" => Outcome::Saturated,
-        "overdue" => Outcome::Overdue,
+        "saturated" => Outcome::Rejected,
+        "overdue" => Outcome::TimedOut,
         "refused_conn" => Outcome::Unreachable,
-        "severed" => Outcome::Severed,
-        "recalled" => Outcome::Recalled,
-        "superseded" => Outcome::Superseded,
-        _ => Outcome::Errored,
+        "severed" => Outcome::ConnectionLost,
+        "recalled" => Outcome::Cancelled,
+        "superseded" => Outcome::NeverStarted,
+        _ => Outcome::Failed,
     }
 }
 
--- a/crates/aldercrank-drill/src/main.rs
+++ b/crates/aldercrank-simulator-adapter/src/main.rs
@@ -1,6 +1,10 @@
 //! One batch a line in, one reply a line out; the end of input ends it.
 
-use aldercrank_drill::Drill;
+// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
+#![allow(missing_docs, unreachable_pub)]
+#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+
+use aldercrank_simulator_adapter::Drill;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::process::ExitCode;
 
@@ -31,6 +35,6 @@
 }
 
 fn stop(why: &str) -> ExitCode {
-    eprintln!("aldercrank-drill: {why}");
+    eprintln!("aldercrank-simulator-adapter: {why}");
     ExitCode::FAILURE
 }
--- a/crates/aldercrank-drill/tests/golden/batches.rs
+++ b/crates/aldercrank-simulator-adapter/tests/golden/batches.rs
@@ -1,6 +1,6 @@
 //! Batches with every event, in the order of a server's life, and the reply to each.
 
-use aldercrank_drill::Drill;
+use aldercrank_simulator_adapter::Drill;
 use std::fmt::Write;
 
 /// A simulator adapter whose batches and replies are written down.
--- a/crates/aldercrank-drill/tests/golden/main.rs
+++ b/crates/aldercrank-simulator-adapter/tests/golden/main.rs
@@ -1,5 +1,14 @@
 //! The simulator's protocol, batches in and replies out, against the golden files in `tests/golden/simulator`.
 
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
 mod actions;
 mod batches;
 #[path = "../../../../tests/golden/compare.rs"]
--- a/crates/aldercrank-drill/tests/wire.rs
+++ b/crates/aldercrank-simulator-adapter/tests/wire.rs
@@ -1,6 +1,15 @@
 //! End to end through the text of the wire, bad input included.
 
-use aldercrank_drill::Drill;
+// Support code is shared by the modules of this test alone; a scenario may be long.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::needless_pass_by_value,
+    clippy::semicolon_if_nothing_returned,
+    clippy::too_many_lines
+)]
+
+use aldercrank_simulator_adapter::Drill;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::process::{Command, Stdio};
--- a/crates/aldercrank-fleet/src/rig/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-impl Rig<'_> {
+impl TestCluster<'_> {
     pub(super) fn tell_to_leave(&mut self, now: Duration, number: ServerNo) {
         let server = &mut self.servers[number.0 as usize];
         let Some(process) = server.process.as_ref().filter(|_| !server.leaving) else { return };
         process.leave();
         server.leaving = true;
-        let late = self.scenario.sabotage == Some(Sabotage::LateStart) && !self.broken_on_purpose;
+        let late = self.scenario.sabotage == Some(InjectedViolation::LateStart) && !self.broken_on_purpose;
         // Broken on purpose: as if it had been told long ago.
         let told = if late { now.saturating_sub(self.scenario.fleet.grace * 4) } else { now };
-        self.floor.judge.told_to_leave(told, number, server.life);
-        self.floor.book.note(now, None, Some(number), || "told to leave".to_string());
+        self.testbed.checker.told_to_leave(told, number, server.incarnation);
+        self.testbed.book.note(now, None, Some(number), || "told to leave".to_string());
     }
 
     pub(super) fn undo_stop(&mut self, now: Duration, number: ServerNo) {
@@ -21,7 +21,7 @@
             if let Some(process) = &server.process {
                 process.go_on();
             }
-            self.floor.book.note(now, None, Some(number), || "continued".to_string());
+            self.testbed.book.note(now, None, Some(number), || "continued".to_string());
         }
     }
 
@@ -35,14 +35,14 @@
 
     pub(super) fn begin(&mut self, now: Duration, step: usize, number: ServerNo) -> io::Result<()> {
         let plan = &self.scenario.timeline[step];
-        let begun = self.floor.book.begun.unwrap_or_default();
+        let begun = self.testbed.book.begun.unwrap_or_default();
         let until = plan.lasts.map_or(begun + self.scenario.span, |lasts| now + lasts);
         let since = |at: Duration| at.saturating_sub(begun).as_secs_f64();
         let who = if plan.fault_is_shared() { String::new() } else { format!(" {number}") };
         self.faults.push((since(now), since(until), format!("{}{who}", plan.word)));
-        self.floor.book.note(now, None, Some(number), || format!("begins: {}", plan.word));
+        self.testbed.book.note(now, None, Some(number), || format!("begins: {}", plan.word));
         if plan.lasts.is_some() {
-            self.floor.wake(until, Timer::End(step, number));
+            self.testbed.wake(until, Timer::End(step, number));
         }
         // What becomes of txns on a server that is killed or stopped, or cut off from edge nodes, is the rig's doing.
         let whole = Duration::from_secs(86_400 * 30);
@@ -50,7 +50,7 @@
         match &plan.fault {
             Fault::Kill | Fault::BadStart => {
                 // An edge node may say something to it yet that nobody will hear.
-                self.floor.judge.trouble(number, now, until);
+                self.testbed.checker.trouble(number, now, until);
                 self.kill(number);
                 self.just_killed.push((number, now));
                 if plan.fault == Fault::BadStart {
@@ -63,7 +63,7 @@
                 self.tell_to_leave(now, number);
             }
             Fault::Stop => {
-                self.floor.judge.trouble(number, now, until);
+                self.testbed.checker.trouble(number, now, until);
                 let server = &mut self.servers[number.0 as usize];
                 if let Some(process) = &server.process {
                     process.stop();
@@ -93,10 +93,10 @@
             }
             Fault::PoolResets(_) => self.pool_reset(now, step, number),
             Fault::Pair(far, to, from) => {
-                if *far == Far::Edges {
-                    self.floor.judge.trouble(number, now, until);
+                if *far == RemoteEndpoint::EdgeNodes {
+                    self.testbed.checker.trouble(number, now, until);
                 }
-                self.floor.set_spoil(now, number, *far, to.clone(), from.clone());
+                self.testbed.set_corruption(now, number, *far, to.clone(), from.clone());
             }
             Fault::Refuse(far) => self.refuse(now, number, *far, true)?,
             _ => self.begin_shared(now, step)?,
@@ -108,29 +108,29 @@
         match &self.scenario.timeline[step].fault {
             Fault::Index(state) => {
                 self.index.state = *state;
-                if *state == index::State::Dead {
+                if *state == index_stub::State::Dead {
                     for conn in self.index.drop_all(now) {
                         self.cut_off(now, conn);
                     }
-                    self.refuse_all(now, Far::Index, true)?;
+                    self.refuse_all(now, RemoteEndpoint::Index, true)?;
                 }
             }
             Fault::IndexCold => self.index.chill(),
-            Fault::List(state) => {
-                self.floor.list.turn(now, *state);
-                if *state == list::State::Down {
-                    self.refuse_all(now, Far::List, true)?;
+            Fault::MembershipStub(state) => {
+                self.testbed.list.turn(now, *state);
+                if *state == membership_stub::State::Down {
+                    self.refuse_all(now, RemoteEndpoint::MembershipStub, true)?;
                 }
             }
-            Fault::ListForgets => self.floor.list.forget(),
-            Fault::ListCapacity(to) => self.floor.list.set_capacity(*to),
-            Fault::ListWrong => self.floor.wrong_list = true,
-            Fault::ListOld(by) => self.floor.old_list = *by,
+            Fault::ListForgets => self.testbed.list.forget(),
+            Fault::ListCapacity(to) => self.testbed.list.set_capacity(*to),
+            Fault::ListWrong => self.testbed.wrong_list = true,
+            Fault::ListOld(by) => self.testbed.old_list = *by,
             Fault::EdgesRestart(share) => {
                 let all: Vec<u16> = (0..self.scenario.callers.edges as u16).collect();
                 let many = (all.len() as f64 * share).round() as usize;
-                for n in Draw::of(self.scenario.seed, &format!("edges {step}")).some(&all, many) {
-                    self.edges.restart(now, EdgeNo(n), &mut self.floor);
+                for n in RandomStream::of(self.scenario.seed, &format!("edges {step}")).some(&all, many) {
+                    self.edges.restart(now, EdgeNo(n), &mut self.testbed);
                 }
             }
             Fault::Rate(times) => self.rate = self.scenario.callers.rate * times,
@@ -148,11 +148,11 @@
 
     pub(super) fn end(&mut self, now: Duration, step: usize, number: ServerNo) -> io::Result<()> {
         let plan = &self.scenario.timeline[step];
-        self.floor.book.note(now, None, Some(number), || format!("ends: {}", plan.word));
+        self.testbed.book.note(now, None, Some(number), || format!("ends: {}", plan.word));
         match &plan.fault {
             Fault::Kill | Fault::BadStart => self.start(number, true, false)?,
             Fault::Stop => {
-                self.floor.judge.trouble(number, now, now);
+                self.testbed.checker.trouble(number, now, now);
                 self.undo_stop(now, number);
             }
             Fault::Slow(_) => self.with_pool(now, number, |pool, host| {
@@ -161,46 +161,46 @@
             }),
             Fault::Err(_) => self.servers[number.0 as usize].errs = 0.0,
             Fault::PoolGone => {
-                let port = self.servers[number.0 as usize].ports[&Far::Pool];
+                let port = self.servers[number.0 as usize].ports[&RemoteEndpoint::Pool];
                 self.servers[number.0 as usize].pool = Pool::new(self.cores(), now, true, Duration::ZERO);
                 self.servers[number.0 as usize].crowd = 0.0;
-                self.floor.net.admit(port)?;
+                self.testbed.net.admit(port)?;
             }
             Fault::Pair(far, to, from) => {
                 // What a half-dead connection has lost does not come back: it ends with the fault.
-                let lossy = |s: &Spoil| s.silent_after.is_some() || s.garble > 0.0;
+                let lossy = |s: &Corruption| s.silent_after.is_some() || s.garble > 0.0;
                 let loses = to.iter().chain(from).any(lossy);
-                if *far == Far::Edges {
-                    self.floor.judge.trouble(number, now, now);
+                if *far == RemoteEndpoint::EdgeNodes {
+                    self.testbed.checker.trouble(number, now, now);
                 }
-                let none = |s: &Option<Spoil>| s.as_ref().map(|_| Spoil::default());
-                self.floor.set_spoil(now, number, *far, none(to), none(from));
+                let none = |s: &Option<Corruption>| s.as_ref().map(|_| Corruption::default());
+                self.testbed.set_corruption(now, number, *far, none(to), none(from));
                 if loses {
-                    for conn in self.floor.of_pair(number, *far) {
+                    for conn in self.testbed.of_pair(number, *far) {
                         self.cut_off(now, conn);
                     }
                 }
             }
             Fault::Refuse(far) => self.refuse(now, number, *far, false)?,
             Fault::Index(_) => {
-                let dead = self.index.state == index::State::Dead;
-                self.index.state = index::State::Well;
+                let dead = self.index.state == index_stub::State::Dead;
+                self.index.state = index_stub::State::Well;
                 if dead {
                     self.index.chill();
-                    self.refuse_all(now, Far::Index, false)?;
+                    self.refuse_all(now, RemoteEndpoint::Index, false)?;
                 }
                 // What it hung on is answered by nobody: those connections end.
                 for conn in self.index.drop_all(now) {
                     self.cut_off(now, conn);
                 }
             }
-            Fault::List(_) => {
-                self.floor.list.turn(now, list::State::Up);
-                self.refuse_all(now, Far::List, false)?;
+            Fault::MembershipStub(_) => {
+                self.testbed.list.turn(now, membership_stub::State::Up);
+                self.refuse_all(now, RemoteEndpoint::MembershipStub, false)?;
             }
-            Fault::ListCapacity(_) => self.floor.list.set_capacity(self.scenario.list_capacity),
-            Fault::ListWrong => self.floor.wrong_list = false,
-            Fault::ListOld(_) => self.floor.old_list = Duration::ZERO,
+            Fault::ListCapacity(_) => self.testbed.list.set_capacity(self.scenario.list_capacity),
+            Fault::ListWrong => self.testbed.wrong_list = false,
+            Fault::ListOld(_) => self.testbed.old_list = Duration::ZERO,
             Fault::Rate(_) => self.rate = self.scenario.callers.rate,
             _ => {}
         }
@@ -210,7 +210,7 @@
     /// The pool's process is gone, with all that it ran.
     pub(super) fn pool_gone(&mut self, now: Duration, number: ServerNo) {
         let server = &mut self.servers[number.0 as usize];
-        self.floor.net.refuse(server.ports[&Far::Pool]);
+        self.testbed.net.refuse(server.ports[&RemoteEndpoint::Pool]);
         if let Some(link) = server.link {
             self.cut_off(now, link);
         }
@@ -224,7 +224,7 @@
     pub(super) fn pool_reset(&mut self, now: Duration, step: usize, number: ServerNo) {
         let plan = &self.scenario.timeline[step];
         let Fault::PoolResets(every) = plan.fault else { return };
-        let begun = self.floor.book.begun.unwrap_or_default();
+        let begun = self.testbed.book.begun.unwrap_or_default();
         let until = plan.lasts.map_or(begun + self.scenario.span, |l| begun + plan.at + l);
         if now >= until {
             return;
@@ -232,32 +232,32 @@
         if let Some(link) = self.servers[number.0 as usize].link {
             self.cut_off(now, link);
         }
-        self.floor.wake(now + every, Timer::PoolReset(step, number));
+        self.testbed.wake(now + every, Timer::PoolReset(step, number));
     }
 
     pub(super) fn refuse(
         &mut self,
         _now: Duration,
         number: ServerNo,
-        far: Far,
+        far: RemoteEndpoint,
         refused: bool,
     ) -> io::Result<()> {
         let Some(&port) = self.servers[number.0 as usize].ports.get(&far) else {
-            self.floor.unreachable.retain(|s| *s != number);
+            self.testbed.unreachable.retain(|s| *s != number);
             if refused {
-                self.floor.unreachable.insert(number);
+                self.testbed.unreachable.insert(number);
             }
             return Ok(());
         };
         if refused {
-            self.floor.net.refuse(port);
+            self.testbed.net.refuse(port);
             Ok(())
         } else {
-            self.floor.net.admit(port)
+            self.testbed.net.admit(port)
         }
     }
 
-    pub(super) fn refuse_all(&mut self, now: Duration, far: Far, refused: bool) -> io::Result<()> {
+    pub(super) fn refuse_all(&mut self, now: Duration, far: RemoteEndpoint, refused: bool) -> io::Result<()> {
         for n in 0..self.servers.len() {
             self.refuse(now, ServerNo(n as u16), far, refused)?;
         }
--- a/crates/aldercrank-fleet/src/rig/hear.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/hear.rs
@@ -2,30 +2,30 @@
 
 use super::*;
 
-impl Rig<'_> {
+impl TestCluster<'_> {
     pub(super) fn event(&mut self, now: Duration, event: Event) {
         match event {
             Event::Accepted(port, conn) => {
-                if let Some(&(asker, member)) = self.floor.relays.get(&port) {
+                if let Some(&(asker, member)) = self.testbed.relays.get(&port) {
                     return self.relayed(conn, asker, member);
                 }
-                let Some(&(server, far)) = self.floor.ports.get(&port) else { return };
+                let Some(&(server, far)) = self.testbed.ports.get(&port) else { return };
                 self.accepted(now, server, far, conn);
             }
             Event::Stood(conn) => {
-                if let Some(Whose::Edge(_, _)) = self.floor.whose(conn) {
+                if let Some(ConnectionOwner::Edge(_, _)) = self.testbed.whose(conn) {
                     self.edges.stood(conn);
                 }
             }
             Event::Readable(conn) => loop {
-                let (got, n) = self.floor.net.read(conn);
+                let (got, n) = self.testbed.net.read(conn);
                 match got {
                     Got::Bytes => {
-                        let bytes = self.floor.net.chunk[..n].to_vec();
-                        if let Some(bytes) = self.floor.heard(now, conn, bytes) {
+                        let bytes = self.testbed.net.chunk[..n].to_vec();
+                        if let Some(bytes) = self.testbed.heard(now, conn, bytes) {
                             self.deliver(now, conn, &bytes);
                         }
-                        if n < self.floor.net.chunk.len() {
+                        if n < self.testbed.net.chunk.len() {
                             return;
                         }
                     }
@@ -37,66 +37,66 @@
         }
     }
 
-    pub(super) fn accepted(&mut self, now: Duration, server: ServerNo, far: Far, conn: ConnNo) {
-        let state = self.floor.list.state;
-        if far == Far::List {
-            self.floor.list.connections.push(now);
-            if state == list::State::Closing {
-                return self.floor.net.close(conn);
+    pub(super) fn accepted(&mut self, now: Duration, server: ServerNo, far: RemoteEndpoint, conn: ConnNo) {
+        let state = self.testbed.list.state;
+        if far == RemoteEndpoint::MembershipStub {
+            self.testbed.list.connections.push(now);
+            if state == membership_stub::State::Closing {
+                return self.testbed.net.close(conn);
             }
         }
         let whose = match far {
-            Far::Pool => Whose::Pool(server),
-            Far::Index => Whose::Index(server),
-            _ => Whose::List(server),
+            RemoteEndpoint::Pool => ConnectionOwner::Pool(server),
+            RemoteEndpoint::Index => ConnectionOwner::Index(server),
+            _ => ConnectionOwner::MembershipStub(server),
         };
-        self.floor.own(conn, whose);
+        self.testbed.own(conn, whose);
         self.inputs.insert(conn, Vec::new());
-        if far == Far::Pool {
+        if far == RemoteEndpoint::Pool {
             let s = &mut self.servers[server.0 as usize];
             if let Some(old) = s.link.replace(conn) {
-                self.floor.close(old);
+                self.testbed.close(old);
                 self.inputs.remove(&old);
             }
             s.pool.unlinked();
-            self.floor.book.note(now, None, Some(server), || "a link to its pool".to_string());
+            self.testbed.book.note(now, None, Some(server), || "a link to its pool".to_string());
         }
     }
 
     /// The far side has ended it, or it broke. What it had said before comes first.
     pub(super) fn ended(&mut self, now: Duration, conn: ConnNo) {
-        if self.floor.ends_later(conn) {
+        if self.testbed.ends_later(conn) {
             return;
         }
         self.over(now, conn, false);
     }
 
     pub(super) fn over(&mut self, now: Duration, conn: ConnNo, ours: bool) {
-        let whose = self.floor.disown(conn);
+        let whose = self.testbed.disown(conn);
         self.inputs.remove(&conn);
         match whose {
-            Some(Whose::Pool(server)) => {
+            Some(ConnectionOwner::Pool(server)) => {
                 let s = &mut self.servers[server.0 as usize];
                 if s.link == Some(conn) {
                     s.link = None;
                     s.pool.unlinked();
                 }
             }
-            Some(Whose::Index(_)) => self.index.gone(now, conn),
-            Some(Whose::List(_)) => {
+            Some(ConnectionOwner::Index(_)) => self.index.gone(now, conn),
+            Some(ConnectionOwner::MembershipStub(_)) => {
                 if let Some(rules) = &mut self.rules {
-                    rules.shelf.gone(conn);
+                    rules.config_store.gone(conn);
                 }
             }
-            Some(Whose::Peer(_)) => self.part(conn),
+            Some(ConnectionOwner::Peer(_)) => self.part(conn),
             None => {}
-            Some(Whose::Edge(_, _)) => self.edges.ended(now, conn, ours, &mut self.floor),
+            Some(ConnectionOwner::Edge(_, _)) => self.edges.ended(now, conn, ours, &mut self.testbed),
         }
     }
 
     /// The rig itself ends a connection, by a reset.
     pub(super) fn cut_off(&mut self, now: Duration, conn: ConnNo) {
-        self.floor.net.reset(conn);
+        self.testbed.net.reset(conn);
         self.over(now, conn, true);
     }
 
@@ -104,14 +104,14 @@
     pub(super) fn sabotaged(&mut self, now: Duration, bytes: &[u8]) -> Option<Vec<u8>> {
         let kind = self.scenario.sabotage.filter(|_| !self.broken_on_purpose)?;
         let made = bytes.windows(8).position(|w| w == b"made by ")?;
-        if self.floor.book.begun.is_none_or(|begun| now < begun + SABOTAGE) {
+        if self.testbed.book.begun.is_none_or(|begun| now < begun + SABOTAGE) {
             return None;
         }
         let mut changed = bytes.to_vec();
         match kind {
-            Sabotage::LoseAnswer => changed.clear(),
-            Sabotage::DoubleAnswer => changed.extend_from_slice(bytes),
-            Sabotage::SwapResult => changed.get_mut(made + 8..made + 24)?.fill(b'f'),
+            InjectedViolation::LoseAnswer => changed.clear(),
+            InjectedViolation::DoubleAnswer => changed.extend_from_slice(bytes),
+            InjectedViolation::SwapResult => changed.get_mut(made + 8..made + 24)?.fill(b'f'),
             _ => return None,
         }
         self.broken_on_purpose = true;
@@ -120,34 +120,34 @@
 
     /// Bytes have come through to their stand-in.
     pub(super) fn deliver(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
-        let Some(whose) = self.floor.whose(conn) else { return };
-        if let Whose::Edge(_, _) = whose {
+        let Some(whose) = self.testbed.whose(conn) else { return };
+        if let ConnectionOwner::Edge(_, _) = whose {
             let changed = self.sabotaged(now, bytes);
             let bytes = changed.as_deref().unwrap_or(bytes);
-            if !self.edges.heard(now, conn, bytes, &mut self.floor) {
-                let ours = !self.floor.spoils_edges(conn);
+            if !self.edges.heard(now, conn, bytes, &mut self.testbed) {
+                let ours = !self.testbed.spoils_edges(conn);
                 if ours {
-                    self.floor.judge.breaks(now, Rule::Mixed, None, None, "an answer that can't be read");
+                    self.testbed.checker.breaks(now, Rule::Mixed, None, None, "an answer that can't be read");
                 }
                 self.cut_off(now, conn);
             }
             return;
         }
-        if let Whose::Peer(_) = whose {
+        if let ConnectionOwner::Peer(_) = whose {
             return self.pass_on(now, conn, bytes);
         }
         let Some(mut input) = self.inputs.remove(&conn) else { return };
         input.extend_from_slice(bytes);
         let whole = match whose {
-            Whose::Pool(server) => self.pool_hears(now, server, conn, &mut input),
-            Whose::Index(server) => self.index_hears(now, server, conn, &mut input),
-            Whose::List(server) => self.list_hears(now, server, conn, &mut input),
-            Whose::Edge(_, _) | Whose::Peer(_) => true,
+            ConnectionOwner::Pool(server) => self.pool_hears(now, server, conn, &mut input),
+            ConnectionOwner::Index(server) => self.index_hears(now, server, conn, &mut input),
+            ConnectionOwner::MembershipStub(server) => self.list_hears(now, server, conn, &mut input),
+            ConnectionOwner::Edge(_, _) | ConnectionOwner::Peer(_) => true,
         };
         if whole {
             self.inputs.insert(conn, input);
         } else {
-            self.floor.net.close(conn);
+            self.testbed.net.close(conn);
             self.over(now, conn, true);
         }
     }
@@ -160,13 +160,14 @@
         act: impl FnOnce(&mut Pool, &mut Host) -> T,
     ) -> T {
         let server = &mut self.servers[number.0 as usize];
-        let sabotage = self.scenario.sabotage == Some(Sabotage::DoubleRun) && !self.broken_on_purpose;
-        let due = self.floor.book.begun.is_some_and(|begun| now >= begun + SABOTAGE);
+        let sabotage =
+            self.scenario.sabotage == Some(InjectedViolation::DoubleRun) && !self.broken_on_purpose;
+        let due = self.testbed.book.begun.is_some_and(|begun| now >= begun + SABOTAGE);
         let mut host = Host {
-            floor: &mut self.floor,
+            testbed: &mut self.testbed,
             scenario: self.scenario,
             server: number,
-            life: server.life,
+            incarnation: server.incarnation,
             errs: server.errs,
             replies: &mut server.replies,
             now,
@@ -176,10 +177,10 @@
         self.broken_on_purpose |= sabotage && due && !host.double;
         let out = std::mem::take(&mut server.pool.out);
         if let Some(link) = server.link {
-            self.floor.say(now, link, &out);
+            self.testbed.say(now, link, &out);
         }
         if let Some(at) = server.pool.next(now) {
-            self.floor.wake(at, Timer::Pool(number));
+            self.testbed.wake(at, Timer::Pool(number));
         }
         got
     }
@@ -201,7 +202,7 @@
                     Ok(Some(n)) => taken += n,
                     Ok(None) => break,
                     Err(why) => {
-                        host.floor.pool_misuse(now, server, why);
+                        host.testbed.pool_misuse(now, server, why);
                         return false;
                     }
                 }
@@ -219,22 +220,25 @@
         conn: ConnNo,
         input: &mut Vec<u8>,
     ) -> bool {
-        let question = match http::question(input) {
+        let question = match http::read_request(input) {
             Ok(Some(question)) => question,
             Ok(None) => return true,
             Err(_) => return false,
         };
         let parent = question.parent.clone().unwrap_or_default();
-        let txn = Rid::new(&parent).and_then(|rid| self.floor.judge.find(rid)).map(|t| t.txn);
-        self.floor.book.note(now, txn, Some(server), || format!("calls the index for {parent}"));
+        let request =
+            AttemptId::new(&parent).and_then(|attempt| self.testbed.checker.find(attempt)).map(|t| t.request);
+        self.testbed.book.note(now, request, Some(server), || format!("calls the index for {parent}"));
         let body = &input[question.body.clone()];
-        if body != format!("for {parent}").as_bytes() && !self.floor.spoils(server, Far::Index) {
+        if body != format!("for {parent}").as_bytes()
+            && !self.testbed.corruptions(server, RemoteEndpoint::Index)
+        {
             let what = "a call with a body that its run did not give";
-            self.floor.judge.breaks(now, Rule::Mixed, Rid::new(&parent), Some(server), what);
+            self.testbed.checker.breaks(now, Rule::Mixed, AttemptId::new(&parent), Some(server), what);
         }
         input.drain(..question.length);
-        self.floor.book.second(now).calls += 1;
-        self.floor.parents.insert(conn, parent);
+        self.testbed.book.second(now).calls += 1;
+        self.testbed.parents.insert(conn, parent);
         if let Some(word) = self.index.called(now, conn) {
             self.index_says(now, conn, word);
         }
@@ -244,24 +248,24 @@
 
     pub(super) fn index_wake(&mut self) {
         if let Some(at) = self.index.next() {
-            self.floor.wake(at, Timer::Index);
+            self.testbed.wake(at, Timer::Index);
         }
     }
 
-    pub(super) fn index_says(&mut self, now: Duration, conn: ConnNo, word: index::Word) {
-        let parent = self.floor.parents.remove(&conn).unwrap_or_default();
+    pub(super) fn index_says(&mut self, now: Duration, conn: ConnNo, word: index_stub::Word) {
+        let parent = self.testbed.parents.remove(&conn).unwrap_or_default();
         let mut bytes = Vec::new();
         match word {
-            index::Word::Shed => http::answer(&mut bytes, 503, true, None, b""),
-            _ => http::answer(&mut bytes, 200, false, None, &found(&parent)),
+            index_stub::Word::Shed => http::write_response(&mut bytes, 503, true, None, b""),
+            _ => http::write_response(&mut bytes, 200, false, None, &found(&parent)),
         }
-        if word == index::Word::Half {
+        if word == index_stub::Word::Half {
             bytes.truncate(bytes.len() / 2);
-            self.floor.say(now, conn, &bytes);
-            self.floor.close(conn);
+            self.testbed.say(now, conn, &bytes);
+            self.testbed.close(conn);
             return self.over(now, conn, true);
         }
-        self.floor.say(now, conn, &bytes);
+        self.testbed.say(now, conn, &bytes);
     }
 
     pub(super) fn list_hears(
@@ -271,12 +275,12 @@
         conn: ConnNo,
         input: &mut Vec<u8>,
     ) -> bool {
-        let question = match http::question(input) {
+        let question = match http::read_request(input) {
             Ok(Some(question)) => question,
             Ok(None) => return true,
             Err(_) => return false,
         };
-        if question.path == aldercrank_wire::members::RULES {
+        if question.path == aldercrank_protocol::membership::VERSIONS_PATH {
             let body = input[question.body.clone()].to_vec();
             input.drain(..question.length);
             self.shelf_hears(now, conn, &question, &body);
@@ -287,29 +291,35 @@
         let up = said.windows(4).any(|w| w == b"\"UP\"");
         let parts = said.windows(9).any(|w| w == b"\"share\":0");
         input.drain(..question.length);
-        if name != Some(server) && !self.floor.spoils(server, Far::List) {
-            self.floor.judge.breaks(now, Rule::Mixed, None, Some(server), "a report under another's name");
+        if name != Some(server) && !self.testbed.corruptions(server, RemoteEndpoint::MembershipStub) {
+            self.testbed.checker.breaks(
+                now,
+                Rule::Mixed,
+                None,
+                Some(server),
+                "a report under another's name",
+            );
         }
-        let word = self.floor.list.report(now, conn, server, up);
-        let second = self.floor.book.second(now);
+        let word = self.testbed.list.report(now, conn, server, up);
+        let second = self.testbed.book.second(now);
         second.reports += 1;
         second.parts += u64::from(parts);
-        second.refused_reports += u64::from(word == list::Word::Refused);
+        second.refused_reports += u64::from(word == membership_stub::Word::Refused);
         match word {
-            list::Word::Taken(at) => self.floor.wake(at, Timer::List),
-            list::Word::Refused => {
+            membership_stub::Word::Taken(at) => self.testbed.wake(at, Timer::MembershipStub),
+            membership_stub::Word::Refused => {
                 let mut bytes = Vec::new();
-                http::answer(&mut bytes, 503, false, Some(list::COME_BACK), b"");
-                self.floor.say(now, conn, &bytes);
+                http::write_response(&mut bytes, 503, false, Some(membership_stub::COME_BACK), b"");
+                self.testbed.say(now, conn, &bytes);
             }
-            list::Word::Nothing => {}
+            membership_stub::Word::Nothing => {}
         }
         true
     }
 
     pub(super) fn lane(&mut self, now: Duration, conn: ConnNo) {
         let mut from = Vec::new();
-        let (reset, ended) = self.floor.release(now, conn, &mut from);
+        let (reset, ended) = self.testbed.release(now, conn, &mut from);
         if !from.is_empty() {
             self.deliver(now, conn, &from);
         }
--- a/crates/aldercrank-fleet/src/rig/look.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/look.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Rig<'_> {
+impl TestCluster<'_> {
     /// Looks for processes that have ended, and at what was waited for a core.
     pub(super) fn look(&mut self, now: Duration) -> io::Result<()> {
         let mut servers = Vec::with_capacity(self.servers.len());
@@ -14,26 +14,26 @@
             servers.push(server.waited);
         }
         let own = process::on_core("/proc/thread-self/schedstat").1;
-        self.floor.judge.looked(now, own + self.turns, servers);
+        self.testbed.checker.looked(now, own + self.turns, servers);
         for n in 0..self.servers.len() {
             let number = ServerNo(n as u16);
             let server = &mut self.servers[n];
             let Some(code) = server.process.as_mut().and_then(Process::ended) else { continue };
             server.process = None;
-            let (life, killed, again) = (server.life, server.killed, server.again);
-            self.floor.judge.process_ended(now, number, life, code, killed);
-            self.floor.book.note(now, None, Some(number), || format!("ended with {code:?}"));
+            let (incarnation, killed, again) = (server.incarnation, server.killed, server.again);
+            self.testbed.checker.process_ended(now, number, incarnation, code, killed);
+            self.testbed.book.note(now, None, Some(number), || format!("ended with {code:?}"));
             if std::mem::take(&mut self.servers[n].again) || again {
-                self.floor.wake(now + AGAIN, Timer::Start(number));
+                self.testbed.wake(now + AGAIN, Timer::Start(number));
             }
         }
         let up = self.servers.iter().filter(|s| s.process.is_some() && !s.stopped).count();
-        let view = self.floor.list.view(now);
+        let view = self.testbed.list.view(now);
         let listed = view.len();
         self.note_listed(now, view);
         let held = self.index.held_by(now);
         let in_hand = held - std::mem::replace(&mut self.clock_held, held);
-        let second = self.floor.book.second(now);
+        let second = self.testbed.book.second(now);
         (second.up, second.listed) = (up, listed);
         second.in_hand += in_hand;
         Ok(())
@@ -67,9 +67,9 @@
             let (kb, descriptors) = process::size(process.pid());
             self.outcome.memory = self.outcome.memory.max(kb);
             self.outcome.descriptors = self.outcome.descriptors.max(descriptors);
-            let judge = &mut self.floor.judge;
+            let checker = &mut self.testbed.checker;
             if kb as f64 > fleet.memory_mb * 1000.0 {
-                judge.breaks(
+                checker.breaks(
                     now,
                     Rule::Fall,
                     None,
@@ -79,26 +79,27 @@
             }
             if descriptors > fleet.sockets {
                 let what = format!("{descriptors} descriptors, over its limit");
-                judge.breaks(now, Rule::Fall, None, Some(number), what);
+                checker.breaks(now, Rule::Fall, None, Some(number), what);
             }
             let crowd = server.pool.crowd - std::mem::replace(&mut server.crowd, server.pool.crowd);
             let most = fleet.cores * (1.0 + (config::FALL - 1.0) * server.pool.warmth(now));
             if crowd > most * SIZES.as_secs_f64() * 1.5 {
                 let what = format!("{crowd:.1} runs on its cores on average, over {most:.1}");
-                judge.breaks(now, Rule::Fall, None, Some(number), what);
+                checker.breaks(now, Rule::Fall, None, Some(number), what);
             }
         }
         let over = config::CALLS_OVER.as_secs() as usize;
-        let seconds = &self.floor.book.seconds;
+        let seconds = &self.testbed.book.seconds;
         if seconds.len() > over {
             let last = &seconds[seconds.len() - 1 - over..seconds.len() - 1];
             let mean = last.iter().map(|s| s.in_hand).sum::<f64>() / over as f64;
-            let strict = self.scenario.sabotage == Some(Sabotage::Overrun) && !self.broken_on_purpose;
+            let strict =
+                self.scenario.sabotage == Some(InjectedViolation::Overrun) && !self.broken_on_purpose;
             let limit = if strict { 0.0 } else { self.index.terms().limit };
             if mean > limit {
                 self.broken_on_purpose |= strict;
                 let what = format!("{mean:.1} calls in hand at the index on average, over {limit}");
-                self.floor.judge.breaks(now, Rule::Fall, None, None, what);
+                self.testbed.checker.breaks(now, Rule::Fall, None, None, what);
             }
         }
         if self.play.verbose {
@@ -107,8 +108,8 @@
     }
 
     pub(super) fn say_second(&mut self, now: Duration) {
-        let second = self.floor.book.since(now).as_secs() as usize;
-        let Some(s) = second.checked_sub(1).and_then(|n| self.floor.book.seconds.get(n)) else { return };
+        let second = self.testbed.book.since(now).as_secs() as usize;
+        let Some(s) = second.checked_sub(1).and_then(|n| self.testbed.book.seconds.get(n)) else { return };
         let (sought, got): (f64, f64) = (s.sought.iter().sum(), s.got.iter().sum());
         let ends: Vec<String> = s.ends.iter().map(|(end, n)| format!("{end:?} {n}")).collect();
         eprintln!(
@@ -118,7 +119,7 @@
             s.listed,
             s.reports,
             s.in_hand,
-            self.floor.judge.counts.broken,
+            self.testbed.checker.counts.broken,
             ends.join(", ")
         );
     }
--- a/crates/aldercrank-fleet/src/rig/mod.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/mod.rs
@@ -1,29 +1,29 @@
 //! Plays a scenario: starts the processes, stands in for all that they speak to, does to them what the timeline
 //! says, and has the checker look on. One thread, one wait, one clock.
 
-mod book;
 mod faults;
 mod hear;
 mod look;
 mod start;
+mod versions;
 
-use crate::book::{Book, ListLoad, Outcome};
 use crate::config::{self, Places};
-use crate::draw::{digest, Draw};
-use crate::edges::{self, Edges, End, Txn, Wake};
-use crate::fence::Act;
-use crate::floor::{Floor, Timer, Whose};
-use crate::ids::{ConnNo, EdgeNo, Far, Life, ProductNo, ServerNo, TxnNo};
-use crate::index::{self, Index};
-use crate::judge::{self, Judge, Rule};
-use crate::lane::Spoil;
-use crate::list::{self, List};
-use crate::net::{Event, Got, PortNo};
-use crate::pool::{Cores, Job, Pool, PoolHost};
+use crate::edge_nodes::{self, EdgeNodes, End, Request, Wake};
+use crate::ids::{ClassNo, ConnNo, EdgeNo, Incarnation, RemoteEndpoint, RequestNo, ServerNo};
+use crate::index_stub::{self, Index};
+use crate::invariant_checker::{self, InvariantChecker, Rule};
+use crate::membership_stub::{self, MembershipStub};
 use crate::process::{self, Process, Program};
-use crate::scenario::{Fault, Sabotage, Scenario};
-use aldercrank_wire::http;
-use aldercrank_wire::pool::{Rid, RunEnd};
+use crate::random::{digest, RandomStream};
+use crate::relayed_link::Corruption;
+use crate::run_record::{ListLoad, Outcome, RunRecord};
+use crate::scenario::{Fault, InjectedViolation, Scenario};
+use crate::sockets::{Event, Got, PortNo};
+use crate::testbed::{ConnectionOwner, Testbed, Timer};
+use crate::version_checker::Act;
+use crate::worker_pool_stub::{Cores, Pool, PoolHost, RunPlan};
+use aldercrank_protocol::http;
+use aldercrank_protocol::worker_pool::{AttemptId, RunEnd};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
 use std::path::PathBuf;
@@ -56,22 +56,22 @@
     process: Option<Process>,
     pool: Pool,
     link: Option<ConnNo>,
-    ports: BTreeMap<Far, PortNo>,
-    life: Life,
+    ports: BTreeMap<RemoteEndpoint, PortNo>,
+    incarnation: Incarnation,
     leaving: bool,
     /// Killed by the rig: its end is no news.
     killed: bool,
     stopped: bool,
     again: bool,
     errs: f64,
-    replies: HashMap<Rid, Vec<u8>>,
+    replies: HashMap<AttemptId, Vec<u8>>,
     crowd: f64,
     waited: Duration,
 }
 
 /// How a run is to be played.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct RunOptions {
     pub program: Program,
     /// Where configurations, logs and the record go; it is made, and removed unless it is to be kept.
     pub dir: PathBuf,
@@ -80,15 +80,15 @@
     pub verbose: bool,
 }
 
-pub struct Rig<'a> {
+pub struct TestCluster<'a> {
     scenario: &'a Scenario,
-    play: &'a Play,
-    floor: Floor,
-    edges: Edges,
+    play: &'a RunOptions,
+    testbed: Testbed,
+    edges: EdgeNodes,
     servers: Vec<Server>,
     index: Index,
     inputs: HashMap<ConnNo, Vec<u8>>,
-    arrivals: Draw,
+    arrivals: RandomStream,
     rate: f64,
     /// When the next caller is due: an open loop goes by its own clock, however late a turn is.
     due: Duration,
@@ -104,7 +104,7 @@
     /// Killed in this turn: what is said to them until the ends of their connections are read is said in vain.
     just_killed: Vec<(ServerNo, Duration)>,
     ip: String,
-    rules: Option<book::Rules>,
+    rules: Option<versions::Rules>,
 }
 
 #[derive(Default)]
@@ -122,12 +122,12 @@
 
 /// A server's pool asks its host: what the run is, what its call carries, what its result is.
 struct Host<'a> {
-    floor: &'a mut Floor,
+    testbed: &'a mut Testbed,
     scenario: &'a Scenario,
     server: ServerNo,
-    life: Life,
+    incarnation: Incarnation,
     errs: f64,
-    replies: &'a mut HashMap<Rid, Vec<u8>>,
+    replies: &'a mut HashMap<AttemptId, Vec<u8>>,
     now: Duration,
     double: bool,
 }
@@ -135,58 +135,58 @@
 impl Host<'_> {
     /// A txn's work, whether its run makes a call, and where it stands among those that err: the same for all
     /// its tries.
-    fn job(&self, txn: TxnNo, product: ProductNo) -> (Duration, bool, f64) {
-        let plan = &self.scenario.products[product.0 as usize];
-        let mut draw = Draw::of(self.scenario.seed, &format!("work {}", txn.0));
+    fn job(&self, request: RequestNo, class: ClassNo) -> (Duration, bool, f64) {
+        let plan = &self.scenario.classes[class.0 as usize];
+        let mut draw = RandomStream::of(self.scenario.seed, &format!("work {}", request.0));
         (plan.work.mul_f64(0.5 + draw.unit()), draw.chance(plan.calls), draw.unit())
     }
 }
 
 impl PoolHost for Host<'_> {
-    fn spawned(&mut self, rid: Rid, product: &str, body: &[u8]) -> Option<Job> {
+    fn spawned(&mut self, attempt: AttemptId, class: &str, body: &[u8]) -> Option<RunPlan> {
         let (now, server) = (self.now, self.server);
         let body = digest(body);
-        let judge = &mut self.floor.judge;
-        let known = judge.spawned(now, server, self.life, rid, product, body);
-        let txn = judge.find(rid).map(|t| (t.txn, t.product, t.token));
-        self.floor
-            .book
-            .note(now, txn.map(|t| t.0), Some(server), || format!("told to run {rid}, known: {known}"));
-        let (txn, number, token) = txn.filter(|_| known)?;
+        let checker = &mut self.testbed.checker;
+        let known = checker.spawned(now, server, self.incarnation, attempt, class, body);
+        let request = checker.find(attempt).map(|t| (t.request, t.class, t.token));
+        self.testbed.book.note(now, request.map(|t| t.0), Some(server), || {
+            format!("told to run {attempt}, known: {known}")
+        });
+        let (request, number, token) = request.filter(|_| known)?;
         if token.is_some() && std::mem::take(&mut self.double) {
-            self.floor.judge.spawned(now, server, self.life, rid, product, body);
+            self.testbed.checker.spawned(now, server, self.incarnation, attempt, class, body);
         }
-        let (work, calls, err) = self.job(txn, number);
-        Some(Job { work, calls, errs: err < self.errs })
+        let (work, calls, err) = self.job(request, number);
+        Some(RunPlan { work, calls, errs: err < self.errs })
     }
 
-    fn call_body(&mut self, rid: Rid) -> Vec<u8> {
-        format!("for {rid}").into_bytes()
+    fn call_body(&mut self, attempt: AttemptId) -> Vec<u8> {
+        format!("for {attempt}").into_bytes()
     }
 
-    fn supplied(&mut self, rid: Rid, reply: &[u8]) {
-        if reply != found(&rid.to_string()) {
+    fn supplied(&mut self, attempt: AttemptId, reply: &[u8]) {
+        if reply != found(&attempt.to_string()) {
             let what = "a run was given the reply to another call, or one changed";
-            self.floor.judge.breaks(self.now, Rule::Mixed, Some(rid), Some(self.server), what);
+            self.testbed.checker.breaks(self.now, Rule::Mixed, Some(attempt), Some(self.server), what);
         }
-        self.replies.insert(rid, reply.to_vec());
+        self.replies.insert(attempt, reply.to_vec());
     }
 
-    fn ended(&mut self, rid: Rid, end: RunEnd) -> Vec<u8> {
-        let reply = self.replies.remove(&rid);
-        self.floor.judge.run_ended(rid, end);
-        let txn = self.floor.judge.find(rid).map(|t| (t.txn, t.product));
-        self.floor.book.note(self.now, txn.map(|t| t.0), Some(self.server), || {
-            format!("the run of {rid} ended: {end:?}")
+    fn ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8> {
+        let reply = self.replies.remove(&attempt);
+        self.testbed.checker.run_ended(attempt, end);
+        let request = self.testbed.checker.find(attempt).map(|t| (t.request, t.class));
+        self.testbed.book.note(self.now, request.map(|t| t.0), Some(self.server), || {
+            format!("the run of {attempt} ended: {end:?}")
         });
-        let left_out = reply.is_none() && txn.is_some_and(|(txn, product)| self.job(txn, product).1);
+        let left_out = reply.is_none() && request.is_some_and(|(request, class)| self.job(request, class).1);
         let call = match &reply {
-            Some(reply) => judge::Call::Answered(reply),
-            None if left_out => judge::Call::LeftOut,
-            None => judge::Call::None,
+            Some(reply) => invariant_checker::Call::Answered(reply),
+            None if left_out => invariant_checker::Call::LeftOut,
+            None => invariant_checker::Call::None,
         };
         match end {
-            RunEnd::Ok => judge::result(rid, call),
+            RunEnd::Ok => invariant_checker::result(attempt, call),
             _ => Vec::new(),
         }
     }
@@ -210,7 +210,7 @@
 fn enough_descriptors(scenario: &Scenario) -> io::Result<()> {
     let (servers, callers) = (scenario.fleet.servers as u64, &scenario.callers);
     // Of a server: three listeners, its link, its calls and reports; and what edge nodes may have open to it.
-    let edges = callers.edges as u64 * (callers.habits.connections as u64 + 1);
+    let edges = callers.edges as u64 * (callers.policy.connections as u64 + 1);
     let needed = servers * (3 + 1 + 3 + edges) + scenario.index.limit as u64 + 32;
     let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX);
     if needed > allowed {
@@ -224,8 +224,8 @@
 }
 
 /// What the index answers: for each txn another.
-fn found(rid: &str) -> Vec<u8> {
-    format!("found for {rid}").into_bytes()
+fn found(attempt: &str) -> Vec<u8> {
+    format!("found for {attempt}").into_bytes()
 }
 
 /// Two loopback addresses that no other rig of this machine uses: where the rig listens, and where servers do. On
@@ -239,20 +239,20 @@
     (at(20), at(130))
 }
 
-impl<'a> Rig<'a> {
+impl<'a> TestCluster<'a> {
     /// Plays it whole. Nothing is left running, whatever comes of it.
-    pub fn play(scenario: &'a Scenario, play: &'a Play) -> io::Result<Outcome> {
+    pub fn play(scenario: &'a Scenario, play: &'a RunOptions) -> io::Result<Outcome> {
         std::fs::create_dir_all(&play.dir)?;
-        let outcome = Rig::prepare(scenario, play).and_then(|mut rig| {
-            rig.start_all()?;
+        let outcome = TestCluster::prepare(scenario, play).and_then(|mut cluster| {
+            cluster.start_all()?;
             if scenario.from_start {
-                rig.begin_looking();
+                cluster.begin_looking();
             } else {
-                rig.come_up()?;
+                cluster.come_up()?;
             }
-            rig.run()?;
-            rig.leave()?;
-            rig.finish()
+            cluster.run()?;
+            cluster.leave()?;
+            cluster.finish()
         });
         if !play.keep {
             let _ = std::fs::remove_dir_all(&play.dir);
@@ -266,8 +266,8 @@
 
     fn begin_looking(&mut self) {
         let now = self.now();
-        self.floor.wake(now + LOOK, Timer::Look);
-        self.floor.wake(now + SIZES, Timer::Sizes);
+        self.testbed.wake(now + LOOK, Timer::Look);
+        self.testbed.wake(now + SIZES, Timer::Sizes);
     }
 
     /// The callers come, and the timeline goes on, until the scenario's span is over.
@@ -281,8 +281,8 @@
             self.turn()?;
         }
         let now = self.now();
-        self.floor.book.begun = Some(now);
-        self.edges.begin(now, &mut self.floor);
+        self.testbed.book.begun = Some(now);
+        self.edges.begin(now, &mut self.testbed);
         for step in 0..self.scenario.timeline.len() {
             let plan = &self.scenario.timeline[step];
             for (place, server) in self.scenario.reached(step).into_iter().enumerate() {
@@ -290,27 +290,27 @@
                     break;
                 }
                 let at = now + plan.at + plan.each * place as u32;
-                self.floor.wake(at, Timer::Begin(step, server));
+                self.testbed.wake(at, Timer::Begin(step, server));
             }
         }
         (self.callers, self.due) = (true, now);
-        self.floor.wake(now, Timer::Arrive);
+        self.testbed.wake(now, Timer::Arrive);
         let end = now + self.scenario.span;
         while self.now() < end {
             self.turn()?;
         }
         self.callers = false;
         self.outcome.servers_cpu = self.servers_on_core().saturating_sub(theirs);
-        let list = &self.floor.list;
+        let list = &self.testbed.list;
         let (first, later) = (list.crowd(Duration::ZERO, end), list.crowd(now + LATER, end));
         self.outcome.list.connections = list.connections.len() as u64;
         self.outcome.list.refused = list.reports.iter().filter(|(_, _, taken)| !taken).count() as u64;
-        self.outcome.list.parts = self.floor.book.seconds.iter().map(|s| s.parts).sum();
+        self.outcome.list.parts = self.testbed.book.seconds.iter().map(|s| s.parts).sum();
         (self.outcome.list.most_tenth, self.outcome.list.most_second) = first;
         (self.outcome.list.later_tenth, self.outcome.list.later_second) = later;
-        let longest = self.scenario.products.iter().map(|p| p.expiry).max().unwrap_or_default();
+        let longest = self.scenario.classes.iter().map(|p| p.deadline).max().unwrap_or_default();
         let rest = end + longest + REST;
-        while self.now() < rest && (self.edges.open() > 0 || self.floor.judge.open() > 0) {
+        while self.now() < rest && (self.edges.open() > 0 || self.testbed.checker.open() > 0) {
             self.turn()?;
         }
         self.outcome.rig_cpu = process::on_core("/proc/thread-self/schedstat").0.saturating_sub(own);
@@ -347,7 +347,7 @@
             if let Some(mut process) = self.servers[n].process.take() {
                 process.kill();
                 let what = "it did not end when it was told to";
-                self.floor.judge.breaks(now, Rule::Drain, None, Some(ServerNo(n as u16)), what);
+                self.testbed.checker.breaks(now, Rule::Drain, None, Some(ServerNo(n as u16)), what);
             }
         }
         Ok(())
@@ -355,21 +355,21 @@
 
     fn finish(&mut self) -> io::Result<Outcome> {
         let now = self.now();
-        self.judge_acts();
-        self.floor.judge.finish(now);
+        self.check_versions();
+        self.testbed.checker.finish(now);
         if self.play.keep {
             self.write_record()?;
         }
         let agree = self.rules.as_mut().map(|rules| {
-            for (at, server, what) in std::mem::take(&mut rules.fence.broken) {
-                self.floor.judge.breaks(at, Rule::Fence, None, Some(server), what);
+            for (at, server, what) in std::mem::take(&mut rules.version_checker.broken) {
+                self.testbed.checker.breaks(at, Rule::Fence, None, Some(server), what);
             }
-            let mut figures = rules.fence.finish();
-            (figures.words, figures.reads) = (rules.words, rules.shelf.reads);
-            figures.read_bytes = rules.shelf.bytes;
+            let mut figures = rules.version_checker.finish();
+            (figures.words, figures.reads) = (rules.words, rules.config_store.reads);
+            figures.read_bytes = rules.config_store.bytes;
             figures
         });
-        let book = &self.floor.book;
+        let book = &self.testbed.book;
         let (rig_memory_kb, _) = process::size(std::process::id());
         let waited = process::on_core("/proc/thread-self/schedstat").1;
         Ok(Outcome {
@@ -379,13 +379,13 @@
             span_s: self.scenario.span.as_secs_f64(),
             value: book.value(),
             inquiry: book.inquiry(),
-            products: book.by_product(),
+            classes: book.by_class(),
             ends: book.ends.clone(),
             poorer: book.poorer,
             p50_ms: book.quantile(0.5),
             p99_ms: book.quantile(0.99),
-            counts: self.floor.judge.counts,
-            broken: self.floor.judge.broken.clone(),
+            counts: self.testbed.checker.counts,
+            broken: self.testbed.checker.broken.clone(),
             list: self.outcome.list,
             index_most: self.index.most,
             memory_kb: self.outcome.memory,
@@ -403,7 +403,7 @@
             least_steady_s: self.least_steady(),
             crowded: self.crowded(),
             agree,
-            by_server: self.floor.judge.by_server.clone(),
+            by_server: self.testbed.checker.by_server.clone(),
             servers_cpu_s: self.outcome.servers_cpu.as_secs_f64(),
         })
     }
@@ -415,7 +415,7 @@
         let each = index.take.as_secs_f64() * (1.0 + index.cold) / 2.0;
         let by_calls = f64::from(index.warming) * each / index.slots;
         // It warms no sooner than calls come.
-        let calls: f64 = s.products.iter().map(|p| p.share * p.calls).sum::<f64>() * s.callers.rate;
+        let calls: f64 = s.classes.iter().map(|p| p.share * p.calls).sum::<f64>() * s.callers.rate;
         let warm = by_calls.max(f64::from(index.warming) / calls.max(1e-6));
         listed.max(if s.timeline.iter().any(|t| t.fault == Fault::IndexCold) { warm } else { 0.0 })
     }
@@ -424,7 +424,7 @@
     /// for each say nothing.
     fn crowded(&self) -> f64 {
         let mut seconds: BTreeMap<u64, Vec<u32>> = BTreeMap::new();
-        for ((second, _), many) in &self.floor.judge.settled_in {
+        for ((second, _), many) in &self.testbed.checker.completed_in {
             seconds.entry(*second).or_default().push(*many);
         }
         let of = |all: &Vec<u32>| {
@@ -437,10 +437,10 @@
 
     fn write_record(&self) -> io::Result<()> {
         use std::io::Write;
-        let begun = self.floor.unix_zero + self.floor.book.begun.unwrap_or_default();
+        let begun = self.testbed.unix_zero + self.testbed.book.begun.unwrap_or_default();
         std::fs::write(self.play.dir.join("begun"), begun.as_micros().to_string())?;
         let mut file = io::BufWriter::new(std::fs::File::create(self.play.dir.join("trace.jsonl"))?);
-        for line in self.floor.book.trace.iter().flatten() {
+        for line in self.testbed.book.trace.iter().flatten() {
             serde_json::to_writer(&mut file, line)?;
             file.write_all(b"\n")?;
         }
@@ -450,11 +450,11 @@
     /// One turn: waits for what comes next, and carries it through.
     fn turn(&mut self) -> io::Result<()> {
         let now = self.now();
-        let most = self.floor.next().map_or(LOOK, |at| at.saturating_sub(now)).min(LOOK);
-        let mut events = std::mem::take(&mut self.floor.events);
+        let most = self.testbed.next().map_or(LOOK, |at| at.saturating_sub(now)).min(LOOK);
+        let mut events = std::mem::take(&mut self.testbed.events);
         events.clear();
-        self.floor.net.wait(most, &mut events)?;
-        if self.floor.net.full {
+        self.testbed.net.wait(most, &mut events)?;
+        if self.testbed.net.full {
             // Nothing that is seen from here on would be the program's doing.
             return Err(io::Error::other(
                 "the rig itself is out of descriptors: raise its limit (ulimit -n)",
@@ -462,21 +462,21 @@
         }
         let began = self.now();
         for (server, at) in std::mem::take(&mut self.just_killed) {
-            self.floor.judge.trouble(server, at, began);
+            self.testbed.checker.trouble(server, at, began);
         }
         for event in events.drain(..) {
             let now = self.now();
             self.event(now, event);
         }
-        self.floor.events = events;
-        while let Some(timer) = self.floor.due(began) {
+        self.testbed.events = events;
+        while let Some(timer) = self.testbed.due(began) {
             self.timer(began, timer)?;
         }
-        for (server, rid) in std::mem::take(&mut self.floor.over) {
-            self.with_pool(began, server, |pool, host| pool.txn_over(began, rid, host));
+        for (server, attempt) in std::mem::take(&mut self.testbed.over) {
+            self.with_pool(began, server, |pool, host| pool.request_over(began, attempt, host));
         }
-        self.judge_acts();
-        self.floor.net.flush();
+        self.check_versions();
+        self.testbed.net.flush();
         self.turns += self.now().saturating_sub(began).saturating_sub(TURN);
         Ok(())
     }
@@ -490,29 +490,29 @@
                 }
                 self.index_wake();
             }
-            Timer::List => {
-                for conn in self.floor.list.due(now) {
+            Timer::MembershipStub => {
+                for conn in self.testbed.list.due(now) {
                     let mut bytes = Vec::new();
-                    http::answer(&mut bytes, 204, false, None, b"");
-                    self.floor.say(now, conn, &bytes);
+                    http::write_response(&mut bytes, 204, false, None, b"");
+                    self.testbed.say(now, conn, &bytes);
                 }
             }
-            Timer::Edge(wake) => self.edges.woken(now, wake, &mut self.floor),
-            Timer::Lane(conn) => self.lane(now, conn),
+            Timer::Edge(wake) => self.edges.woken(now, wake, &mut self.testbed),
+            Timer::RelayedLink(conn) => self.lane(now, conn),
             Timer::Arrive => self.arrive(now),
             Timer::Begin(step, server) => self.begin(now, step, server)?,
             Timer::End(step, server) => self.end(now, step, server)?,
             Timer::Look => {
                 self.look(now)?;
-                self.floor.wake(now + LOOK, Timer::Look);
+                self.testbed.wake(now + LOOK, Timer::Look);
             }
             Timer::Sizes => {
                 self.sizes(now);
-                self.floor.wake(now + SIZES, Timer::Sizes);
+                self.testbed.wake(now + SIZES, Timer::Sizes);
             }
             Timer::Start(server) => self.start(server, true, false)?,
             Timer::PoolReset(step, server) => self.pool_reset(now, step, server),
-            Timer::Shelf => self.shelf_due(now),
+            Timer::ConfigStore => self.shelf_due(now),
             Timer::Publish(step) => self.publish_again(now, step),
         }
         Ok(())
@@ -523,31 +523,31 @@
             return;
         }
         let edge = EdgeNo(self.arrivals.below(self.scenario.callers.edges) as u16);
-        let sum: f64 = self.scenario.products.iter().map(|p| p.share).sum();
+        let sum: f64 = self.scenario.classes.iter().map(|p| p.share).sum();
         let mut at = self.arrivals.unit() * sum;
-        let place = self.scenario.products.iter().position(|p| {
+        let place = self.scenario.classes.iter().position(|p| {
             at -= p.share;
             at < 0.0
         });
-        let product = place.unwrap_or(0);
-        let rank = (self.arrivals.unit() * 0.999 + product as f64) / self.scenario.products.len() as f64;
+        let class = place.unwrap_or(0);
+        let rank = (self.arrivals.unit() * 0.999 + class as f64) / self.scenario.classes.len() as f64;
         let gap = self.arrivals.gap() / self.rate.max(1e-6);
-        self.floor.book.came(now, product);
-        self.edges.arrive(now, edge, ProductNo(product as u8), rank, &mut self.floor);
+        self.testbed.book.came(now, class);
+        self.edges.arrive(now, edge, ClassNo(class as u8), rank, &mut self.testbed);
         self.due += Duration::from_secs_f64(gap);
-        self.floor.wake(self.due, Timer::Arrive);
+        self.testbed.wake(self.due, Timer::Arrive);
     }
 }
 
 /// What edge nodes do to the world, and what the checker and the book hear of it.
-impl edges::Ports for Floor {
+impl edge_nodes::Ports for Testbed {
     fn connect(&mut self, edge: EdgeNo, server: ServerNo) -> Option<ConnNo> {
         if self.unreachable.contains(&server) {
             return None;
         }
         // A list may name one that never was.
         let conn = self.net.connect(*self.addrs.get(server.0 as usize)?).ok()?;
-        self.own(conn, Whose::Edge(edge, server));
+        self.own(conn, ConnectionOwner::Edge(edge, server));
         Some(conn)
     }
 
@@ -557,20 +557,20 @@
     }
 
     fn close(&mut self, conn: ConnNo) {
-        Floor::close(self, conn);
+        Testbed::close(self, conn);
         self.disown(conn);
     }
 
     fn wake(&mut self, at: Duration, what: Wake) {
-        Floor::wake(self, at, Timer::Edge(what));
+        Testbed::wake(self, at, Timer::Edge(what));
     }
 
     fn unix_ms(&self, at: Duration) -> u64 {
         (self.unix_zero + at).as_millis() as u64
     }
 
-    fn life(&self, server: ServerNo) -> Life {
-        self.lives[server.0 as usize]
+    fn incarnation(&self, server: ServerNo) -> Incarnation {
+        self.incarnations[server.0 as usize]
     }
 
     fn view(&mut self, _edge: EdgeNo, now: Duration) -> Vec<ServerNo> {
@@ -583,68 +583,77 @@
         view
     }
 
-    fn asked(&mut self, asked: judge::Try) {
+    fn asked(&mut self, asked: invariant_checker::Attempt) {
         let now = asked.asked;
-        self.book.second(now).tries += 1;
-        self.book.note(now, Some(asked.txn), Some(asked.server), || {
-            format!("{} asks, as {}", asked.edge, asked.rid)
+        self.book.second(now).attempts += 1;
+        self.book.note(now, Some(asked.request), Some(asked.server), || {
+            format!("{} asks, as {}", asked.edge, asked.attempt)
         });
-        self.judge.asked(asked);
+        self.checker.asked(asked);
     }
 
     fn answered(
         &mut self,
         now: Duration,
         server: ServerNo,
-        seat: (ConnNo, aldercrank_wire::msgpack::CallNo),
+        reply_to: (ConnNo, aldercrank_protocol::msgpack_rpc::MessageId),
         result: Option<&[u8]>,
-        declined: bool,
+        rejected: bool,
         rules: Option<u64>,
     ) {
         if self.book.trace.is_some() {
-            let txn = self.judge.at(seat).map(|t| t.txn);
+            let request = self.checker.at(reply_to).map(|t| t.request);
             let kind = if result.is_some() {
                 "settled"
-            } else if declined {
+            } else if rejected {
                 "declined"
             } else {
                 "voided"
             };
-            self.book.note(now, txn, Some(server), || format!("answers: {kind}"));
+            self.book.note(now, request, Some(server), || format!("answers: {kind}"));
         }
-        if let Some((version, asked)) = rules.zip(self.judge.at(seat)) {
+        if let Some((version, asked)) = rules.zip(self.checker.at(reply_to)) {
             self.acts.push(Act {
                 server,
-                life: asked.life,
-                product: asked.product,
+                incarnation: asked.incarnation,
+                class: asked.class,
                 version,
                 asked: asked.asked,
                 answered: now,
-                ran: self.judge.ran(seat),
+                ran: self.checker.ran(reply_to),
                 token: asked.token,
             });
         }
-        self.judge.answered(now, server, seat, result, declined);
-        self.seat_over(seat);
+        self.checker.answered(now, server, reply_to, result, rejected);
+        self.reply_over(reply_to);
     }
 
-    fn taken_back(&mut self, seat: (ConnNo, aldercrank_wire::msgpack::CallNo)) {
-        self.judge.excuse(seat);
-        self.seat_over(seat);
+    fn taken_back(&mut self, reply_to: (ConnNo, aldercrank_protocol::msgpack_rpc::MessageId)) {
+        self.checker.excuse(reply_to);
+        self.reply_over(reply_to);
     }
 
-    fn broken_off(&mut self, now: Duration, seat: (ConnNo, aldercrank_wire::msgpack::CallNo), ours: bool) {
-        self.judge.broken_off(now, seat, ours);
-        self.seat_over(seat);
+    fn broken_off(
+        &mut self,
+        now: Duration,
+        reply_to: (ConnNo, aldercrank_protocol::msgpack_rpc::MessageId),
+        ours: bool,
+    ) {
+        self.checker.broken_off(now, reply_to, ours);
+        self.reply_over(reply_to);
     }
 
-    fn overdue(&mut self, now: Duration, seat: (ConnNo, aldercrank_wire::msgpack::CallNo)) -> bool {
-        self.judge.overdue(now, seat)
+    fn overdue(
+        &mut self,
+        now: Duration,
+        reply_to: (ConnNo, aldercrank_protocol::msgpack_rpc::MessageId),
+    ) -> bool {
+        self.checker.overdue(now, reply_to)
     }
 
-    fn ended(&mut self, now: Duration, txn: crate::ids::TxnNo, by: &Txn, end: End) {
+    fn ended(&mut self, now: Duration, request: crate::ids::RequestNo, by: &Request, end: End) {
         self.book.ended(now, by, end);
-        self.book.note(now, Some(txn), None, || format!("over for its caller: {end:?}"));
+        self.book.note(now, Some(request), None, || format!("over for its caller: {end:?}"));
     }
 }
 
--- a/crates/aldercrank-fleet/src/rig/start.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/start.rs
@@ -4,7 +4,10 @@
 
 /// What the one rule of runs knows of a product: where versions change its effect or window, the mildest of them. The
 /// checker of the rule book goes by the version of each run.
-fn as_judged(scenario: &Scenario, p: &crate::scenario::Product) -> (String, judge::Effect, Duration) {
+fn as_judged(
+    scenario: &Scenario,
+    p: &crate::scenario::RequestClass,
+) -> (String, invariant_checker::Effect, Duration) {
     let sets = scenario.timeline.iter().filter_map(|step| match &step.fault {
         Fault::Publish(published) => Some(&published.set),
         _ => None,
@@ -13,7 +16,7 @@
     for word in sets.flat_map(|set| set.split(['|', ' '])) {
         let Some((item, value)) = word.split_once('=') else { continue };
         if item == format!("{}.effect", p.name) {
-            effect = judge::Effect::Idempotent;
+            effect = invariant_checker::Effect::Idempotent;
         }
         if let Some(ms) = value.parse().ok().filter(|_| item == format!("{}.window-ms", p.name)) {
             window = window.min(Duration::from_millis(ms));
@@ -22,47 +25,54 @@
     (p.name.clone(), effect, window)
 }
 
-impl<'a> Rig<'a> {
-    pub(super) fn prepare(scenario: &'a Scenario, play: &'a Play) -> io::Result<Rig<'a>> {
+impl<'a> TestCluster<'a> {
+    pub(super) fn prepare(scenario: &'a Scenario, play: &'a RunOptions) -> io::Result<TestCluster<'a>> {
         enough_descriptors(scenario)?;
         let (ip, servers_ip) = addresses();
-        let products: Vec<edges::Product> = scenario
-            .products
+        let classes: Vec<edge_nodes::RequestClass> = scenario
+            .classes
             .iter()
-            .map(|p| edges::Product {
+            .map(|p| edge_nodes::RequestClass {
                 name: p.name.clone(),
                 effect: p.effect,
                 value: p.value,
                 late: p.late,
                 without: p.without,
-                sla: p.sla,
-                expiry: p.expiry,
+                latency_target: p.latency_target,
+                deadline: p.deadline,
                 memory_kb: p.memory_kb,
                 body: p.body,
             })
             .collect();
-        let terms = judge::Terms {
-            products: scenario.products.iter().map(|p| as_judged(scenario, p)).collect(),
+        let terms = invariant_checker::Terms {
+            classes: scenario.classes.iter().map(|p| as_judged(scenario, p)).collect(),
             slack: scenario.fleet.slack,
             grace: scenario.fleet.grace,
             stop: scenario.fleet.stop,
         };
-        let book = Book::new(products.clone(), play.keep);
-        let list = List::new(scenario.list_capacity);
-        let draw = Draw::of(scenario.seed, "links");
-        let floor =
-            Floor::new(Judge::new(terms), book, list, scenario.callers.lag, scenario.fleet.servers, draw)?;
+        let book = RunRecord::new(classes.clone(), play.keep);
+        let list = MembershipStub::new(scenario.list_capacity);
+        let draw = RandomStream::of(scenario.seed, "links");
+        let testbed = Testbed::new(
+            InvariantChecker::new(terms),
+            book,
+            list,
+            scenario.callers.lag,
+            scenario.fleet.servers,
+            draw,
+        )?;
         let callers = &scenario.callers;
-        let edges = Edges::new(callers.habits.clone(), products, callers.edges, callers.learn, scenario.seed);
-        let mut rig = Rig {
+        let edges =
+            EdgeNodes::new(callers.policy.clone(), classes, callers.edges, callers.learn, scenario.seed);
+        let mut cluster = TestCluster {
             scenario,
             play,
-            floor,
+            testbed,
             edges,
             servers: Vec::new(),
             index: Index::new(scenario.index),
             inputs: HashMap::new(),
-            arrivals: Draw::of(scenario.seed, "arrivals"),
+            arrivals: RandomStream::of(scenario.seed, "arrivals"),
             rate: scenario.callers.rate,
             due: Duration::ZERO,
             zero: Instant::now(),
@@ -81,36 +91,36 @@
         let held: Vec<socket2::Socket> =
             (0..scenario.fleet.servers).map(|_| free(&servers_ip)).collect::<io::Result<_>>()?;
         for (n, held) in held.iter().enumerate() {
-            let server = rig.server(ServerNo(n as u16), place(held)?)?;
-            rig.servers.push(server);
+            let server = cluster.server(ServerNo(n as u16), place(held)?)?;
+            cluster.servers.push(server);
         }
-        rig.with_rules()?;
-        Ok(rig)
+        cluster.with_rules()?;
+        Ok(cluster)
     }
 
     /// A server's places: what it is to listen on is free at this moment, and the address is ours alone.
     pub(super) fn server(&mut self, number: ServerNo, free: std::net::SocketAddr) -> io::Result<Server> {
         let mut ports = BTreeMap::new();
-        let mut listen = |far: Far, floor: &mut Floor| -> io::Result<std::net::SocketAddr> {
-            let (port, addr) = floor.net.listen(&self.ip)?;
-            floor.ports.insert(port, (number, far));
+        let mut listen = |far: RemoteEndpoint, testbed: &mut Testbed| -> io::Result<std::net::SocketAddr> {
+            let (port, addr) = testbed.net.listen(&self.ip)?;
+            testbed.ports.insert(port, (number, far));
             ports.insert(far, port);
             Ok(addr)
         };
         let (pool, index, list) = (
-            listen(Far::Pool, &mut self.floor)?,
-            listen(Far::Index, &mut self.floor)?,
-            listen(Far::List, &mut self.floor)?,
+            listen(RemoteEndpoint::Pool, &mut self.testbed)?,
+            listen(RemoteEndpoint::Index, &mut self.testbed)?,
+            listen(RemoteEndpoint::MembershipStub, &mut self.testbed)?,
         );
         let places = Places { listen: free, pool, index, list };
-        self.floor.addrs.push(free);
+        self.testbed.addrs.push(free);
         Ok(Server {
             places,
             process: None,
             pool: Pool::new(self.cores(), Duration::ZERO, self.scenario.fleet.cold, Duration::ZERO),
             link: None,
             ports,
-            life: Life(0),
+            incarnation: Incarnation(0),
             leaving: false,
             killed: false,
             stopped: false,
@@ -144,22 +154,22 @@
         let cores = self.cores();
         let service = self.service_file(number)?.map(|file| file.to_string_lossy().into_owned());
         let server = &mut self.servers[number.0 as usize];
-        server.life.0 += 1;
+        server.incarnation.0 += 1;
         if let Some(link) = server.link.take() {
-            self.floor.close(link);
+            self.testbed.close(link);
         }
         server.pool = Pool::new(cores, now, cold, Duration::ZERO);
         (server.leaving, server.killed, server.stopped) = (false, false, false);
         (server.crowd, server.waited) = (0.0, Duration::ZERO);
         server.replies.clear();
-        self.floor.lives[number.0 as usize] = server.life;
+        self.testbed.incarnations[number.0 as usize] = server.incarnation;
         let config = self.play.dir.join(format!("{number}.json"));
         let mut text = config::config(self.scenario, number, cold, &server.places);
         if bad {
             text["listen"] = "nowhere".into();
         }
         std::fs::write(&config, text.to_string())?;
-        let log = self.play.dir.join(format!("{number}.{}.log", server.life.0));
+        let log = self.play.dir.join(format!("{number}.{}.log", server.incarnation.0));
         let config = config.to_string_lossy();
         let mut args = vec!["serve", &*config];
         if let Some(service) = &service {
@@ -171,7 +181,7 @@
         }
         server.process = Some(Process::start(&self.play.program, &args, &log)?);
         self.outcome.starts += 1;
-        self.floor.book.note(now, None, Some(number), || "started".to_string());
+        self.testbed.book.note(now, None, Some(number), || "started".to_string());
         Ok(())
     }
 
@@ -182,12 +192,12 @@
             self.turn()?;
             let now = self.now();
             let ready =
-                |n: usize, s: &Server| s.link.is_some() && self.floor.list.listed(ServerNo(n as u16), now);
+                |n: usize, s: &Server| s.link.is_some() && self.testbed.list.listed(ServerNo(n as u16), now);
             if self.servers.iter().enumerate().all(|(n, s)| ready(n, s)) {
                 self.outcome.start = now;
                 return Ok(());
             }
-            if let Some(broken) = self.floor.judge.broken.first() {
+            if let Some(broken) = self.testbed.checker.broken.first() {
                 let server = broken.server.clone().unwrap_or_default();
                 let said = std::fs::read_to_string(self.play.dir.join(format!("{server}.1.log")));
                 let last = said.unwrap_or_default().lines().last().unwrap_or_default().to_string();
--- a/crates/aldercrank-fleet/src/rig/book.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/versions.rs
@@ -3,20 +3,20 @@
 
 use super::*;
 use crate::config::service;
-use crate::fence::Fence;
+use crate::config_store_stub::{self, ConfigStore};
 use crate::scenario::{Published, RuleBook, Spoilt};
-use crate::shelf::{self, Shelf};
-use aldercrank_rules::book::Path as Item;
-use aldercrank_rules::{changes, Book, Number, Role};
+use crate::version_checker::VersionChecker;
+use aldercrank_versioned_config::book::Path as Item;
+use aldercrank_versioned_config::{changes, Consistency, Number, VersionedConfig};
 
 /// What a run with a rule book has beside the others.
 pub struct Rules {
     pub terms: RuleBook,
     /// The newest that was published, and the last number given out.
-    pub newest: Book,
+    pub newest: VersionedConfig,
     pub last: u64,
-    pub shelf: Shelf,
-    pub fence: Fence,
+    pub config_store: ConfigStore,
+    pub version_checker: VersionChecker,
     /// The two ends of each relayed connection.
     pub partners: HashMap<ConnNo, ConnNo>,
     /// Where servers reach members: relays, one for each pair.
@@ -27,7 +27,11 @@
 }
 
 /// The version that the fleet starts from.
-pub fn genesis(scenario: &Scenario, terms: &RuleBook, places: &[std::net::SocketAddr]) -> io::Result<Book> {
+pub fn genesis(
+    scenario: &Scenario,
+    terms: &RuleBook,
+    places: &[std::net::SocketAddr],
+) -> io::Result<VersionedConfig> {
     let mut text = "rules 1 {\n".to_string();
     text +=
         &format!("agree-within-ms {}\nalone-for-ms {}\n", terms.within.as_millis(), terms.alone.as_millis());
@@ -36,11 +40,11 @@
         text += &format!("{} \"{at}\"\n", ServerNo(n as u16));
     }
     text += "}\n";
-    for p in &scenario.products {
+    for p in &scenario.classes {
         let effect = match p.effect {
-            judge::Effect::Idempotent => "inquiry-like",
-            judge::Effect::Keyed => "referenced",
-            judge::Effect::Unsafe => "once-only",
+            invariant_checker::Effect::Idempotent => "inquiry-like",
+            invariant_checker::Effect::Keyed => "referenced",
+            invariant_checker::Effect::Unsafe => "once-only",
         };
         let window = p.window.as_millis();
         text +=
@@ -53,13 +57,13 @@
         text += &format!("{} {}\n", crate::scenario::zone_name(zone), names.join(" "));
     }
     text += "}\n}\n";
-    let book = Book::parse(&text).map_err(|faults| io::Error::other(format!("{faults:?}")))?;
+    let book = VersionedConfig::parse(&text).map_err(|faults| io::Error::other(format!("{faults:?}")))?;
     let first = set(&book, 1, &terms.set);
     first.map_err(|why| io::Error::other(format!("rules set=: {why}")))
 }
 
 /// A version with some items set anew.
-pub fn set(book: &Book, number: u64, words: &str) -> Result<Book, String> {
+pub fn set(book: &VersionedConfig, number: u64, words: &str) -> Result<VersionedConfig, String> {
     let mut all = Vec::new();
     for word in words.split_whitespace() {
         let (item, value) = word.split_once('=').ok_or(format!("{word} is no ITEM=VALUE"))?;
@@ -68,21 +72,23 @@
         let path = match of {
             "shares" => Item::new("shares", "", name),
             "limits" => Item::new("limits", "", name),
-            product => Item::new("product", product, name),
+            class => Item::new("product", class, name),
         };
         let value = match value.parse::<f64>() {
-            Ok(n) => aldercrank_rules::Value::Number(n),
-            Err(_) if value == "yes" || value == "no" => aldercrank_rules::Value::Flag(value == "yes"),
-            Err(_) => aldercrank_rules::Value::Word(value.to_string()),
+            Ok(n) => aldercrank_versioned_config::Value::Number(n),
+            Err(_) if value == "yes" || value == "no" => {
+                aldercrank_versioned_config::Value::Flag(value == "yes")
+            }
+            Err(_) => aldercrank_versioned_config::Value::Word(value.to_string()),
         };
         all.push((path, Some(value)));
     }
     let next = book.next(Number(number), all);
-    let again = Book::parse(&next.text()).map_err(|faults| faults[0].to_string())?;
+    let again = VersionedConfig::parse(&next.text()).map_err(|faults| faults[0].to_string())?;
     Ok(again)
 }
 
-impl Rig<'_> {
+impl TestCluster<'_> {
     /// Makes the book and the relays, where the scenario has a book.
     pub(super) fn with_rules(&mut self) -> io::Result<()> {
         let Some(terms) = self.scenario.rules.clone() else { return Ok(()) };
@@ -93,21 +99,21 @@
             for member in 0..terms.committee.min(self.servers.len()) {
                 let pair = (ServerNo(asker as u16), ServerNo(member as u16));
                 if asker != member {
-                    let (port, addr) = self.floor.net.listen(&self.ip)?;
-                    self.floor.relays.insert(port, pair);
+                    let (port, addr) = self.testbed.net.listen(&self.ip)?;
+                    self.testbed.relays.insert(port, pair);
                     reach.insert(pair, addr);
                 }
             }
         }
         std::fs::write(self.play.dir.join("rules.kdl"), newest.text())?;
-        let products = self.scenario.products.iter().map(|p| p.name.clone()).collect();
-        let fence = Fence::new(terms.within, products, &newest);
+        let classes = self.scenario.classes.iter().map(|p| p.name.clone()).collect();
+        let version_checker = VersionChecker::new(terms.within, classes, &newest);
         self.rules = Some(Rules {
             terms,
             newest,
             last: 1,
-            shelf: Shelf::default(),
-            fence,
+            config_store: ConfigStore::default(),
+            version_checker,
             partners: HashMap::new(),
             reach,
             words: 0,
@@ -140,9 +146,9 @@
     pub(super) fn relayed(&mut self, conn: ConnNo, asker: ServerNo, member: ServerNo) {
         let Some(rules) = &mut self.rules else { return };
         let to = self.servers[member.0 as usize].places.listen;
-        let Ok(other) = self.floor.net.connect(to) else { return self.floor.net.close(conn) };
-        self.floor.own(conn, Whose::Peer(asker));
-        self.floor.own(other, Whose::Peer(member));
+        let Ok(other) = self.testbed.net.connect(to) else { return self.testbed.net.close(conn) };
+        self.testbed.own(conn, ConnectionOwner::Peer(asker));
+        self.testbed.own(other, ConnectionOwner::Peer(member));
         rules.partners.insert(conn, other);
         rules.partners.insert(other, conn);
     }
@@ -151,18 +157,18 @@
     pub(super) fn pass_on(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
         let Some(rules) = &mut self.rules else { return };
         rules.words += 1;
-        self.floor.book.second(now).words += 1;
+        self.testbed.book.second(now).words += 1;
         if let Some(&other) = rules.partners.get(&conn) {
-            self.floor.say(now, other, bytes);
+            self.testbed.say(now, other, bytes);
         }
     }
 
     /// What was judged by a version since the last turn comes before its checker.
-    pub(super) fn judge_acts(&mut self) {
+    pub(super) fn check_versions(&mut self) {
         let Some(rules) = &mut self.rules else { return };
-        let (acts, noise) = (&mut self.floor.acts, &self.floor.judge.noise);
+        let (acts, noise) = (&mut self.testbed.acts, &self.testbed.checker.noise);
         for act in acts.drain(..) {
-            rules.fence.act(&act, |since| noise.between(act.server, since, act.answered));
+            rules.version_checker.act(&act, |since| noise.between(act.server, since, act.answered));
         }
     }
 
@@ -174,8 +180,8 @@
             Some(other)
         });
         if let Some(other) = other {
-            self.floor.close(other);
-            self.floor.disown(other);
+            self.testbed.close(other);
+            self.testbed.disown(other);
         }
     }
 
@@ -183,13 +189,13 @@
     pub(super) fn publish_again(&mut self, now: Duration, step: usize) {
         let plan = &self.scenario.timeline[step];
         let Fault::Publish(what) = &plan.fault else { return };
-        let begun = self.floor.book.begun.unwrap_or_default() + plan.at;
+        let begun = self.testbed.book.begun.unwrap_or_default() + plan.at;
         if plan.lasts.is_some_and(|lasts| now >= begun + lasts) || self.over {
             return;
         }
         self.publish(now, step, what);
         if let Some(every) = what.every {
-            self.floor.wake(now + every, Timer::Publish(step));
+            self.testbed.wake(now + every, Timer::Publish(step));
         }
     }
 
@@ -207,12 +213,12 @@
         if what.two {
             contents.extend(set(&rules.newest, number, words[*turn % words.len()]).ok());
         }
-        let free = changes(&rules.newest, &next).iter().all(|c| c.role == Role::Free);
+        let free = changes(&rules.newest, &next).iter().all(|c| c.role == Consistency::Free);
         if !what.two {
-            rules.fence.published(now, &next, free);
+            rules.version_checker.published(now, &next, free);
             rules.newest = next;
         }
-        self.floor.book.note(now, None, None, || format!("publishes version {number}: {own}"));
+        self.testbed.book.note(now, None, None, || format!("publishes version {number}: {own}"));
         let contents = contents.iter().map(|b| (format!("{number}-{}", b.digest()), b.text())).collect();
         self.put(now, contents);
     }
@@ -234,73 +240,69 @@
     /// What stands at the list service is this from now on.
     pub(super) fn put(&mut self, now: Duration, contents: Vec<(String, String)>) {
         let Some(rules) = &mut self.rules else { return };
-        for (conn, word) in rules.shelf.put(contents) {
+        for (conn, word) in rules.config_store.put(contents) {
             self.shelf_says(now, conn, word);
         }
     }
 
-    pub(super) fn shelf_says(&mut self, now: Duration, conn: ConnNo, word: shelf::Word) {
+    pub(super) fn shelf_says(&mut self, now: Duration, conn: ConnNo, word: config_store_stub::Word) {
         let mut bytes = Vec::new();
         match word {
-            shelf::Word::Text(text) => http::answer(&mut bytes, 200, false, None, text.as_bytes()),
-            shelf::Word::Same => http::answer(&mut bytes, 304, false, None, b""),
-            shelf::Word::None => http::answer(&mut bytes, 404, false, None, b""),
+            config_store_stub::Word::Text(text) => {
+                http::write_response(&mut bytes, 200, false, None, text.as_bytes())
+            }
+            config_store_stub::Word::Same => http::write_response(&mut bytes, 304, false, None, b""),
+            config_store_stub::Word::None => http::write_response(&mut bytes, 404, false, None, b""),
         }
         if let Some(rules) = &mut self.rules {
-            rules.shelf.bytes += bytes.len() as u64;
+            rules.config_store.bytes += bytes.len() as u64;
         }
-        self.floor.say(now, conn, &bytes);
+        self.testbed.say(now, conn, &bytes);
     }
 
     pub(super) fn shelf_due(&mut self, now: Duration) {
-        let due = self.rules.as_mut().map(|rules| rules.shelf.due(now)).unwrap_or_default();
+        let due = self.rules.as_mut().map(|rules| rules.config_store.due(now)).unwrap_or_default();
         for conn in due {
-            self.shelf_says(now, conn, shelf::Word::Same);
+            self.shelf_says(now, conn, config_store_stub::Word::Same);
         }
-        if let Some(at) = self.rules.as_ref().and_then(|rules| rules.shelf.next()) {
-            self.floor.wake(at.max(now), Timer::Shelf);
+        if let Some(at) = self.rules.as_ref().and_then(|rules| rules.config_store.next()) {
+            self.testbed.wake(at.max(now), Timer::ConfigStore);
         }
     }
 
     /// A question about the rule book has come to the list service.
-    pub(super) fn shelf_hears(
-        &mut self,
-        now: Duration,
-        conn: ConnNo,
-        question: &http::Question,
-        body: &[u8],
-    ) {
-        let up = self.floor.list.state == list::State::Up;
+    pub(super) fn shelf_hears(&mut self, now: Duration, conn: ConnNo, question: &http::Request, body: &[u8]) {
+        let up = self.testbed.list.state == membership_stub::State::Up;
         let Some(rules) = self.rules.as_mut().filter(|_| up) else { return };
         match question.method.as_str() {
             "GET" => {
                 let wait = question.wait.unwrap_or_default();
-                let word = rules.shelf.read(now, conn, question.have.clone(), wait);
+                let word = rules.config_store.read(now, conn, question.have.clone(), wait);
                 match word {
                     Some(word) => self.shelf_says(now, conn, word),
-                    None => self.floor.wake(now + wait, Timer::Shelf),
+                    None => self.testbed.wake(now + wait, Timer::ConfigStore),
                 }
             }
             "PUT" => {
                 let text = String::from_utf8_lossy(body).into_owned();
-                let read = Book::parse(&text);
+                let read = VersionedConfig::parse(&text);
                 let status = if read.is_ok() { 204 } else { 400 };
                 if let Ok(book) = read {
-                    let free = changes(&rules.newest, &book).iter().all(|c| c.role == Role::Free);
-                    rules.fence.published(now, &book, free);
+                    let free = changes(&rules.newest, &book).iter().all(|c| c.role == Consistency::Free);
+                    rules.version_checker.published(now, &book, free);
                     rules.last = rules.last.max(book.number.0);
                     rules.newest = book.clone();
                     self.put(now, vec![(format!("{}-{}", book.number, book.digest()), text)]);
                 }
                 let mut bytes = Vec::new();
-                http::answer(&mut bytes, status, false, None, b"");
-                self.floor.say(now, conn, &bytes);
+                http::write_response(&mut bytes, status, false, None, b"");
+                self.testbed.say(now, conn, &bytes);
             }
             _ => {
                 self.put(now, Vec::new());
                 let mut bytes = Vec::new();
-                http::answer(&mut bytes, 204, false, None, b"");
-                self.floor.say(now, conn, &bytes);
+                http::write_response(&mut bytes, 204, false, None, b"");
+                self.testbed.say(now, conn, &bytes);
             }
         }
     }
--- a/crates/aldercrank-fleet/src/config.rs
+++ b/crates/aldercrank-test-cluster/src/config.rs
@@ -1,7 +1,7 @@
 //! What each server of a fleet is told: the platform's JSON, from the scenario.
 
 use crate::ids::ServerNo;
-use crate::judge::Effect;
+use crate::invariant_checker::Effect;
 use crate::scenario::{zone_name, Scenario};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -37,11 +37,11 @@
 
 pub fn config(s: &Scenario, server: ServerNo, cold: bool, at: &Places) -> Value {
     let fleet = &s.fleet;
-    let products: Vec<Value> = s
-        .products
+    let classes: Vec<Value> = s
+        .classes
         .iter()
         .map(|p| {
-            json!({"name": p.name, "effect": effect(p.effect), "goal_time": us(p.sla), "give_up": us(p.expiry),
+            json!({"name": p.name, "effect": effect(p.effect), "goal_time": us(p.latency_target), "give_up": us(p.deadline),
                 "points": p.value, "late_worth": p.late, "window": us(p.window)})
         })
         .collect();
@@ -57,19 +57,19 @@
                 "advert": "share_of", "halt": "abort", "cancel_seen": true, "passes_deadline": true,
                 "readiness": true, "below": "shared", "calls_out": s.index.limit / fleet.servers as f64,
                 "calls_over": us(CALLS_OVER), "linger": 100_000, "fresh_for": 0, "heeded": 1_000_000,
-                "idle": us(s.callers.habits.idle), "upstreams": s.callers.edges,
-                "class_calls": s.products.iter().map(|p| p.calls > 0.0).collect::<Vec<bool>>(),
-                "worth_without": s.products.iter().map(|p| p.without).collect::<Vec<f64>>(),
+                "idle": us(s.callers.policy.idle), "upstreams": s.callers.edges,
+                "class_calls": s.classes.iter().map(|p| p.calls > 0.0).collect::<Vec<bool>>(),
+                "worth_without": s.classes.iter().map(|p| p.without).collect::<Vec<f64>>(),
                 "meters": ["cpu_busy", "runnable"]},
             "limits": {"retry_after": true, "max_retry_after": 1_000_000},
             "rules": {"answer_slack": us(fleet.slack), "cold_from": fleet.cold_from,
                 "warm_after": us(fleet.warm_after), "fall": us(FALL_OVER), "fall_multiple": FALL,
                 "stop_sending_within": us(fleet.grace)},
-            "profiles": products}})
+            "profiles": classes}})
 }
 
 /// A server's own settings as to how it starts.
-pub fn start(start: &aldercrank_service::Start) -> String {
+pub fn start(start: &aldercrank_service_config::Start) -> String {
     format!("start {{\n    tell-share #{}\n}}\n", start.tell_share)
 }
 
--- a/crates/aldercrank-fleet/src/shelf.rs
+++ b/crates/aldercrank-test-cluster/src/config_store_stub.rs
@@ -22,7 +22,7 @@
 }
 
 #[derive(Default)]
-pub struct Shelf {
+pub struct ConfigStore {
     /// What stands there; every second reader is given another content where there are two.
     versions: Vec<Version>,
     turn: usize,
@@ -31,7 +31,7 @@
     pub bytes: u64,
 }
 
-impl Shelf {
+impl ConfigStore {
     /// These contents stand there from now on; gives the readers that waited for something else.
     pub fn put(&mut self, versions: Vec<(String, String)>) -> Vec<(ConnNo, Word)> {
         self.versions = versions.into_iter().map(|(tag, text)| Version { tag, text }).collect();
--- a/crates/aldercrank-fleet/src/edges.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes.rs
@@ -1,11 +1,11 @@
 //! Edge nodes and their callers as stand-ins, without sockets: they learn of servers from a list that may be old,
 //! choose among them by a published habit, wait so long and no longer, and ask again where that can do no harm.
 
-use crate::draw::{digest, Draw};
-use crate::ids::{ConnNo, EdgeNo, Life, ProductNo, ServerNo, TxnNo};
-use crate::judge::{self, Effect, Try};
-use aldercrank_wire::msgpack::{self, CallNo, Caller, Fields, With};
-use aldercrank_wire::pool::Rid;
+use crate::ids::{ClassNo, ConnNo, EdgeNo, Incarnation, RequestNo, ServerNo};
+use crate::invariant_checker::{self, Attempt, Effect};
+use crate::random::{digest, RandomStream};
+use aldercrank_protocol::msgpack_rpc::{self, MessageId, ReceivedFields, RequestFields, ResponseHandler};
+use aldercrank_protocol::worker_pool::AttemptId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 const CHECK: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choose {
+pub enum ServerChoice {
     RoundRobin,
     /// The one with the fewest calls open.
     Least,
@@ -36,10 +36,10 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Habits {
-    pub choose: Choose,
+pub struct CallerPolicy {
+    pub choose: ServerChoice,
     /// Tries of one txn at most.
-    pub tries: u32,
+    pub attempts: u32,
     /// How long one try of an inquiry-like txn may take before another server is asked.
     pub patience: Option<Duration>,
     /// Heeds `backoff`, `final` and the free value.
@@ -57,15 +57,15 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Product {
+pub struct RequestClass {
     pub name: String,
     pub effect: Effect,
     pub value: f64,
     pub late: f64,
     /// What a result made without its call is worth.
     pub without: f64,
-    pub sla: Duration,
-    pub expiry: Duration,
+    pub latency_target: Duration,
+    pub deadline: Duration,
     pub memory_kb: f64,
     pub body: usize,
 }
@@ -76,8 +76,8 @@
 pub enum End {
     InTime,
     Late,
-    Declined,
-    Voided,
+    Rejected,
+    Failed,
     /// No answer in the caller's time.
     Expired,
     /// The caller went.
@@ -87,14 +87,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Wake {
     /// The caller's whole time is over.
-    Expiry(TxnNo),
+    Expiry(RequestNo),
     /// One try has taken as long as it may.
-    TryEnd(TxnNo, u32),
+    TryEnd(RequestNo, u32),
     /// The caller goes before its time.
-    Leaves(TxnNo),
-    Again(TxnNo),
+    Leaves(RequestNo),
+    Again(RequestNo),
     /// Is an answer still owed on this call?
-    Owed(ConnNo, CallNo),
+    Owed(ConnNo, MessageId),
     Learn(EdgeNo),
     Check(EdgeNo),
     /// Has this health check been answered?
@@ -108,38 +108,38 @@
     fn wake(&mut self, at: Duration, what: Wake);
     /// This moment by the Unix clock, in milliseconds.
     fn unix_ms(&self, at: Duration) -> u64;
-    fn life(&self, server: ServerNo) -> Life;
+    fn incarnation(&self, server: ServerNo) -> Incarnation;
     /// The servers that this edge node believes in.
     fn view(&mut self, edge: EdgeNo, now: Duration) -> Vec<ServerNo>;
     /// For the checker.
-    fn asked(&mut self, asked: Try);
+    fn asked(&mut self, asked: Attempt);
     fn answered(
         &mut self,
         now: Duration,
         server: ServerNo,
-        seat: (ConnNo, CallNo),
+        reply_to: (ConnNo, MessageId),
         result: Option<&[u8]>,
-        declined: bool,
+        rejected: bool,
         rules: Option<u64>,
     );
-    fn taken_back(&mut self, seat: (ConnNo, CallNo));
-    fn broken_off(&mut self, now: Duration, seat: (ConnNo, CallNo), ours: bool);
+    fn taken_back(&mut self, reply_to: (ConnNo, MessageId));
+    fn broken_off(&mut self, now: Duration, reply_to: (ConnNo, MessageId), ours: bool);
     /// Whether nothing is owed there any more.
-    fn overdue(&mut self, now: Duration, seat: (ConnNo, CallNo)) -> bool;
-    fn ended(&mut self, now: Duration, txn: TxnNo, by: &Txn, end: End);
+    fn overdue(&mut self, now: Duration, reply_to: (ConnNo, MessageId)) -> bool;
+    fn ended(&mut self, now: Duration, request: RequestNo, by: &Request, end: End);
 }
 
-pub struct Txn {
+pub struct Request {
     pub edge: EdgeNo,
-    pub product: ProductNo,
+    pub class: ClassNo,
     pub token: Option<u64>,
     pub rank: f64,
     pub born: Duration,
-    pub sla: Duration,
-    pub expiry: Duration,
-    pub tries: u32,
+    pub latency_target: Duration,
+    pub deadline: Duration,
+    pub attempts: u32,
     /// Where it is being asked for, since when.
-    seat: Option<(ConnNo, CallNo)>,
+    reply_to: Option<(ConnNo, MessageId)>,
     sent: Duration,
     /// It may have run there, so it is asked for nowhere else.
     pinned: Option<ServerNo>,
@@ -156,7 +156,7 @@
     stands: bool,
     check: bool,
     next: u32,
-    open: BTreeMap<CallNo, (TxnNo, Duration)>,
+    open: BTreeMap<MessageId, (RequestNo, Duration)>,
     closing: Option<Duration>,
     idle_since: Duration,
     input: Vec<u8>,
@@ -198,40 +198,40 @@
     again: f64,
 }
 
-pub struct Edges {
-    habits: Habits,
-    products: Vec<Product>,
+pub struct EdgeNodes {
+    policy: CallerPolicy,
+    classes: Vec<RequestClass>,
     learn: Duration,
     edges: Vec<Edge>,
     conns: BTreeMap<ConnNo, Conn>,
-    pub txns: Vec<Txn>,
-    draw: Draw,
+    pub requests: Vec<Request>,
+    draw: RandomStream,
     seed: u64,
 }
 
 /// What was heard on a connection, gathered while its bytes are borrowed.
 enum Heard {
-    Settled(CallNo, Vec<u8>, With),
-    Declined(CallNo, With),
-    Voided(CallNo, With),
-    Checked(CallNo, bool),
+    Completed(MessageId, Vec<u8>, ReceivedFields),
+    Rejected(MessageId, ReceivedFields),
+    Failed(MessageId, ReceivedFields),
+    Checked(MessageId, bool),
     Closing,
 }
 
 #[derive(Default)]
 struct Ear(Vec<Heard>);
 
-impl Caller for Ear {
-    fn settled(&mut self, call: CallNo, result: &[u8], with: With) {
-        self.0.push(Heard::Settled(call, result.to_vec(), with));
+impl ResponseHandler for Ear {
+    fn completed(&mut self, call: MessageId, result: &[u8], with: ReceivedFields) {
+        self.0.push(Heard::Completed(call, result.to_vec(), with));
     }
-    fn declined(&mut self, call: CallNo, with: With) {
-        self.0.push(Heard::Declined(call, with));
+    fn rejected(&mut self, call: MessageId, with: ReceivedFields) {
+        self.0.push(Heard::Rejected(call, with));
     }
-    fn voided(&mut self, call: CallNo, _why: &str, with: With) {
-        self.0.push(Heard::Voided(call, with));
+    fn failed(&mut self, call: MessageId, _why: &str, with: ReceivedFields) {
+        self.0.push(Heard::Failed(call, with));
     }
-    fn checked(&mut self, call: CallNo, good: bool, _with: With) {
+    fn health_reported(&mut self, call: MessageId, good: bool, _with: ReceivedFields) {
         self.0.push(Heard::Checked(call, good));
     }
     fn closing(&mut self) {
@@ -240,13 +240,19 @@
 }
 
 /// A txn's body: the same for all its tries.
-pub fn body(seed: u64, txn: TxnNo, length: usize) -> Vec<u8> {
-    let word = format!("{seed:x}.{} ", txn.0).into_bytes();
+pub fn body(seed: u64, request: RequestNo, length: usize) -> Vec<u8> {
+    let word = format!("{seed:x}.{} ", request.0).into_bytes();
     word.iter().copied().cycle().take(length).collect()
 }
 
-impl Edges {
-    pub fn new(habits: Habits, products: Vec<Product>, edges: usize, learn: Duration, seed: u64) -> Edges {
+impl EdgeNodes {
+    pub fn new(
+        policy: CallerPolicy,
+        classes: Vec<RequestClass>,
+        edges: usize,
+        learn: Duration,
+        seed: u64,
+    ) -> EdgeNodes {
         let edge = || Edge {
             known: BTreeMap::new(),
             listed: Vec::new(),
@@ -256,42 +262,35 @@
             again: 0.0,
         };
         let edges = (0..edges).map(|_| edge()).collect();
-        let draw = Draw::of(seed, "edge nodes");
-        Edges { habits, products, learn, edges, conns: BTreeMap::new(), txns: Vec::new(), draw, seed }
+        let draw = RandomStream::of(seed, "edge nodes");
+        EdgeNodes { policy, classes, learn, edges, conns: BTreeMap::new(), requests: Vec::new(), draw, seed }
     }
 
     pub fn begin(&mut self, now: Duration, ports: &mut impl Ports) {
         for n in 0..self.edges.len() {
             let edge = EdgeNo(n as u16);
             self.woken(now, Wake::Learn(edge), ports);
-            if let Some(every) = self.habits.checks {
+            if let Some(every) = self.policy.checks {
                 ports.wake(now + every.mul_f64(self.draw.unit()), Wake::Check(edge));
             }
         }
     }
 
     /// A caller comes.
-    pub fn arrive(
-        &mut self,
-        now: Duration,
-        edge: EdgeNo,
-        product: ProductNo,
-        rank: f64,
-        ports: &mut impl Ports,
-    ) {
-        let p = &self.products[product.0 as usize];
-        let number = TxnNo(self.txns.len() as u32);
+    pub fn arrive(&mut self, now: Duration, edge: EdgeNo, class: ClassNo, rank: f64, ports: &mut impl Ports) {
+        let p = &self.classes[class.0 as usize];
+        let number = RequestNo(self.requests.len() as u32);
         let token = (p.effect == Effect::Keyed).then_some(u64::from(number.0) + 1);
-        let txn = Txn {
+        let request = Request {
             edge,
-            product,
+            class,
             token,
             rank,
             born: now,
-            sla: now + p.sla,
-            expiry: now + p.expiry,
-            tries: 0,
-            seat: None,
+            latency_target: now + p.latency_target,
+            deadline: now + p.deadline,
+            attempts: 0,
+            reply_to: None,
             sent: now,
             pinned: None,
             tried: Vec::new(),
@@ -299,39 +298,39 @@
             end: None,
             poorer: false,
         };
-        ports.wake(txn.expiry, Wake::Expiry(number));
-        if self.draw.chance(self.habits.leave) {
-            ports.wake(now + p.expiry.mul_f64(self.draw.unit()), Wake::Leaves(number));
+        ports.wake(request.deadline, Wake::Expiry(number));
+        if self.draw.chance(self.policy.leave) {
+            ports.wake(now + p.deadline.mul_f64(self.draw.unit()), Wake::Leaves(number));
         }
-        self.txns.push(txn);
+        self.requests.push(request);
         self.edges[edge.0 as usize].firsts += 1.0;
         self.place(now, number, ports);
     }
 
-    fn finish(&mut self, now: Duration, number: TxnNo, end: End, ports: &mut impl Ports) {
-        let txn = &mut self.txns[number.0 as usize];
-        if txn.end.is_none() {
-            txn.end = Some(end);
-            ports.ended(now, number, txn, end);
+    fn finish(&mut self, now: Duration, number: RequestNo, end: End, ports: &mut impl Ports) {
+        let request = &mut self.requests[number.0 as usize];
+        if request.end.is_none() {
+            request.end = Some(end);
+            ports.ended(now, number, request, end);
         }
     }
 
     /// Whether this server may be asked for something new.
     fn willing(&self, edge: &Edge, server: ServerNo, now: Duration) -> bool {
         let Some(known) = edge.known.get(&server) else { return true };
-        !known.sick && (now >= known.away_until || !self.habits.heeds && known.broke.is_none())
+        !known.sick && (now >= known.away_until || !self.policy.heeds && known.broke.is_none())
     }
 
-    fn pick(&mut self, now: Duration, number: TxnNo) -> Option<ServerNo> {
-        let txn = &self.txns[number.0 as usize];
-        if txn.pinned.is_some() {
-            return txn.pinned;
+    fn pick(&mut self, now: Duration, number: RequestNo) -> Option<ServerNo> {
+        let request = &self.requests[number.0 as usize];
+        if request.pinned.is_some() {
+            return request.pinned;
         }
-        let n = txn.edge.0 as usize;
+        let n = request.edge.0 as usize;
         let edge = &self.edges[n];
         let fit = |tried: bool| -> Vec<ServerNo> {
             let all = edge.listed.iter().copied().filter(|s| self.willing(edge, *s, now));
-            all.filter(|s| tried || !txn.tried.contains(s)).collect()
+            all.filter(|s| tried || !request.tried.contains(s)).collect()
         };
         let fresh = fit(false);
         let among = if fresh.is_empty() { fit(true) } else { fresh };
@@ -339,14 +338,14 @@
             return None;
         }
         let open = |s: ServerNo| self.edges[n].known.get(&s).map_or(0, |k| k.open);
-        let picked = match self.habits.choose {
-            Choose::RoundRobin => among[self.edges[n].turn % among.len()],
-            Choose::Least => {
+        let picked = match self.policy.choose {
+            ServerChoice::RoundRobin => among[self.edges[n].turn % among.len()],
+            ServerChoice::Least => {
                 let turn = self.edges[n].turn;
                 let order = (0..among.len()).map(|i| among[(i + turn) % among.len()]);
                 order.min_by_key(|s| open(*s)).unwrap_or(among[0])
             }
-            Choose::TwoChoices => {
+            ServerChoice::TwoChoices => {
                 let (a, b) = (self.draw.below(among.len()), self.draw.below(among.len()));
                 if open(among[a]) <= open(among[b]) {
                     among[a]
@@ -354,7 +353,7 @@
                     among[b]
                 }
             }
-            Choose::Sticky => {
+            ServerChoice::Sticky => {
                 let stays = self.edges[n].stays.filter(|s| among.contains(s));
                 stays.unwrap_or_else(|| among[self.draw.below(among.len())])
             }
@@ -368,23 +367,29 @@
     /// The free value, where it is a share, is the chance that a caller stays with a server.
     fn skip(&mut self, n: usize, picked: ServerNo, among: &[ServerNo]) -> ServerNo {
         let hint = self.edges[n].known.get(&picked).and_then(|k| k.hint);
-        match hint.filter(|_| self.habits.heeds) {
+        match hint.filter(|_| self.policy.heeds) {
             Some(stay) if self.draw.unit() >= stay => among[self.draw.below(among.len())],
             _ => picked,
         }
     }
 
     /// A connection to this server with room for one more call.
-    fn seat(&mut self, now: Duration, n: EdgeNo, server: ServerNo, ports: &mut impl Ports) -> Option<ConnNo> {
+    fn reply_to(
+        &mut self,
+        now: Duration,
+        n: EdgeNo,
+        server: ServerNo,
+        ports: &mut impl Ports,
+    ) -> Option<ConnNo> {
         let known = self.edges[n.0 as usize].known.entry(server).or_default();
         let roomy =
             |c: &&ConnNo| self.conns.get(c).is_some_and(|c| c.open.len() < OPEN && c.closing.is_none());
         let room = known.conns.iter().filter(roomy).min_by_key(|c| self.conns[c].open.len()).copied();
         let idle = room.filter(|c| self.conns[c].open.is_empty());
-        if idle.is_some() || (room.is_some() && known.conns.len() >= self.habits.connections) {
+        if idle.is_some() || (room.is_some() && known.conns.len() >= self.policy.connections) {
             return room;
         }
-        if known.conns.len() >= self.habits.connections.max(1) {
+        if known.conns.len() >= self.policy.connections.max(1) {
             return None;
         }
         let Some(conn) = ports.connect(n, server) else {
@@ -397,99 +402,106 @@
     }
 
     /// Asks for it somewhere, or ends it where there is nobody to ask.
-    fn place(&mut self, now: Duration, number: TxnNo, ports: &mut impl Ports) {
-        let txn = &self.txns[number.0 as usize];
-        if txn.end.is_some() || now >= txn.expiry {
+    fn place(&mut self, now: Duration, number: RequestNo, ports: &mut impl Ports) {
+        let request = &self.requests[number.0 as usize];
+        if request.end.is_some() || now >= request.deadline {
             return;
         }
-        let edge = txn.edge;
+        let edge = request.edge;
         let Some(server) = self.pick(now, number) else {
             return ports.wake(now + PAUSE, Wake::Again(number));
         };
-        let Some(conn) = self.seat(now, edge, server, ports) else {
-            self.txns[number.0 as usize].tried.push(server);
+        let Some(conn) = self.reply_to(now, edge, server, ports) else {
+            self.requests[number.0 as usize].tried.push(server);
             return ports.wake(now + PAUSE, Wake::Again(number));
         };
         self.ask(now, number, conn, ports);
     }
 
-    fn ask(&mut self, now: Duration, number: TxnNo, conn: ConnNo, ports: &mut impl Ports) {
-        let txn = &mut self.txns[number.0 as usize];
-        let p = &self.products[txn.product.0 as usize];
+    fn ask(&mut self, now: Duration, number: RequestNo, conn: ConnNo, ports: &mut impl Ports) {
+        let request = &mut self.requests[number.0 as usize];
+        let p = &self.classes[request.class.0 as usize];
         let c = self.conns.get_mut(&conn).expect("the seat was just found");
         c.next += 1;
-        let (call, server) = (CallNo(c.next), c.server);
-        txn.tries += 1;
-        (txn.seat, txn.sent) = (Some((conn, call)), now);
-        txn.tried.push(server);
-        let whole = txn.expiry - now;
-        let patience = self.habits.patience.filter(|_| p.effect == Effect::Idempotent);
+        let (call, server) = (MessageId(c.next), c.server);
+        request.attempts += 1;
+        (request.reply_to, request.sent) = (Some((conn, call)), now);
+        request.tried.push(server);
+        let whole = request.deadline - now;
+        let patience = self.policy.patience.filter(|_| p.effect == Effect::Idempotent);
         let wait = patience.map_or(whole, |p| p.min(whole));
         // A millisecond is the wire's measure; what is left of one is the server's.
         let budget = (wait.as_millis() as u64).max(1);
-        let id = format!("{:08x}{:08x}", number.0 + 1, txn.tries);
-        let rid = Rid::new(&id).expect("sixteen hex digits");
+        let id = format!("{:08x}{:08x}", number.0 + 1, request.attempts);
+        let attempt = AttemptId::new(&id).expect("sixteen hex digits");
         let body = body(self.seed, number, p.body);
-        let token = txn.token.map(|t| format!("{t:032x}"));
-        let fields = Fields {
-            rid: Some(&id),
+        let token = request.token.map(|t| format!("{t:032x}"));
+        let fields = RequestFields {
+            attempt: Some(&id),
             t0: Some(ports.unix_ms(now)),
-            peer: Some(u64::from(txn.edge.0) + 1),
+            peer: Some(u64::from(request.edge.0) + 1),
             budget: Some(budget),
             mem: Some(p.memory_kb),
-            prio: Some(txn.rank),
+            prio: Some(request.rank),
             token: token.as_deref(),
             obj: None,
         };
         let mut bytes = Vec::with_capacity(256 + body.len());
-        msgpack::ask(&mut bytes, call, &p.name, &fields, &body);
+        msgpack_rpc::write_request(&mut bytes, call, &p.name, &fields, &body);
         c.open.insert(call, (number, now));
-        let expiry = now + Duration::from_millis(budget);
-        let asked = Try {
-            txn: number,
-            rid,
-            edge: txn.edge,
+        let deadline = now + Duration::from_millis(budget);
+        let asked = Attempt {
+            request: number,
+            attempt,
+            edge: request.edge,
             server,
-            life: ports.life(server),
-            seat: (conn, call),
-            product: txn.product,
-            token: txn.token,
+            incarnation: ports.incarnation(server),
+            reply_to: (conn, call),
+            class: request.class,
+            token: request.token,
             body: digest(&body),
             asked: now,
-            expiry,
+            deadline,
         };
         if wait < whole {
-            ports.wake(expiry, Wake::TryEnd(number, txn.tries));
+            ports.wake(deadline, Wake::TryEnd(number, request.attempts));
         }
-        ports.wake(expiry + AFTER, Wake::Owed(conn, call));
-        self.edges[txn.edge.0 as usize].known.entry(server).or_default().open += 1;
+        ports.wake(deadline + AFTER, Wake::Owed(conn, call));
+        self.edges[request.edge.0 as usize].known.entry(server).or_default().open += 1;
         ports.asked(asked);
         ports.send(conn, &bytes);
     }
 
     /// What was asked for there has not come to anything. `ran` says whether it may have run.
-    fn retry(&mut self, now: Duration, number: TxnNo, server: ServerNo, ran: bool, ports: &mut impl Ports) {
-        let txn = &mut self.txns[number.0 as usize];
-        if txn.end.is_some() {
+    fn retry(
+        &mut self,
+        now: Duration,
+        number: RequestNo,
+        server: ServerNo,
+        ran: bool,
+        ports: &mut impl Ports,
+    ) {
+        let request = &mut self.requests[number.0 as usize];
+        if request.end.is_some() {
             return;
         }
-        txn.seat = None;
-        let effect = self.products[txn.product.0 as usize].effect;
-        let edge = &mut self.edges[txn.edge.0 as usize];
-        let broke = edge.known.get(&server).and_then(|k| k.broke).is_some_and(|at| at >= txn.sent);
+        request.reply_to = None;
+        let effect = self.classes[request.class.0 as usize].effect;
+        let edge = &mut self.edges[request.edge.0 as usize];
+        let broke = edge.known.get(&server).and_then(|k| k.broke).is_some_and(|at| at >= request.sent);
         let may = match effect {
             Effect::Idempotent => true,
-            Effect::Keyed => !ran || !broke || self.habits.again,
+            Effect::Keyed => !ran || !broke || self.policy.again,
             Effect::Unsafe => !ran,
         };
-        let budget = edge.again + 1.0 <= (edge.firsts * self.habits.retry_budget).max(10.0);
-        let (last, tries) = (txn.last, txn.tries);
-        if !may || !budget || tries >= self.habits.tries {
+        let budget = edge.again + 1.0 <= (edge.firsts * self.policy.retry_budget).max(10.0);
+        let (last, attempts) = (request.last, request.attempts);
+        if !may || !budget || attempts >= self.policy.attempts {
             return self.finish(now, number, last, ports);
         }
         edge.again += 1.0;
         if ran && effect == Effect::Keyed {
-            txn.pinned = Some(server);
+            request.pinned = Some(server);
             return ports.wake(now + PAUSE, Wake::Again(number));
         }
         self.place(now, number, ports);
@@ -498,15 +510,15 @@
     fn left(
         &mut self,
         conn: ConnNo,
-        call: CallNo,
+        call: MessageId,
         now: Duration,
-    ) -> Option<(TxnNo, Duration, ServerNo, EdgeNo)> {
+    ) -> Option<(RequestNo, Duration, ServerNo, EdgeNo)> {
         let c = self.conns.get_mut(&conn)?;
-        let (txn, sent) = c.open.remove(&call)?;
+        let (request, sent) = c.open.remove(&call)?;
         c.idle_since = now;
         let known = self.edges[c.edge.0 as usize].known.entry(c.server).or_default();
         known.open = known.open.saturating_sub(1);
-        Some((txn, sent, c.server, c.edge))
+        Some((request, sent, c.server, c.edge))
     }
 
     pub fn stood(&mut self, conn: ConnNo) {
@@ -521,7 +533,7 @@
         c.input.extend_from_slice(bytes);
         let (mut ear, mut taken, mut good) = (Ear::default(), 0, true);
         loop {
-            match msgpack::answer(&c.input[taken..], ANSWER, &mut ear) {
+            match msgpack_rpc::read_response(&c.input[taken..], ANSWER, &mut ear) {
                 Ok(Some(n)) => taken += n,
                 Ok(None) => break,
                 Err(_) => {
@@ -540,33 +552,33 @@
     fn said(&mut self, now: Duration, conn: ConnNo, heard: Heard, ports: &mut impl Ports) {
         let Some(server) = self.conns.get(&conn).map(|c| c.server) else { return };
         match heard {
-            Heard::Settled(call, result, with) => {
+            Heard::Completed(call, result, with) => {
                 ports.answered(now, server, (conn, call), Some(&result), false, with.rules);
-                let Some((txn, _, server, edge)) = self.left(conn, call, now) else { return };
+                let Some((request, _, server, edge)) = self.left(conn, call, now) else { return };
                 self.advised(now, edge, server, with);
-                self.txns[txn.0 as usize].poorer |= judge::poorer(&result);
-                let in_time = now <= self.txns[txn.0 as usize].sla;
-                self.finish(now, txn, if in_time { End::InTime } else { End::Late }, ports);
+                self.requests[request.0 as usize].poorer |= invariant_checker::poorer(&result);
+                let in_time = now <= self.requests[request.0 as usize].latency_target;
+                self.finish(now, request, if in_time { End::InTime } else { End::Late }, ports);
             }
-            Heard::Declined(call, with) => {
+            Heard::Rejected(call, with) => {
                 ports.answered(now, server, (conn, call), None, true, with.rules);
-                let Some((txn, _, server, edge)) = self.left(conn, call, now) else { return };
+                let Some((request, _, server, edge)) = self.left(conn, call, now) else { return };
                 self.advised(now, edge, server, with);
-                if self.current(txn, conn, call) {
-                    self.txns[txn.0 as usize].last = End::Declined;
-                    if with.last && self.habits.heeds {
-                        return self.finish(now, txn, End::Declined, ports);
+                if self.current(request, conn, call) {
+                    self.requests[request.0 as usize].last = End::Rejected;
+                    if with.last && self.policy.heeds {
+                        return self.finish(now, request, End::Rejected, ports);
                     }
-                    self.retry(now, txn, server, false, ports);
+                    self.retry(now, request, server, false, ports);
                 }
             }
-            Heard::Voided(call, with) => {
+            Heard::Failed(call, with) => {
                 ports.answered(now, server, (conn, call), None, false, with.rules);
-                let Some((txn, _, server, edge)) = self.left(conn, call, now) else { return };
+                let Some((request, _, server, edge)) = self.left(conn, call, now) else { return };
                 self.advised(now, edge, server, with);
-                if self.current(txn, conn, call) {
-                    self.txns[txn.0 as usize].last = End::Voided;
-                    self.retry(now, txn, server, true, ports);
+                if self.current(request, conn, call) {
+                    self.requests[request.0 as usize].last = End::Failed;
+                    self.retry(now, request, server, true, ports);
                 }
             }
             Heard::Checked(call, good) => self.checked(conn, call, good),
@@ -590,19 +602,19 @@
         }
     }
 
-    fn current(&self, txn: TxnNo, conn: ConnNo, call: CallNo) -> bool {
-        self.txns[txn.0 as usize].seat == Some((conn, call))
+    fn current(&self, request: RequestNo, conn: ConnNo, call: MessageId) -> bool {
+        self.requests[request.0 as usize].reply_to == Some((conn, call))
     }
 
-    fn advised(&mut self, now: Duration, edge: EdgeNo, server: ServerNo, with: With) {
+    fn advised(&mut self, now: Duration, edge: EdgeNo, server: ServerNo, with: ReceivedFields) {
         let known = self.edges[edge.0 as usize].known.entry(server).or_default();
         (known.hint, known.broke) = (with.hint.or(known.hint), None);
-        if let Some(span) = with.back_in {
+        if let Some(span) = with.retry_after {
             known.away_until = known.away_until.max(now + span);
         }
     }
 
-    fn checked(&mut self, conn: ConnNo, call: CallNo, good: bool) {
+    fn checked(&mut self, conn: ConnNo, call: MessageId, good: bool) {
         let Some(c) = self.conns.get(&conn).filter(|c| c.check) else { return };
         let known = self.edges[c.edge.0 as usize].known.entry(c.server).or_default();
         if known.check == Some((conn, call.0)) {
@@ -640,12 +652,12 @@
             known.broke = Some(now);
             known.away_until = known.away_until.max(now + AWAY);
         }
-        for (call, (txn, sent)) in c.open {
+        for (call, (request, sent)) in c.open {
             let crossed = c.closing.is_some_and(|at| sent + CROSSING >= at);
             ports.broken_off(now, (conn, call), ours || !c.stands || crossed);
-            if self.current(txn, conn, call) {
-                self.txns[txn.0 as usize].last = End::Voided;
-                self.retry(now, txn, c.server, c.stands && !crossed, ports);
+            if self.current(request, conn, call) {
+                self.requests[request.0 as usize].last = End::Failed;
+                self.retry(now, request, c.server, c.stands && !crossed, ports);
             }
         }
     }
@@ -656,10 +668,10 @@
         for conn in own {
             ports.close(conn);
             let Some(c) = self.forget(conn) else { continue };
-            for (call, (txn, _)) in c.open {
+            for (call, (request, _)) in c.open {
                 ports.taken_back((conn, call));
-                if self.current(txn, conn, call) {
-                    self.finish(now, txn, End::Gone, ports);
+                if self.current(request, conn, call) {
+                    self.finish(now, request, End::Gone, ports);
                 }
             }
         }
@@ -668,25 +680,25 @@
 
     pub fn woken(&mut self, now: Duration, what: Wake, ports: &mut impl Ports) {
         match what {
-            Wake::Expiry(txn) => self.finish(now, txn, End::Expired, ports),
-            Wake::TryEnd(txn, tried) => {
-                let t = &self.txns[txn.0 as usize];
-                if let Some((conn, _)) = t.seat.filter(|_| t.tries == tried && t.end.is_none()) {
+            Wake::Expiry(request) => self.finish(now, request, End::Expired, ports),
+            Wake::TryEnd(request, tried) => {
+                let t = &self.requests[request.0 as usize];
+                if let Some((conn, _)) = t.reply_to.filter(|_| t.attempts == tried && t.end.is_none()) {
                     let server = self.conns.get(&conn).map(|c| c.server);
-                    self.txns[txn.0 as usize].last = End::Expired;
+                    self.requests[request.0 as usize].last = End::Expired;
                     if let Some(server) = server {
-                        self.retry(now, txn, server, true, ports);
+                        self.retry(now, request, server, true, ports);
                     }
                 }
             }
-            Wake::Leaves(txn) => {
-                let t = &self.txns[txn.0 as usize];
-                if let Some((conn, call)) = t.seat.filter(|_| t.end.is_none()) {
+            Wake::Leaves(request) => {
+                let t = &self.requests[request.0 as usize];
+                if let Some((conn, call)) = t.reply_to.filter(|_| t.end.is_none()) {
                     self.take_back(now, conn, call, ports);
                 }
-                self.finish(now, txn, End::Gone, ports);
+                self.finish(now, request, End::Gone, ports);
             }
-            Wake::Again(txn) => self.place(now, txn, ports),
+            Wake::Again(request) => self.place(now, request, ports),
             Wake::Owed(conn, call) => {
                 if self.conns.get(&conn).is_some_and(|c| c.open.contains_key(&call)) {
                     if ports.overdue(now, (conn, call)) {
@@ -707,10 +719,10 @@
         }
     }
 
-    fn take_back(&mut self, now: Duration, conn: ConnNo, call: CallNo, ports: &mut impl Ports) {
+    fn take_back(&mut self, now: Duration, conn: ConnNo, call: MessageId, ports: &mut impl Ports) {
         if self.left(conn, call, now).is_some() {
             let mut bytes = Vec::new();
-            msgpack::interrupt(&mut bytes, call);
+            msgpack_rpc::write_cancel(&mut bytes, call);
             ports.taken_back((conn, call));
             ports.send(conn, &bytes);
         }
@@ -724,7 +736,7 @@
         for conn in gone {
             let Some(c) = self.conns.get(&conn) else { continue };
             let unlisted = !self.edges[n.0 as usize].listed.contains(&c.server);
-            let idle = now.saturating_sub(c.idle_since) >= self.habits.idle;
+            let idle = now.saturating_sub(c.idle_since) >= self.policy.idle;
             if c.open.is_empty() && c.stands && (idle || unlisted) {
                 self.drop_conn(conn, ports);
             }
@@ -735,7 +747,7 @@
 
     /// Asks each listed server whether it is well, on a connection of its own.
     fn check(&mut self, now: Duration, n: EdgeNo, ports: &mut impl Ports) {
-        let Some(every) = self.habits.checks else { return };
+        let Some(every) = self.policy.checks else { return };
         for server in self.edges[n.0 as usize].listed.clone() {
             let known = self.edges[n.0 as usize].known.entry(server).or_default();
             let conn = match known.check {
@@ -755,7 +767,7 @@
             let number = c.next;
             known.check = Some((conn, number));
             let mut bytes = Vec::new();
-            msgpack::ask_health(&mut bytes, CallNo(number));
+            msgpack_rpc::write_health_check(&mut bytes, MessageId(number));
             ports.send(conn, &bytes);
             ports.wake(now + CHECK, Wake::Checked(n, server, number));
         }
@@ -764,6 +776,6 @@
 
     /// Txns that are not over.
     pub fn open(&self) -> usize {
-        self.txns.iter().filter(|t| t.end.is_none()).count()
+        self.requests.iter().filter(|t| t.end.is_none()).count()
     }
 }
--- a/crates/aldercrank-fleet/src/hunt.rs
+++ b/crates/aldercrank-test-cluster/src/fault_search.rs
@@ -1,8 +1,8 @@
 //! Looks for the worst day: draws timelines of faults, plays each against the same seed without them, and shrinks
 //! what breaks a rule, or loses the most, to the fewest steps that still do.
 
-use crate::book::Outcome;
-use crate::draw::Draw;
+use crate::random::RandomStream;
+use crate::run_record::Outcome;
 use crate::scenario::Scenario;
 use std::io;
 use std::time::{Duration, Instant};
@@ -50,7 +50,7 @@
 }
 
 /// One step drawn, as a line of a scenario.
-fn step(draw: &mut Draw, game: Game) -> String {
+fn step(draw: &mut RandomStream, game: Game) -> String {
     let at = 0.5 + (draw.unit() * 30.0).round() / 10.0;
     if game == Game::Rules && draw.chance(0.7) {
         let later = (draw.unit() * 20.0).round() / 10.0;
@@ -96,7 +96,7 @@
 }
 
 /// One step about servers that agree.
-fn step_of_rules(draw: &mut Draw, at: f64) -> String {
+fn step_of_rules(draw: &mut RandomStream, at: f64) -> String {
     let lasts = 0.2 + (draw.unit() * 22.0).round() / 10.0;
     let who = ["server=\"n1\"", "server=\"n2\"", "server=\"n3\"", "server=\"n6\"", "share=0.3", "zone=\"b\""];
     let who = who[draw.below(6)];
@@ -131,7 +131,7 @@
 
 type Player<'a> = dyn FnMut(&Scenario) -> io::Result<Outcome> + 'a;
 
-fn judge(
+fn checker(
     (seed, game): (u64, Game),
     steps: &[String],
     calm: &Outcome,
@@ -157,7 +157,7 @@
     while at < steps.len() && steps.len() > 1 {
         let mut fewer = steps.clone();
         fewer.remove(at);
-        let less = judge(seed, &fewer, calm, play)?;
+        let less = checker(seed, &fewer, calm, play)?;
         let as_bad = if found.broken > 0 { less.broken > 0 } else { less.of_calm <= found.of_calm + NEAR };
         if as_bad {
             (steps, found) = (fewer, less);
@@ -186,13 +186,13 @@
     while Instant::now() < until {
         days += 1;
         let own = seed.wrapping_mul(1000).wrapping_add(u64::from(days));
-        let mut draw = Draw::of(own, "hunt");
+        let mut draw = RandomStream::of(own, "hunt");
         let many = 1 + draw.below(STEPS);
         let steps: Vec<String> = (0..many).map(|_| step(&mut draw, game)).collect();
         let calm =
             Scenario::parse(&text(own, &[], game)).map_err(|wrong| io::Error::other(wrong.to_string()))?;
         let calm = play(&calm)?;
-        let found = judge((own, game), &steps, &calm, play)?;
+        let found = checker((own, game), &steps, &calm, play)?;
         say(&format!(
             "seed {own}: {many} steps, value {:.3} of calm, {} rules broken{}",
             found.of_calm,
--- a/crates/aldercrank-fleet/src/ids.rs
+++ b/crates/aldercrank-test-cluster/src/ids.rs
@@ -13,15 +13,15 @@
 
 /// A caller's txn, whatever the number of its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct TxnNo(pub u32);
+pub struct RequestNo(pub u32);
 
 /// A product, by its place in the scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct ProductNo(pub u8);
+pub struct ClassNo(pub u8);
 
 /// Counts the starts of one server: what one life knows, the next does not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct Life(pub u32);
+pub struct Incarnation(pub u32);
 
 /// A connection between the rig and a process, never given out twice in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -49,25 +49,31 @@
 
 /// What a server speaks with, at the far end of a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub enum Far {
+pub enum RemoteEndpoint {
     Pool,
     Index,
-    List,
-    Edges,
+    MembershipStub,
+    EdgeNodes,
     /// Other servers, which it asks and is asked by about the rule book.
     Peers,
 }
 
-impl Far {
-    pub const ALL: [Far; 5] = [Far::Pool, Far::Index, Far::List, Far::Edges, Far::Peers];
+impl RemoteEndpoint {
+    pub const ALL: [RemoteEndpoint; 5] = [
+        RemoteEndpoint::Pool,
+        RemoteEndpoint::Index,
+        RemoteEndpoint::MembershipStub,
+        RemoteEndpoint::EdgeNodes,
+        RemoteEndpoint::Peers,
+    ];
 
     pub fn word(self) -> &'static str {
         match self {
-            Far::Pool => "pool",
-            Far::Index => "index",
-            Far::List => "list",
-            Far::Edges => "edges",
-            Far::Peers => "peers",
+            RemoteEndpoint::Pool => "pool",
+            RemoteEndpoint::Index => "index",
+            RemoteEndpoint::MembershipStub => "list",
+            RemoteEndpoint::EdgeNodes => "edges",
+            RemoteEndpoint::Peers => "peers",
         }
     }
 }
--- a/crates/aldercrank-fleet/src/props.rs
+++ b/crates/aldercrank-test-cluster/src/kdl_properties.rs
@@ -1,19 +1,19 @@
 //! The values of one KDL node, `node "text" name=value`, read with bounds; all that is wrong is a fault at its
 //! place, and what is not asked for is not known.
 
-use aldercrank_service::{kind, Reader};
+use aldercrank_service_config::{kind, Reader};
 use kdl::{KdlNode, KdlValue};
 
-pub struct Props<'a, 'r, 't> {
+pub struct NodeProperties<'a, 'r, 't> {
     reader: &'r mut Reader<'t>,
     node: &'a KdlNode,
     asked: Vec<&'static str>,
     words: usize,
 }
 
-impl<'a, 'r, 't> Props<'a, 'r, 't> {
-    pub fn of(reader: &'r mut Reader<'t>, node: &'a KdlNode) -> Props<'a, 'r, 't> {
-        Props { reader, node, asked: Vec::new(), words: 0 }
+impl<'a, 'r, 't> NodeProperties<'a, 'r, 't> {
+    pub fn of(reader: &'r mut Reader<'t>, node: &'a KdlNode) -> NodeProperties<'a, 'r, 't> {
+        NodeProperties { reader, node, asked: Vec::new(), words: 0 }
     }
 
     fn at(&self) -> usize {
--- a/crates/aldercrank-fleet/src/list.rs
+++ b/crates/aldercrank-test-cluster/src/membership_stub.rs
@@ -2,7 +2,7 @@
 //! and edge nodes see what it says a while late. It has a stated capacity, beyond which it queues and refuses.
 
 use crate::ids::{ConnNo, ServerNo};
-use aldercrank_wire::members::LAPSE;
+use aldercrank_protocol::membership::ENTRY_TTL;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     up: bool,
 }
 
-pub struct List {
+pub struct MembershipStub {
     /// Reports a second.
     capacity: f64,
     pub state: State,
@@ -56,9 +56,9 @@
     waiting: BTreeMap<(Duration, ConnNo), ()>,
 }
 
-impl List {
-    pub fn new(capacity: f64) -> List {
-        List {
+impl MembershipStub {
+    pub fn new(capacity: f64) -> MembershipStub {
+        MembershipStub {
             capacity: capacity.max(0.1),
             state: State::Up,
             said: BTreeMap::new(),
@@ -138,7 +138,7 @@
     pub fn listed(&self, server: ServerNo, at: Duration) -> bool {
         let said = self.said.get(&server);
         let last = said.and_then(|s| s.iter().rev().find(|s| s.at <= at));
-        last.is_some_and(|s| s.up && at.saturating_sub(s.at) < LAPSE + self.down_in(s.at, at))
+        last.is_some_and(|s| s.up && at.saturating_sub(s.at) < ENTRY_TTL + self.down_in(s.at, at))
     }
 
     /// The most connections in any tenth of a second, and in any second, within this span.
--- a/crates/aldercrank-fleet/src/draw.rs
+++ b/crates/aldercrank-test-cluster/src/random.rs
@@ -7,7 +7,7 @@
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64;
 
-pub struct Draw(Pcg64);
+pub struct RandomStream(Pcg64);
 
 /// FNV-1a: the same bytes give the same number everywhere. A purpose's name draws by it, and the checker knows a
 /// body again.
@@ -15,9 +15,9 @@
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |sum, b| (sum ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-impl Draw {
-    pub fn of(seed: u64, purpose: &str) -> Draw {
-        Draw(Pcg64::seed_from_u64(seed ^ digest(purpose.as_bytes())))
+impl RandomStream {
+    pub fn of(seed: u64, purpose: &str) -> RandomStream {
+        RandomStream(Pcg64::seed_from_u64(seed ^ digest(purpose.as_bytes())))
     }
 
     /// From 0 up to 1.
--- a/crates/aldercrank-fleet/src/lane.rs
+++ b/crates/aldercrank-test-cluster/src/relayed_link.rs
@@ -1,7 +1,7 @@
 //! One way of a connection between two processes, and what is done to it. No I/O, no clock: bytes go in with
 //! their time and come out when they may, in their order, as a stream's do.
 
-use crate::draw::Draw;
+use crate::random::RandomStream;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 /// What is done to what passes. The default does nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Spoil {
+pub struct Corruption {
     pub delay: Duration,
     /// How much longer some pieces take, as a share of the delay.
     pub jitter: f64,
@@ -30,9 +30,9 @@
     pub unread: bool,
 }
 
-impl Spoil {
+impl Corruption {
     pub fn none(&self) -> bool {
-        *self == Spoil::default()
+        *self == Corruption::default()
     }
 }
 
@@ -41,7 +41,7 @@
 pub struct Reset;
 
 #[derive(Default)]
-pub struct Lane {
+pub struct RelayedLink {
     held: VecDeque<(Duration, Vec<u8>)>,
     size: usize,
     /// Bytes that have passed while something was done to them.
@@ -51,7 +51,7 @@
     last: Duration,
 }
 
-impl Lane {
+impl RelayedLink {
     /// Whether the near end is to be left unread for now.
     pub fn full(&self) -> bool {
         self.size >= MOST
@@ -62,23 +62,29 @@
     }
 
     /// Whether bytes pass as they come: nothing is done, nothing is held.
-    pub fn clear(&self, spoil: &Spoil) -> bool {
-        self.held.is_empty() && !self.silent && spoil.none()
+    pub fn clear(&self, corruption: &Corruption) -> bool {
+        self.held.is_empty() && !self.silent && corruption.none()
     }
 
     /// Something is said at the near end.
-    pub fn enter(&mut self, now: Duration, mut bytes: Vec<u8>, spoil: &Spoil, draw: &mut Draw) {
+    pub fn enter(
+        &mut self,
+        now: Duration,
+        mut bytes: Vec<u8>,
+        corruption: &Corruption,
+        draw: &mut RandomStream,
+    ) {
         if self.silent || bytes.is_empty() {
             return;
         }
-        if spoil.garble > 0.0 && draw.chance(spoil.garble) {
+        if corruption.garble > 0.0 && draw.chance(corruption.garble) {
             let at = draw.below(bytes.len());
             bytes[at] ^= 1 << draw.below(8);
         }
-        let late = spoil.delay.mul_f64(1.0 + spoil.jitter * draw.unit());
+        let late = corruption.delay.mul_f64(1.0 + corruption.jitter * draw.unit());
         self.last = self.last.max(now + late);
         self.size += bytes.len();
-        match spoil.trickle {
+        match corruption.trickle {
             Some(rate) => self.trickle(bytes, rate.max(1)),
             None => self.held.push_back((self.last, bytes)),
         }
@@ -93,20 +99,20 @@
     }
 
     /// When the next piece may come out, where it is not held for as long as something lasts.
-    pub fn next(&self, spoil: &Spoil) -> Option<Duration> {
-        self.held.front().filter(|_| !spoil.dead && !self.silent).map(|(at, _)| *at)
+    pub fn next(&self, corruption: &Corruption) -> Option<Duration> {
+        self.held.front().filter(|_| !corruption.dead && !self.silent).map(|(at, _)| *at)
     }
 
     /// What may come out by now.
-    pub fn leave(&mut self, now: Duration, spoil: &Spoil, out: &mut Vec<u8>) -> Result<(), Reset> {
-        while let Some(at) = self.next(spoil) {
+    pub fn leave(&mut self, now: Duration, corruption: &Corruption, out: &mut Vec<u8>) -> Result<(), Reset> {
+        while let Some(at) = self.next(corruption) {
             if at > now {
                 break;
             }
             let Some((_, mut bytes)) = self.held.pop_front() else { break };
             self.size -= bytes.len();
-            if !spoil.none() {
-                self.cut(&mut bytes, spoil, out)?;
+            if !corruption.none() {
+                self.cut(&mut bytes, corruption, out)?;
             }
             out.append(&mut bytes);
         }
@@ -114,16 +120,16 @@
     }
 
     /// Counts what passes and ends it where it is to end: by a reset, or by silence for good.
-    fn cut(&mut self, bytes: &mut Vec<u8>, spoil: &Spoil, out: &mut Vec<u8>) -> Result<(), Reset> {
+    fn cut(&mut self, bytes: &mut Vec<u8>, corruption: &Corruption, out: &mut Vec<u8>) -> Result<(), Reset> {
         let before = self.spoiled;
         self.spoiled += bytes.len() as u64;
-        if let Some(most) = spoil.silent_after.filter(|most| self.spoiled >= *most) {
+        if let Some(most) = corruption.silent_after.filter(|most| self.spoiled >= *most) {
             bytes.truncate(most.saturating_sub(before) as usize);
             self.silent = true;
             self.held.clear();
             self.size = 0;
         }
-        if let Some(most) = spoil.reset_after.filter(|most| self.spoiled >= *most) {
+        if let Some(most) = corruption.reset_after.filter(|most| self.spoiled >= *most) {
             bytes.truncate(most.saturating_sub(before) as usize);
             out.append(bytes);
             return Err(Reset);
--- a/crates/aldercrank-fleet/src/report.rs
+++ b/crates/aldercrank-test-cluster/src/report.rs
@@ -1,6 +1,6 @@
 //! A run as one self-contained page: figures, and plots over time with the faults as bands.
 
-use crate::book::{Outcome, Second};
+use crate::run_record::{Outcome, Second};
 use minijinja::{context, Environment};
 use plotters::prelude::*;
 
@@ -98,8 +98,8 @@
 }
 
 fn plots(o: &Outcome) -> Result<Vec<(String, String, String)>, String> {
-    let by_product: Vec<Series> = o
-        .products
+    let by_class: Vec<Series> = o
+        .classes
         .iter()
         .enumerate()
         .map(|(n, (name, _))| -> Series {
@@ -107,16 +107,16 @@
             (name.clone(), Box::new(of))
         })
         .collect();
-    use crate::edges::End::*;
-    let ended = |name: &str, kinds: &'static [crate::edges::End]| -> Series<'static> {
+    use crate::edge_nodes::End::*;
+    let ended = |name: &str, kinds: &'static [crate::edge_nodes::End]| -> Series<'static> {
         let of = |s: &Second| kinds.iter().map(|k| s.ends.get(k).copied().unwrap_or(0) as f64).sum();
         (name.to_string(), Box::new(of))
     };
     let ends = vec![
         ended("settled in time", &[InTime]),
         ended("settled late", &[Late]),
-        ended("declined", &[Declined]),
-        ended("voided or no answer", &[Voided, Expired]),
+        ended("declined", &[Rejected]),
+        ended("voided or no answer", &[Failed, Expired]),
     ];
     let of = |name: &str, of: fn(&Second) -> f64| -> Series<'static> { (name.to_string(), Box::new(of)) };
     let list = vec![of("reports", |s| s.reports as f64), of("of them refused", |s| s.refused_reports as f64)];
@@ -128,7 +128,7 @@
         (
             text("Value by product", "Value got of value sought, 1 is all. Bands: a fault lasts."),
             "share",
-            &by_product,
+            &by_class,
         ),
         (text("How txns ended", "By the second in which their callers came."), "txns a second", &ends),
         (text("Load on the list service", "Reports that came whole."), "reports a second", &list),
@@ -144,13 +144,13 @@
         [name.to_string(), of(o), calm.map(of).unwrap_or_default()]
     };
     let mut rows = vec![row("value got of value sought", &|o| format!("{:.3}", o.value))];
-    for (n, (name, _)) in o.products.iter().enumerate() {
-        rows.push(row(name, &|o| format!("{:.3}", o.products[n].1)));
+    for (n, (name, _)) in o.classes.iter().enumerate() {
+        rows.push(row(name, &|o| format!("{:.3}", o.classes[n].1)));
     }
     rows.extend([
         row("settled, median, ms", &|o| format!("{:.1}", o.p50_ms)),
         row("settled, 99th percentile, ms", &|o| format!("{:.1}", o.p99_ms)),
-        row("tries", &|o| o.counts.tries.to_string()),
+        row("tries", &|o| o.counts.attempts.to_string()),
         row("runs", &|o| o.counts.runs.to_string()),
         row("runs of one txn in several lives", &|o| o.counts.across.to_string()),
         row("most calls in hand at the index", &|o| o.index_most.to_string()),
--- a/crates/aldercrank-fleet/src/book.rs
+++ b/crates/aldercrank-test-cluster/src/run_record.rs
@@ -1,9 +1,9 @@
 //! What a run came to: by product and second, in figures that can be shown, compared and kept.
 
-use crate::edges::{End, Product, Txn};
-use crate::fence::Figures;
-use crate::ids::{ServerNo, TxnNo};
-use crate::judge::{Broken, Counts, Effect};
+use crate::edge_nodes::{End, Request, RequestClass};
+use crate::ids::{RequestNo, ServerNo};
+use crate::invariant_checker::{Counts, Effect, Violation};
+use crate::version_checker::Figures;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
     pub sought: Vec<f64>,
     pub got: Vec<f64>,
     pub ends: BTreeMap<End, u64>,
-    pub tries: u64,
+    pub attempts: u64,
     /// Servers that run, stand listed, and whose pool is linked.
     pub up: usize,
     pub listed: usize,
@@ -38,13 +38,13 @@
 pub struct Line {
     /// Microseconds since the callers began; before that it is negative.
     pub us: i64,
-    pub txn: Option<u32>,
+    pub request: Option<u32>,
     pub server: Option<u16>,
     pub what: String,
 }
 
-pub struct Book {
-    products: Vec<Product>,
+pub struct RunRecord {
+    classes: Vec<RequestClass>,
     pub begun: Option<Duration>,
     pub seconds: Vec<Second>,
     pub ends: BTreeMap<End, u64>,
@@ -54,10 +54,10 @@
     pub trace: Option<Vec<Line>>,
 }
 
-impl Book {
-    pub fn new(products: Vec<Product>, trace: bool) -> Book {
-        Book {
-            products,
+impl RunRecord {
+    pub fn new(classes: Vec<RequestClass>, trace: bool) -> RunRecord {
+        RunRecord {
+            classes,
             begun: None,
             seconds: Vec::new(),
             ends: BTreeMap::new(),
@@ -74,56 +74,56 @@
 
     pub fn second(&mut self, now: Duration) -> &mut Second {
         let n = self.since(now).as_secs() as usize;
-        let products = self.products.len();
+        let classes = self.classes.len();
         while self.seconds.len() <= n {
-            let (sought, got) = (vec![0.0; products], vec![0.0; products]);
+            let (sought, got) = (vec![0.0; classes], vec![0.0; classes]);
             self.seconds.push(Second { sought, got, ..Second::default() });
         }
         &mut self.seconds[n]
     }
 
-    pub fn came(&mut self, now: Duration, product: usize) {
-        let value = self.products[product].value;
-        self.second(now).sought[product] += value;
+    pub fn came(&mut self, now: Duration, class: usize) {
+        let value = self.classes[class].value;
+        self.second(now).sought[class] += value;
     }
 
-    pub fn ended(&mut self, now: Duration, txn: &Txn, end: End) {
-        let product = txn.product.0 as usize;
-        let p = &self.products[product];
+    pub fn ended(&mut self, now: Duration, request: &Request, end: End) {
+        let class = request.class.0 as usize;
+        let p = &self.classes[class];
         let got = match end {
             End::InTime => p.value,
             End::Late => p.value * p.late,
             _ => 0.0,
         };
-        let got = if txn.poorer { got * p.without } else { got };
-        self.poorer += u64::from(txn.poorer);
+        let got = if request.poorer { got * p.without } else { got };
+        self.poorer += u64::from(request.poorer);
         if matches!(end, End::InTime | End::Late) {
             // It widens as it must, up to times beyond any that could be.
-            let _ = self.times.record((now - txn.born).as_micros() as u64);
+            let _ = self.times.record((now - request.born).as_micros() as u64);
         }
         *self.ends.entry(end).or_default() += 1;
-        let second = self.second(txn.born);
-        second.got[product] += got;
+        let second = self.second(request.born);
+        second.got[class] += got;
         *second.ends.entry(end).or_default() += 1;
     }
 
     pub fn note(
         &mut self,
         now: Duration,
-        txn: Option<TxnNo>,
+        request: Option<RequestNo>,
         server: Option<ServerNo>,
         what: impl FnOnce() -> String,
     ) {
         let begun = self.begun.unwrap_or_default();
         let Some(trace) = self.trace.as_mut().filter(|t| t.len() < LINES) else { return };
         let us = now.as_micros() as i64 - begun.as_micros() as i64;
-        trace.push(Line { us, txn: txn.map(|t| t.0), server: server.map(|s| s.0), what: what() });
+        trace.push(Line { us, request: request.map(|t| t.0), server: server.map(|s| s.0), what: what() });
     }
 
-    fn sum(&self, which: impl Fn(&Product) -> bool) -> (f64, f64) {
+    fn sum(&self, which: impl Fn(&RequestClass) -> bool) -> (f64, f64) {
         let (mut sought, mut got) = (0.0, 0.0);
         for second in &self.seconds {
-            for (n, p) in self.products.iter().enumerate().filter(|(_, p)| which(p)) {
+            for (n, p) in self.classes.iter().enumerate().filter(|(_, p)| which(p)) {
                 let _ = p;
                 sought += second.sought[n];
                 got += second.got[n];
@@ -132,7 +132,7 @@
         (sought, got)
     }
 
-    fn share(&self, which: impl Fn(&Product) -> bool) -> f64 {
+    fn share(&self, which: impl Fn(&RequestClass) -> bool) -> f64 {
         let (sought, got) = self.sum(which);
         if sought > 0.0 {
             got / sought
@@ -164,9 +164,9 @@
         self.share(|p| p.effect == Effect::Idempotent)
     }
 
-    pub fn by_product(&self) -> Vec<(String, f64)> {
-        let one = |p: &Product| (p.name.clone(), self.share(|other| other.name == p.name));
-        self.products.iter().map(one).collect()
+    pub fn by_class(&self) -> Vec<(String, f64)> {
+        let one = |p: &RequestClass| (p.name.clone(), self.share(|other| other.name == p.name));
+        self.classes.iter().map(one).collect()
     }
 
     pub fn quantile(&self, q: f64) -> f64 {
@@ -203,13 +203,13 @@
     /// Got over sought, of all, of inquiry-like products, and by product.
     pub value: f64,
     pub inquiry: f64,
-    pub products: Vec<(String, f64)>,
+    pub classes: Vec<(String, f64)>,
     pub ends: BTreeMap<End, u64>,
     pub poorer: u64,
     pub p50_ms: f64,
     pub p99_ms: f64,
     pub counts: Counts,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// What was looked at and is over its limit stands among the broken.
     pub list: ListLoad,
     pub index_most: usize,
--- a/crates/aldercrank-fleet/src/scenario.rs
+++ b/crates/aldercrank-test-cluster/src/scenario.rs
@@ -1,14 +1,14 @@
 //! A scenario: the fleet, its products, callers and habits, what goes wrong when, and the bounds that must hold.
 //! Read from a KDL document, whole or not at all; one may include another and say what differs.
 
-use crate::edges::{Choose, Habits};
-use crate::ids::{Far, ServerNo};
-use crate::index;
-use crate::judge::Effect;
-use crate::lane::Spoil;
-use crate::props::Props;
-use crate::{draw::Draw, list};
-use aldercrank_service::Reader;
+use crate::edge_nodes::{CallerPolicy, ServerChoice};
+use crate::ids::{RemoteEndpoint, ServerNo};
+use crate::index_stub;
+use crate::invariant_checker::Effect;
+use crate::kdl_properties::NodeProperties;
+use crate::relayed_link::Corruption;
+use crate::{membership_stub, random::RandomStream};
+use aldercrank_service_config::Reader;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Product {
+pub struct RequestClass {
     pub name: String,
     pub effect: Effect,
     pub share: f64,
@@ -46,8 +46,8 @@
     /// The share of runs that make a call, and what an answer without it is worth.
     pub calls: f64,
     pub without: f64,
-    pub sla: Duration,
-    pub expiry: Duration,
+    pub latency_target: Duration,
+    pub deadline: Duration,
     pub window: Duration,
     pub memory_kb: f64,
     pub body: usize,
@@ -62,7 +62,7 @@
     pub alone: Duration,
     /// Whether servers have a directory for what they must not forget.
     pub disks: bool,
-    /// What the first version has beside the products' effects and windows: `PRODUCT.ITEM=VALUE`, `shares.ZONE=N`.
+    /// What the first version has beside the products' effects and windows: `CLASS.ITEM=VALUE`, `shares.ZONE=N`.
     pub set: String,
 }
 
@@ -91,7 +91,7 @@
     /// First tries a second, in all.
     pub rate: f64,
     pub edges: usize,
-    pub habits: Habits,
+    pub policy: CallerPolicy,
     /// How late edge nodes see the list, and how often they look.
     pub lag: Duration,
     pub learn: Duration,
@@ -131,13 +131,13 @@
     /// Each link to the pool is reset once so often.
     PoolResets(Duration),
     /// What the pair says is spoiled: to the server, from it.
-    Pair(Far, Option<Spoil>, Option<Spoil>),
+    Pair(RemoteEndpoint, Option<Corruption>, Option<Corruption>),
     /// The pair's connections are refused.
-    Refuse(Far),
-    Index(index::State),
+    Refuse(RemoteEndpoint),
+    Index(index_stub::State),
     /// The index's caches are empty.
     IndexCold,
-    List(list::State),
+    MembershipStub(membership_stub::State),
     /// It has started again and knows nobody.
     ListForgets,
     ListCapacity(f64),
@@ -166,7 +166,7 @@
             self,
             Index(_)
                 | IndexCold
-                | List(_)
+                | MembershipStub(_)
                 | ListForgets
                 | ListCapacity(_)
                 | ListOld(_)
@@ -222,7 +222,7 @@
 
 /// What is broken on purpose, to show that the checker names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
+pub enum InjectedViolation {
     LoseAnswer,
     DoubleRun,
     LateStart,
@@ -272,18 +272,18 @@
     pub seed: u64,
     pub span: Duration,
     pub fleet: Fleet,
-    pub products: Vec<Product>,
+    pub classes: Vec<RequestClass>,
     pub callers: Callers,
-    pub index: index::Terms,
+    pub index: index_stub::Terms,
     pub list_capacity: f64,
     pub rules: Option<RuleBook>,
     /// How servers start, by their service file.
-    pub start: aldercrank_service::Start,
+    pub start: aldercrank_service_config::Start,
     /// Callers and timeline begin with the first start, not once all are listed.
     pub from_start: bool,
     pub timeline: Vec<Step>,
     pub bounds: Bounds,
-    pub sabotage: Option<Sabotage>,
+    pub sabotage: Option<InjectedViolation>,
 }
 
 fn ms(n: f64) -> Duration {
@@ -315,8 +315,8 @@
                 memory_mb: 192.0,
                 sockets: 1024,
             },
-            products: vec![
-                Product {
+            classes: vec![
+                RequestClass {
                     name: "map-extract".to_string(),
                     effect: Effect::Idempotent,
                     share: 0.7,
@@ -325,13 +325,13 @@
                     work: ms(20.0),
                     calls: 0.5,
                     without: 0.6,
-                    sla: ms(600.0),
-                    expiry: ms(1800.0),
+                    latency_target: ms(600.0),
+                    deadline: ms(1800.0),
                     window: secs(5.0),
                     memory_kb: 20.0,
                     body: 200,
                 },
-                Product {
+                RequestClass {
                     name: "licence-buy".to_string(),
                     effect: Effect::Keyed,
                     share: 0.3,
@@ -340,8 +340,8 @@
                     work: ms(30.0),
                     calls: 1.0,
                     without: 0.0,
-                    sla: ms(800.0),
-                    expiry: ms(2000.0),
+                    latency_target: ms(800.0),
+                    deadline: ms(2000.0),
                     window: secs(6.0),
                     memory_kb: 20.0,
                     body: 300,
@@ -350,9 +350,9 @@
             callers: Callers {
                 rate: 200.0,
                 edges: 4,
-                habits: Habits {
-                    choose: Choose::Least,
-                    tries: 4,
+                policy: CallerPolicy {
+                    choose: ServerChoice::Least,
+                    attempts: 4,
                     patience: Some(ms(600.0)),
                     heeds: true,
                     retry_budget: 0.5,
@@ -365,10 +365,10 @@
                 lag: secs(1.0),
                 learn: ms(500.0),
             },
-            index: index::Terms { slots: 64.0, limit: 128.0, take: ms(10.0), cold: 4.0, warming: 400 },
+            index: index_stub::Terms { slots: 64.0, limit: 128.0, take: ms(10.0), cold: 4.0, warming: 400 },
             list_capacity: 400.0,
             rules: None,
-            start: aldercrank_service::Start::default(),
+            start: aldercrank_service_config::Start::default(),
             from_start: false,
             timeline: Vec::new(),
             bounds: Bounds::default(),
--- a/crates/aldercrank-fleet/src/floor.rs
+++ b/crates/aldercrank-test-cluster/src/testbed.rs
@@ -1,17 +1,17 @@
 //! What stands between the processes and their stand-ins: sockets, lanes and what is done to them, timers, the
 //! list that edge nodes read, the checker and the book. The rig acts on it; it decides nothing.
 
-use crate::book::Book;
-use crate::draw::Draw;
-use crate::edges::Wake;
-use crate::fence::Act;
-use crate::ids::{ConnNo, EdgeNo, Far, Life, ServerNo};
-use crate::judge::{Judge, Rule};
-use crate::lane::{Lane, Spoil};
-use crate::list::List;
-use crate::net::{Event, Net, PortNo};
-use aldercrank_wire::msgpack::CallNo;
-use aldercrank_wire::pool::Rid;
+use crate::edge_nodes::Wake;
+use crate::ids::{ConnNo, EdgeNo, Incarnation, RemoteEndpoint, ServerNo};
+use crate::invariant_checker::{InvariantChecker, Rule};
+use crate::membership_stub::MembershipStub;
+use crate::random::RandomStream;
+use crate::relayed_link::{Corruption, RelayedLink};
+use crate::run_record::RunRecord;
+use crate::sockets::{Event, Net, PortNo};
+use crate::version_checker::Act;
+use aldercrank_protocol::msgpack_rpc::MessageId;
+use aldercrank_protocol::worker_pool::AttemptId;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::io;
@@ -20,23 +20,23 @@
 
 /// Whose a connection is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whose {
+pub enum ConnectionOwner {
     Pool(ServerNo),
     Index(ServerNo),
-    List(ServerNo),
+    MembershipStub(ServerNo),
     Edge(EdgeNo, ServerNo),
     /// Half of a relayed connection between two servers: this one's.
     Peer(ServerNo),
 }
 
-impl Whose {
-    pub fn pair(self) -> (ServerNo, Far) {
+impl ConnectionOwner {
+    pub fn pair(self) -> (ServerNo, RemoteEndpoint) {
         match self {
-            Whose::Pool(server) => (server, Far::Pool),
-            Whose::Index(server) => (server, Far::Index),
-            Whose::List(server) => (server, Far::List),
-            Whose::Edge(_, server) => (server, Far::Edges),
-            Whose::Peer(server) => (server, Far::Peers),
+            ConnectionOwner::Pool(server) => (server, RemoteEndpoint::Pool),
+            ConnectionOwner::Index(server) => (server, RemoteEndpoint::Index),
+            ConnectionOwner::MembershipStub(server) => (server, RemoteEndpoint::MembershipStub),
+            ConnectionOwner::Edge(_, server) => (server, RemoteEndpoint::EdgeNodes),
+            ConnectionOwner::Peer(server) => (server, RemoteEndpoint::Peers),
         }
     }
 }
@@ -45,9 +45,9 @@
 pub enum Timer {
     Pool(ServerNo),
     Index,
-    List,
+    MembershipStub,
     Edge(Wake),
-    Lane(ConnNo),
+    RelayedLink(ConnNo),
     Arrive,
     Begin(usize, ServerNo),
     End(usize, ServerNo),
@@ -56,22 +56,22 @@
     Start(ServerNo),
     PoolReset(usize, ServerNo),
     /// Readers of the rule book have waited long enough.
-    Shelf,
+    ConfigStore,
     /// The next version of a step that publishes one after another.
     Publish(usize),
 }
 
 #[derive(Default)]
 struct Lanes {
-    to: Lane,
-    from: Lane,
+    to: RelayedLink,
+    from: RelayedLink,
     /// The far side has ended; that is heard once what it said has come.
     ended: bool,
     /// The near side has ended; that is said once what it said has gone.
     closing: bool,
 }
 
-pub struct Floor {
+pub struct Testbed {
     pub net: Net,
     pub events: Vec<Event>,
     timers: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
@@ -79,43 +79,43 @@
     next_of: BTreeMap<Timer, Duration>,
     timers_set: u64,
     pub now: Duration,
-    whose: HashMap<ConnNo, Whose>,
+    whose: HashMap<ConnNo, ConnectionOwner>,
     lanes: HashMap<ConnNo, Lanes>,
-    spoils: BTreeMap<(ServerNo, Far), (Spoil, Spoil)>,
+    corruptions: BTreeMap<(ServerNo, RemoteEndpoint), (Corruption, Corruption)>,
     /// Servers that edge nodes can't reach.
     pub unreachable: BTreeSet<ServerNo>,
-    pub ports: HashMap<PortNo, (ServerNo, Far)>,
+    pub ports: HashMap<PortNo, (ServerNo, RemoteEndpoint)>,
     /// Relays between servers: who asks, and whom.
     pub relays: HashMap<PortNo, (ServerNo, ServerNo)>,
     pub addrs: Vec<SocketAddr>,
-    pub lives: Vec<Life>,
-    pub judge: Judge,
-    pub book: Book,
-    pub list: List,
+    pub incarnations: Vec<Incarnation>,
+    pub checker: InvariantChecker,
+    pub book: RunRecord,
+    pub list: MembershipStub,
     pub lag: Duration,
     pub old_list: Duration,
     /// The list that edge nodes read names each server twice, and one that never was.
     pub wrong_list: bool,
     /// Tries that are over, answered or not, until their pools have heard of it.
-    pub over: Vec<(ServerNo, Rid)>,
+    pub over: Vec<(ServerNo, AttemptId)>,
     /// What was judged by a version of the rule book, until the checker has heard of it.
     pub acts: Vec<Act>,
     /// The txns that calls at the index are made for.
     pub parents: HashMap<ConnNo, String>,
     pub unix_zero: Duration,
-    draw: Draw,
+    draw: RandomStream,
 }
 
-impl Floor {
+impl Testbed {
     pub fn new(
-        judge: Judge,
-        book: Book,
-        list: List,
+        checker: InvariantChecker,
+        book: RunRecord,
+        list: MembershipStub,
         lag: Duration,
         servers: usize,
-        draw: Draw,
-    ) -> io::Result<Floor> {
-        Ok(Floor {
+        draw: RandomStream,
+    ) -> io::Result<Testbed> {
+        Ok(Testbed {
             net: Net::new()?,
             events: Vec::new(),
             timers: BinaryHeap::new(),
@@ -124,13 +124,13 @@
             now: Duration::ZERO,
             whose: HashMap::new(),
             lanes: HashMap::new(),
-            spoils: BTreeMap::new(),
+            corruptions: BTreeMap::new(),
             unreachable: BTreeSet::new(),
             ports: HashMap::new(),
             relays: HashMap::new(),
             addrs: Vec::new(),
-            lives: vec![Life(0); servers],
-            judge,
+            incarnations: vec![Incarnation(0); servers],
+            checker,
             book,
             list,
             lag,
@@ -145,15 +145,15 @@
     }
 
     /// The call on this seat is over.
-    pub fn seat_over(&mut self, seat: (ConnNo, CallNo)) {
-        if let Some(asked) = self.judge.at(seat) {
-            self.over.push((asked.server, asked.rid));
+    pub fn reply_over(&mut self, reply_to: (ConnNo, MessageId)) {
+        if let Some(asked) = self.checker.at(reply_to) {
+            self.over.push((asked.server, asked.attempt));
         }
     }
 
     pub fn wake(&mut self, at: Duration, timer: Timer) {
         // These are asked for again at every event; one that is set no later will do.
-        if matches!(timer, Timer::Pool(_) | Timer::Index | Timer::List | Timer::Lane(_)) {
+        if matches!(timer, Timer::Pool(_) | Timer::Index | Timer::MembershipStub | Timer::RelayedLink(_)) {
             if self.next_of.get(&timer).is_some_and(|set| *set <= at) {
                 return;
             }
@@ -178,20 +178,20 @@
         Some(timer)
     }
 
-    pub fn own(&mut self, conn: ConnNo, whose: Whose) {
+    pub fn own(&mut self, conn: ConnNo, whose: ConnectionOwner) {
         self.whose.insert(conn, whose);
         let (server, far) = whose.pair();
-        if self.spoils.get(&(server, far)).is_some_and(|(_, from)| from.unread) {
+        if self.corruptions.get(&(server, far)).is_some_and(|(_, from)| from.unread) {
             self.net.pause(conn, true);
         }
     }
 
-    pub fn whose(&self, conn: ConnNo) -> Option<Whose> {
+    pub fn whose(&self, conn: ConnNo) -> Option<ConnectionOwner> {
         self.whose.get(&conn).copied()
     }
 
     /// It is nobody's any more, and ends.
-    pub fn disown(&mut self, conn: ConnNo) -> Option<Whose> {
+    pub fn disown(&mut self, conn: ConnNo) -> Option<ConnectionOwner> {
         self.parents.remove(&conn);
         let parked = self.lanes.get(&conn).is_some_and(|l| l.closing);
         if !parked {
@@ -210,19 +210,19 @@
         }
     }
 
-    fn spoil_of(&self, conn: ConnNo) -> Option<&(Spoil, Spoil)> {
-        self.spoils.get(&self.whose.get(&conn)?.pair())
+    fn corruption_of(&self, conn: ConnNo) -> Option<&(Corruption, Corruption)> {
+        self.corruptions.get(&self.whose.get(&conn)?.pair())
     }
 
-    pub fn spoils(&self, server: ServerNo, far: Far) -> bool {
-        self.spoils.contains_key(&(server, far))
+    pub fn corruptions(&self, server: ServerNo, far: RemoteEndpoint) -> bool {
+        self.corruptions.contains_key(&(server, far))
     }
 
     pub fn spoils_edges(&self, conn: ConnNo) -> bool {
-        self.spoil_of(conn).is_some()
+        self.corruption_of(conn).is_some()
     }
 
-    pub fn of_pair(&self, server: ServerNo, far: Far) -> Vec<ConnNo> {
+    pub fn of_pair(&self, server: ServerNo, far: RemoteEndpoint) -> Vec<ConnNo> {
         let mut all: Vec<ConnNo> =
             self.whose.iter().filter(|(_, w)| w.pair() == (server, far)).map(|(c, _)| *c).collect();
         all.sort();
@@ -230,15 +230,15 @@
     }
 
     /// From now on this is done to what the pair says, where it is named.
-    pub fn set_spoil(
+    pub fn set_corruption(
         &mut self,
         now: Duration,
         server: ServerNo,
-        far: Far,
-        to: Option<Spoil>,
-        from: Option<Spoil>,
+        far: RemoteEndpoint,
+        to: Option<Corruption>,
+        from: Option<Corruption>,
     ) {
-        let both = self.spoils.entry((server, far)).or_default();
+        let both = self.corruptions.entry((server, far)).or_default();
         if let Some(to) = to {
             both.0 = to;
         }
@@ -247,11 +247,11 @@
         }
         let unread = both.1.unread;
         if both.0.none() && both.1.none() {
-            self.spoils.remove(&(server, far));
+            self.corruptions.remove(&(server, far));
         }
         for conn in self.of_pair(server, far) {
             self.net.pause(conn, unread);
-            self.wake(now, Timer::Lane(conn));
+            self.wake(now, Timer::RelayedLink(conn));
         }
     }
 
@@ -260,44 +260,44 @@
         if bytes.is_empty() {
             return;
         }
-        let none = Spoil::default();
-        let spoil = self.spoil_of(conn).map_or(none, |(to, _)| to.clone());
+        let none = Corruption::default();
+        let corruption = self.corruption_of(conn).map_or(none, |(to, _)| to.clone());
         match self.lanes.get(&conn) {
-            None if spoil.none() => return self.net.send(conn, bytes),
-            Some(lanes) if lanes.to.clear(&spoil) => return self.net.send(conn, bytes),
+            None if corruption.none() => return self.net.send(conn, bytes),
+            Some(lanes) if lanes.to.clear(&corruption) => return self.net.send(conn, bytes),
             _ => {}
         }
         let lane = &mut self.lanes.entry(conn).or_default().to;
-        lane.enter(now, bytes.to_vec(), &spoil, &mut self.draw);
-        if let Some(at) = lane.next(&spoil) {
-            self.wake(at, Timer::Lane(conn));
+        lane.enter(now, bytes.to_vec(), &corruption, &mut self.draw);
+        if let Some(at) = lane.next(&corruption) {
+            self.wake(at, Timer::RelayedLink(conn));
         }
     }
 
     /// A process has said something: what of it comes through at once.
     pub fn heard(&mut self, now: Duration, conn: ConnNo, bytes: Vec<u8>) -> Option<Vec<u8>> {
         self.now = self.now.max(now);
-        let spoil = self.spoil_of(conn).map_or(Spoil::default(), |(_, from)| from.clone());
+        let corruption = self.corruption_of(conn).map_or(Corruption::default(), |(_, from)| from.clone());
         match self.lanes.get(&conn) {
-            None if spoil.none() => return Some(bytes),
-            Some(lanes) if lanes.from.clear(&spoil) => return Some(bytes),
+            None if corruption.none() => return Some(bytes),
+            Some(lanes) if lanes.from.clear(&corruption) => return Some(bytes),
             _ => {}
         }
         let lane = &mut self.lanes.entry(conn).or_default().from;
-        lane.enter(now, bytes, &spoil, &mut self.draw);
-        let (full, at) = (lane.full(), lane.next(&spoil));
+        lane.enter(now, bytes, &corruption, &mut self.draw);
+        let (full, at) = (lane.full(), lane.next(&corruption));
         if full {
             self.net.pause(conn, true);
         }
         if let Some(at) = at {
-            self.wake(at, Timer::Lane(conn));
+            self.wake(at, Timer::RelayedLink(conn));
         }
         None
     }
 
     /// Whether the end of a connection is heard only once what was said on it has come.
     pub fn ends_later(&mut self, conn: ConnNo) -> bool {
-        let dead = self.spoil_of(conn).is_some_and(|(_, from)| from.dead);
+        let dead = self.corruption_of(conn).is_some_and(|(_, from)| from.dead);
         match self.lanes.get_mut(&conn) {
             Some(lanes) if !lanes.from.is_empty() || dead => {
                 lanes.ended = true;
@@ -316,15 +316,15 @@
     /// What may come out of a connection's lanes by now. Says whether it is to be reset, and whether its end is
     /// now heard.
     pub fn release(&mut self, now: Duration, conn: ConnNo, from: &mut Vec<u8>) -> (bool, bool) {
-        let spoils = self.spoil_of(conn).cloned().unwrap_or_default();
+        let corruptions = self.corruption_of(conn).cloned().unwrap_or_default();
         let Some(lanes) = self.lanes.get_mut(&conn) else { return (false, false) };
         let mut to = Vec::new();
-        let out = lanes.to.leave(now, &spoils.0, &mut to);
-        let back = lanes.from.leave(now, &spoils.1, from);
-        let next = lanes.to.next(&spoils.0).into_iter().chain(lanes.from.next(&spoils.1)).min();
-        let ended = lanes.ended && lanes.from.is_empty() && !spoils.1.dead;
+        let out = lanes.to.leave(now, &corruptions.0, &mut to);
+        let back = lanes.from.leave(now, &corruptions.1, from);
+        let next = lanes.to.next(&corruptions.0).into_iter().chain(lanes.from.next(&corruptions.1)).min();
+        let ended = lanes.ended && lanes.from.is_empty() && !corruptions.1.dead;
         let gone = lanes.closing && lanes.to.is_empty();
-        let room = !lanes.from.full() && !lanes.ended && !spoils.1.unread;
+        let room = !lanes.from.full() && !lanes.ended && !corruptions.1.unread;
         self.net.send(conn, &to);
         if gone {
             self.lanes.remove(&conn);
@@ -335,16 +335,16 @@
             self.net.pause(conn, false);
         }
         if let Some(at) = next {
-            self.wake(at.max(now), Timer::Lane(conn));
+            self.wake(at.max(now), Timer::RelayedLink(conn));
         }
         (out.is_err() || back.is_err(), ended)
     }
 
     /// A server said what is no command.
     pub fn pool_misuse(&mut self, now: Duration, server: ServerNo, why: &str) {
-        if !self.spoils(server, Far::Pool) {
+        if !self.corruptions(server, RemoteEndpoint::Pool) {
             let what = format!("it told its pool what is no command: {why}");
-            self.judge.breaks(now, Rule::Mixed, None, Some(server), what);
+            self.checker.breaks(now, Rule::Mixed, None, Some(server), what);
         }
     }
 }
--- a/crates/aldercrank-fleet/src/fence.rs
+++ b/crates/aldercrank-test-cluster/src/version_checker.rs
@@ -5,8 +5,8 @@
 //! apart is told to the server's favour: from the first answer by the newer version to when the last txn that was
 //! judged by the older one was asked for.
 
-use crate::ids::{Life, ProductNo, ServerNo};
-use aldercrank_rules::{Book, Value};
+use crate::ids::{ClassNo, Incarnation, ServerNo};
+use aldercrank_versioned_config::{Value, VersionedConfig};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,8 +20,8 @@
 }
 
 impl Terms {
-    pub fn of(book: &Book, product: &str) -> Terms {
-        let get = |name: &str| book.get("product", product, name);
+    pub fn of(book: &VersionedConfig, class: &str) -> Terms {
+        let get = |name: &str| book.get("product", class, name);
         Terms {
             effect: match get("effect") {
                 Some(Value::Word(word)) => Some(word.clone()),
@@ -40,8 +40,8 @@
 #[derive(Clone, Debug)]
 pub struct Act {
     pub server: ServerNo,
-    pub life: Life,
-    pub product: ProductNo,
+    pub incarnation: Incarnation,
+    pub class: ClassNo,
     pub version: u64,
     pub asked: Duration,
     pub answered: Duration,
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Run {
     server: ServerNo,
-    life: Life,
+    incarnation: Incarnation,
     t0: Duration,
     version: u64,
 }
@@ -85,13 +85,13 @@
     pub read_bytes: u64,
 }
 
-pub struct Fence {
+pub struct VersionChecker {
     within: Duration,
-    products: Vec<String>,
+    classes: Vec<String>,
     /// By number: what each version says of each product, when it was published, and whether it is free of fenced
     /// changes.
     versions: BTreeMap<u64, (Vec<Terms>, Duration, bool)>,
-    spans: BTreeMap<(ProductNo, u64), Span>,
+    spans: BTreeMap<(ClassNo, u64), Span>,
     /// From when a version was published to a server's first answer by it, less what was waited for a core.
     seen: BTreeMap<(u64, ServerNo), Duration>,
     runs: BTreeMap<u64, Vec<Run>>,
@@ -100,11 +100,11 @@
     pub broken: Vec<(Duration, ServerNo, String)>,
 }
 
-impl Fence {
-    pub fn new(within: Duration, products: Vec<String>, genesis: &Book) -> Fence {
-        let mut fence = Fence {
+impl VersionChecker {
+    pub fn new(within: Duration, classes: Vec<String>, genesis: &VersionedConfig) -> VersionChecker {
+        let mut version_checker = VersionChecker {
             within,
-            products,
+            classes,
             versions: BTreeMap::new(),
             spans: BTreeMap::new(),
             seen: BTreeMap::new(),
@@ -112,17 +112,17 @@
             figures: Figures::default(),
             broken: Vec::new(),
         };
-        fence.knows(Duration::ZERO, genesis, true);
-        fence
+        version_checker.knows(Duration::ZERO, genesis, true);
+        version_checker
     }
 
-    fn knows(&mut self, now: Duration, book: &Book, free: bool) {
-        let terms = self.products.iter().map(|p| Terms::of(book, p)).collect();
+    fn knows(&mut self, now: Duration, book: &VersionedConfig, free: bool) {
+        let terms = self.classes.iter().map(|p| Terms::of(book, p)).collect();
         self.versions.insert(book.number.0, (terms, now, free));
     }
 
     /// A version was published.
-    pub fn published(&mut self, now: Duration, book: &Book, free: bool) {
+    pub fn published(&mut self, now: Duration, book: &VersionedConfig, free: bool) {
         self.figures.published += 1;
         self.knows(now, book, free);
     }
@@ -136,18 +136,18 @@
                 .entry((act.version, act.server))
                 .or_insert_with(|| act.answered.saturating_sub(published).saturating_sub(waited(published)));
         }
-        let product = act.product.0 as usize;
+        let class = act.class.0 as usize;
         let Some((terms, _, _)) = self.versions.get(&act.version) else {
             let what = format!("judged by version {}, which nobody published", act.version);
             return self.broken.push((act.answered, act.server, what));
         };
-        let terms = terms[product].clone();
+        let terms = terms[class].clone();
         if act.ran && !terms.offered {
             let what = format!("ran a product that version {} does not offer", act.version);
             self.broken.push((act.answered, act.server, what));
         }
         self.runs_once(act, &terms);
-        let key = (act.product, act.version);
+        let key = (act.class, act.version);
         let span =
             self.spans.entry(key).or_insert(Span { first_answered: act.answered, last_asked: act.asked });
         span.first_answered = span.first_answered.min(act.answered);
@@ -158,11 +158,11 @@
     /// A token's runs on one life of a server, by the window of the version that each was judged by.
     fn runs_once(&mut self, act: &Act, _: &Terms) {
         let Some(token) = act.token.filter(|_| act.ran) else { return };
-        let product = act.product.0 as usize;
+        let class = act.class.0 as usize;
         let runs = self.runs.entry(token).or_default();
-        for run in runs.iter().filter(|r| (r.server, r.life) == (act.server, act.life)) {
+        for run in runs.iter().filter(|r| (r.server, r.incarnation) == (act.server, act.incarnation)) {
             let Some((terms, _, _)) = self.versions.get(&run.version) else { continue };
-            let terms = &terms[product];
+            let terms = &terms[class];
             let marked = terms.effect.as_deref() == Some("referenced");
             let window = Duration::from_secs_f64(terms.window.unwrap_or_default() / 1e3);
             let (first, second) = (run.t0.min(act.asked), run.t0.max(act.asked));
@@ -172,15 +172,20 @@
                 self.broken.push((act.answered, act.server, what));
             }
         }
-        runs.push(Run { server: act.server, life: act.life, t0: act.asked, version: act.version });
+        runs.push(Run {
+            server: act.server,
+            incarnation: act.incarnation,
+            t0: act.asked,
+            version: act.version,
+        });
     }
 
     /// Holds this act against those by newer versions that differ.
     fn compare(&mut self, act: &Act, terms: &Terms) {
-        let product = act.product.0 as usize;
+        let class = act.class.0 as usize;
         let newer =
-            self.spans.range((act.product, act.version + 1)..).take_while(|((p, _), _)| *p == act.product);
-        let differs = |v: &u64| self.versions.get(v).is_some_and(|(all, _, _)| all[product] != *terms);
+            self.spans.range((act.class, act.version + 1)..).take_while(|((p, _), _)| *p == act.class);
+        let differs = |v: &u64| self.versions.get(v).is_some_and(|(all, _, _)| all[class] != *terms);
         let first = newer.filter(|((_, v), _)| differs(v)).map(|(_, span)| span.first_answered).min();
         let Some(apart) = first.and_then(|first| act.asked.checked_sub(first)) else { return };
         self.figures.farthest_ms = self.figures.farthest_ms.max(apart.as_secs_f64() * 1e3);
