--- a/tests/suite/held.rs
+++ b/tests/suite/held.rs
@@ -1,18 +1,18 @@
 //! The queue and the calls of late beside plain models that pass over all, on generated steps.
 
-use aldercrank::calls::Calls;
+use aldercrank::outstanding_calls::Calls;
 use aldercrank::queue::Queue;
-use aldercrank::TxnId;
+use aldercrank::RequestId;
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
 
 /// One who is held: due time, id, product, worth.
-type Plain = (Duration, TxnId, usize, f64);
+type Plain = (Duration, RequestId, usize, f64);
 
 /// The passes of before: turns away who has no slack; where the rest can't be in time, the least worth ahead.
-fn pruned(all: &[Plain], run: &[f64], sure: f64, now: Duration) -> Vec<TxnId> {
-    let (mut ahead, mut wait, mut gone): (Vec<Plain>, f64, Vec<TxnId>) = (Vec::new(), 0.0, Vec::new());
+fn pruned(all: &[Plain], run: &[f64], sure: f64, now: Duration) -> Vec<RequestId> {
+    let (mut ahead, mut wait, mut gone): (Vec<Plain>, f64, Vec<RequestId>) = (Vec::new(), 0.0, Vec::new());
     for held in all {
         let slack = held.0.saturating_sub(now).as_secs_f64() - run[held.2] * sure;
         if slack < 0.0 {
@@ -33,11 +33,10 @@
 }
 
 /// The same by the queue's own search.
-fn prune(queue: &mut Queue, all: &[Plain], run: &[f64], sure: f64, now: Duration) -> Vec<TxnId> {
+fn prune(queue: &mut Queue, all: &[Plain], run: &[f64], sure: f64, now: Duration) -> Vec<RequestId> {
     let (mut after, mut gone) = (None, Vec::new());
     let slack = |due: Duration, i: usize| due.saturating_sub(now).as_secs_f64() - run[i] * sure;
-    while let Some((place, i)) =
-        queue.find(after, |i| run[i], |ahead, due, product| ahead > slack(due, product))
+    while let Some((place, i)) = queue.find(after, |i| run[i], |ahead, due, class| ahead > slack(due, class))
     {
         let least = if slack(place.0, i) < 0.0 { place } else { queue.least_to(place).unwrap() };
         after = Some(place);
@@ -57,10 +56,10 @@
         for step in 0..300 {
             let now = MS * step;
             if draw(4) > 0 {
-                let (due, id) = (now + MS * draw(400) as u32, TxnId(step));
-                let (product, worth) = (draw(3) as usize, draw(20) as f64 / 10.0);
-                queue.insert((due, id), product, worth);
-                all.push((due, id, product, worth));
+                let (due, id) = (now + MS * draw(400) as u32, RequestId(step));
+                let (class, worth) = (draw(3) as usize, draw(20) as f64 / 10.0);
+                queue.insert((due, id), class, worth);
+                all.push((due, id, class, worth));
             } else if !all.is_empty() {
                 let gone = all.swap_remove(draw(all.len() as u64) as usize);
                 queue.remove((gone.0, gone.1));
@@ -86,7 +85,8 @@
 fn the_calls_of_late_sum_up_as_a_pass_over_all_would() {
     for seed in 0..60 {
         let mut draw = draws(seed);
-        let (mut calls, mut all): (Calls, Vec<(TxnId, Duration, Duration)>) = (Calls::default(), Vec::new());
+        let (mut calls, mut all): (Calls, Vec<(RequestId, Duration, Duration)>) =
+            (Calls::default(), Vec::new());
         let (mut now, over) = (Duration::ZERO, MS * 200);
         for step in 0..400u32 {
             now += MS * draw(9) as u32;
@@ -94,14 +94,14 @@
                 0 => {
                     // A txn has one call at a time.
                     let until = now + MS * (1 + draw(90) as u32);
-                    calls.made(TxnId(step), now, until);
-                    all.push((TxnId(step), now, until));
+                    calls.made(RequestId(step), now, until);
+                    all.push((RequestId(step), now, until));
                 }
                 1 if !all.is_empty() => {
-                    let (txn, _, until) = all[draw(all.len() as u64) as usize];
+                    let (request, _, until) = all[draw(all.len() as u64) as usize];
                     let end = now + MS * (draw(2) * 20) as u32;
-                    calls.ends(txn, now, end);
-                    let open = all.iter_mut().find(|c| c.0 == txn && until >= now);
+                    calls.ends(request, now, end);
+                    let open = all.iter_mut().find(|c| c.0 == request && until >= now);
                     open.into_iter().for_each(|call| call.2 = end);
                 }
                 _ => {}
--- a/tests/suite/mechanism.rs
+++ b/tests/suite/mechanism.rs
@@ -1,12 +1,12 @@
 //! The window, the breaker, the queue, the calls and each failure met so far, one small test each.
 
 use crate::common::{settings, At, Play, MS};
-use aldercrank::{Outcome, Settings, TxnId, Value};
+use aldercrank::{Outcome, RequestId, Settings, Value};
 use std::time::Duration;
 
 const LONG: u32 = 2500;
 
-fn offer(play: &mut Play, many: usize) -> Vec<TxnId> {
+fn offer(play: &mut Play, many: usize) -> Vec<RequestId> {
     (0..many).map(|_| play.read(0, MS * LONG, None, 0.99)).collect()
 }
 
@@ -59,17 +59,17 @@
         let mut play = Play::new(with("window.per_core", 2.0));
         offer(&mut play, 9);
         play.pass(MS * 40, 3.0);
-        let first = play.world.0.borrow().txns.keys().next().copied().unwrap();
+        let first = play.world.0.borrow().requests.keys().next().copied().unwrap();
         play.pass(MS * 20, 9.0);
         let now = play.now();
         play.set(first, At::Over);
-        play.world.0.borrow_mut().txns.get_mut(&first).unwrap().answers = 1;
+        play.world.0.borrow_mut().requests.get_mut(&first).unwrap().answers = 1;
         play.admission.run_ended(now, first, Outcome::Completed, MS * millis);
         if millis < 3000 {
             play.pass(MS * 600, 9.0);
         }
-        let ids: Vec<TxnId> = play.world.0.borrow().txns.keys().copied().collect();
-        ids.into_iter().for_each(|id| play.end(id, Outcome::Recalled));
+        let ids: Vec<RequestId> = play.world.0.borrow().requests.keys().copied().collect();
+        ids.into_iter().for_each(|id| play.end(id, Outcome::Cancelled));
         offer(&mut play, 9);
         assert_eq!(running(&play), left, "run of {millis} ms");
     }
@@ -81,7 +81,7 @@
     let ids = offer(&mut play, 5);
     assert_eq!((running(&play), play.world.0.borrow().count(At::Held)), (4, 1));
     play.set(ids[0], At::Waiting);
-    play.admission.call_needed(MS, ids[0]);
+    play.admission.call_requested(MS, ids[0]);
     assert_eq!((play.at(ids[0]), play.at(ids[4])), (At::Calling, At::Running));
 }
 
@@ -91,7 +91,7 @@
     let ids = offer(&mut play, 4);
     for id in &ids {
         play.set(*id, At::Waiting);
-        play.admission.call_needed(MS, *id);
+        play.admission.call_requested(MS, *id);
     }
     assert_eq!(play.world.0.borrow().count(At::Calling), 1);
     play.set(ids[0], At::Running);
@@ -102,16 +102,16 @@
 #[test]
 fn a_referenced_call_that_may_have_run_is_not_made_again() {
     let mut play = Play::new(settings(&["retryable", "dedup"]));
-    for (how, open) in [(Outcome::Severed, false), (Outcome::Saturated, true)] {
+    for (how, open) in [(Outcome::ConnectionLost, false), (Outcome::Rejected, true)] {
         let id = play.read(1, MS * LONG, Some(how as u8), 0.5);
         play.set(id, At::Waiting);
         let now = play.now();
-        play.admission.call_needed(now, id);
+        play.admission.call_requested(now, id);
         play.set(id, At::Waiting);
         play.admission.call_ended(now, id, how, MS);
         play.pass(MS * 150, 9.0);
-        assert_eq!(play.world.0.borrow().txns[&id].answers == 0, open, "{how:?}");
-        play.end(id, Outcome::Recalled);
+        assert_eq!(play.world.0.borrow().requests[&id].answers == 0, open, "{how:?}");
+        play.end(id, Outcome::Cancelled);
     }
 }
 
@@ -132,7 +132,7 @@
     let mut play = Play::new(settings(&["retryable"]));
     offer(&mut play, 40);
     let w = play.world.0.borrow();
-    assert!(w.declined.len() > 10 && w.declined.iter().any(|(_, back_in, _)| back_in.is_some()));
+    assert!(w.rejected.len() > 10 && w.rejected.iter().any(|(_, retry_after, _)| retry_after.is_some()));
     assert!(w.count(At::Held) > 0);
 }
 
@@ -157,10 +157,10 @@
         let mut play = Play::new(cfg);
         for _ in 0..40 {
             play.pass(MS * 25, 9.0);
-            play.lay = MS * 990;
+            play.unread_for = MS * 990;
             play.read(0, MS * LONG, None, 0.5);
         }
-        let last = play.world.0.borrow().declined.last().map(|(_, _, last)| *last);
+        let last = play.world.0.borrow().rejected.last().map(|(_, _, last)| *last);
         assert_eq!(last, Some(!cold));
     }
 }
@@ -169,12 +169,12 @@
 /// txns lie unread, so that a slow server is sent less.
 #[test]
 fn the_credit_follows_who_sends_and_falls_with_time_unread() {
-    let credit = |senders: u64, lay: u32| {
+    let credit = |senders: u64, unread_for: u32| {
         let mut cfg = with("family_info.upstreams", 6.0);
         cfg.set("family_info.advert", Value::Text("window".into()));
         let mut play = Play::new(cfg);
         for n in 0..60 {
-            (play.caller, play.lay) = (n % senders, MS * lay);
+            (play.caller, play.unread_for) = (n % senders, MS * unread_for);
             run_once(&mut play, 100);
         }
         let said = *play.world.0.borrow().said.last().unwrap();
@@ -192,7 +192,7 @@
     let ids = offer(&mut play, 2);
     for id in [ids[0], old, ids[1]] {
         play.set(id, At::Waiting);
-        play.admission.call_needed(MS * 950, id);
+        play.admission.call_requested(MS * 950, id);
     }
     play.set(ids[0], At::Running);
     play.admission.call_ended(MS * 960, ids[0], Outcome::Completed, MS * 10);
@@ -207,10 +207,10 @@
         let id = play.read(0, MS * 9000, None, 0.99);
         play.set(id, At::Waiting);
         let now = play.now();
-        play.admission.call_needed(now, id);
+        play.admission.call_requested(now, id);
         play.pass(MS * 125, 0.0);
         play.set(id, At::Running);
-        play.end(id, Outcome::Recalled);
+        play.end(id, Outcome::Cancelled);
     }
     let spent: Duration = play.world.0.borrow().calls.iter().map(|(_, out)| (*out).min(MS * 325)).sum();
     assert!(spent > MS * 500 && spent < MS * 2900, "{spent:?}");
@@ -242,7 +242,7 @@
         play.end(id, Outcome::Completed);
     }
     let old = play.read(0, MS * 1000, None, 0.99);
-    assert_eq!(play.world.0.borrow().declined, [(old, None, true)]);
+    assert_eq!(play.world.0.borrow().rejected, [(old, None, true)]);
 }
 
 /// Calls that can't be left out take too long: what would only wait for one is declined when it is read.
@@ -252,7 +252,7 @@
         let mut play = Play::new(with("family_info.calls_out", 0.5));
         let id = play.read(0, MS * 9000, None, 0.99);
         play.set(id, At::Waiting);
-        play.admission.call_needed(MS, id);
+        play.admission.call_requested(MS, id);
         play.admission.call_ended(MS * (took + 1), id, Outcome::Completed, MS * took);
         let next = play.read(0, MS * 9000, None, 0.99);
         assert_eq!(play.at(next), at, "calls of {took} ms");
@@ -270,7 +270,7 @@
         let id = play.read(0, MS * LONG, None, 0.99);
         play.set(id, At::Waiting);
         let now = play.now();
-        play.admission.call_needed(now, id);
+        play.admission.call_requested(now, id);
         id
     };
     let end = |play: &mut Play, id, how, took| {
@@ -288,10 +288,10 @@
     let lost = stand(&mut play);
     assert!(play.world.0.borrow().calls.last().unwrap().1 < MS * 400);
     play.pass(MS * 250, 9.0);
-    end(&mut play, lost, Outcome::Overdue, 250);
+    end(&mut play, lost, Outcome::TimedOut, 250);
     play.pass(MS * 100, 9.0);
     assert_eq!(play.at(lost), At::Calling);
-    end(&mut play, lost, Outcome::Overdue, 2000);
+    end(&mut play, lost, Outcome::TimedOut, 2000);
     assert_eq!(play.at(lost), At::Running);
     let next = stand(&mut play);
     assert_eq!(play.at(next), At::Calling);
@@ -306,16 +306,16 @@
 }
 
 /// A txn comes to its call.
-fn at_call(play: &mut Play) -> TxnId {
+fn at_call(play: &mut Play) -> RequestId {
     let id = play.read(0, MS * 9000, None, 0.99);
     play.set(id, At::Waiting);
     let now = play.now();
-    play.admission.call_needed(now, id);
+    play.admission.call_requested(now, id);
     id
 }
 
 /// Its call ends after so long, and so does it.
-fn call_ends(play: &mut Play, id: TxnId, millis: u32) {
+fn call_ends(play: &mut Play, id: RequestId, millis: u32) {
     play.pass(MS * millis, 4.0);
     play.set(id, At::Running);
     let now = play.now();
@@ -365,13 +365,13 @@
     cfg.set("family_info.cores", Value::Num(20.0));
     let mut play = Play::new(cfg);
     let mut out = |millis: u32| {
-        let ids: Vec<TxnId> = (0..40).map(|_| at_call(&mut play)).collect();
+        let ids: Vec<RequestId> = (0..40).map(|_| at_call(&mut play)).collect();
         let at_once = ids.iter().filter(|id| play.at(**id) == At::Calling).count();
         for id in ids {
             if play.at(id) == At::Calling {
                 call_ends(&mut play, id, millis);
             } else {
-                play.end(id, Outcome::Recalled);
+                play.end(id, Outcome::Cancelled);
             }
         }
         play.pass(MS * 2100, 4.0);
--- a/tests/suite/rules.rs
+++ b/tests/suite/rules.rs
@@ -1,8 +1,8 @@
 //! The module beside the plain model of the four rules, on generated inputs with a fixed seed.
 
 use crate::common::{settings, At, Play, MS};
-use aldercrank::Outcome::{Completed, Errored, Overdue, Saturated, Severed};
-use aldercrank::{Leave, TxnId, Value};
+use aldercrank::Outcome::{Completed, ConnectionLost, Failed, Rejected, TimedOut};
+use aldercrank::{Permission, RequestId, Value};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
 type Step = (u8, u8, u16);
@@ -35,20 +35,21 @@
     let now = play.now();
     let pick = |play: &Play, at: &[At]| {
         let w = play.world.0.borrow();
-        let open: Vec<TxnId> = w.txns.iter().filter(|(_, t)| at.contains(&t.at)).map(|(id, _)| *id).collect();
+        let open: Vec<RequestId> =
+            w.requests.iter().filter(|(_, t)| at.contains(&t.at)).map(|(id, _)| *id).collect();
         open.get(which as usize % open.len().max(1)).copied()
     };
-    let unanswered = |play: &Play, id: &TxnId| play.world.0.borrow().txns[id].answers == 0;
+    let unanswered = |play: &Play, id: &RequestId| play.world.0.borrow().requests[id].answers == 0;
     match what % 16 {
         0..=6 => {
-            let product = usize::from(which % 4);
-            let reference = (product == 1).then_some(which / 4 % 8);
-            let (left, lay) = (MS * u32::from(much % 4000), MS * u32::from(much % 7) * 20);
-            (play.lay, play.kb) = (lay, f64::from(much % 60));
-            play.read(product, left, reference, f64::from(which) / 256.0);
+            let class = usize::from(which % 4);
+            let reference = (class == 1).then_some(which / 4 % 8);
+            let (left, unread_for) = (MS * u32::from(much % 4000), MS * u32::from(much % 7) * 20);
+            (play.unread_for, play.kb) = (unread_for, f64::from(much % 60));
+            play.read(class, left, reference, f64::from(which) / 256.0);
         }
         7 | 8 => {
-            let how = if much % 9 == 0 { Errored } else { Completed };
+            let how = if much % 9 == 0 { Failed } else { Completed };
             if let Some(id) = pick(play, &[At::Running]) {
                 play.end(id, how);
             }
@@ -56,22 +57,22 @@
         9 => {
             if let Some(id) = pick(play, &[At::Running]).filter(|id| unanswered(play, id)) {
                 play.set(id, At::Waiting);
-                play.admission.call_needed(now, id);
+                play.admission.call_requested(now, id);
             }
         }
         10 | 11 => {
-            let how = [Completed, Errored, Saturated, Overdue, Severed][usize::from(much) % 5];
+            let how = [Completed, Failed, Rejected, TimedOut, ConnectionLost][usize::from(much) % 5];
             if let Some(id) = pick(play, &[At::Calling]).filter(|id| unanswered(play, id)) {
                 play.set(id, if how == Completed { At::Running } else { At::Waiting });
                 let called = how != Completed && !how.never_ran();
-                play.world.0.borrow_mut().txns.get_mut(&id).unwrap().called = called;
+                play.world.0.borrow_mut().requests.get_mut(&id).unwrap().called = called;
                 play.admission.call_ended(now, id, how, MS * u32::from(much % 900));
             }
         }
         12 => {
             if let Some(id) = pick(play, &[At::Held, At::Joined, At::Running]) {
                 play.set(id, if play.at(id) == At::Running { At::Running } else { At::Over });
-                play.world.0.borrow_mut().txns.get_mut(&id).unwrap().gone = true;
+                play.world.0.borrow_mut().requests.get_mut(&id).unwrap().gone = true;
                 play.admission.caller_gone(now, id);
             }
         }
@@ -81,8 +82,9 @@
             play.admission.drain(now, stop);
         }
         15 if which < 64 => {
-            let leave = [Leave::Everything, Leave::Idempotent, Leave::Nothing][usize::from(which) % 3];
-            play.admission.leave(now, leave);
+            let leave =
+                [Permission::Everything, Permission::Idempotent, Permission::Nothing][usize::from(which) % 3];
+            play.admission.set_permission(now, leave);
         }
         15 if which < 96 => {
             // Windows grow and shrink; effects stay, since the model goes by one for each product.
@@ -90,12 +92,12 @@
             cfg.set("profiles.1.window", Value::Num(6e6 + f64::from(much) * 1e3));
             cfg.set("profiles.0.offered", Value::Flag(which % 2 == 0));
             cfg.set("family_info.calls_out", Value::Num(f64::from(which % 5)));
-            play.admission.reset(now, &cfg);
+            play.admission.apply_settings(now, &cfg);
         }
         14 => {
-            let stranger = TxnId(u32::MAX - u32::from(which));
-            play.admission.call_needed(now, stranger);
-            play.admission.call_ended(now, stranger, Overdue, MS);
+            let stranger = RequestId(u32::MAX - u32::from(which));
+            play.admission.call_requested(now, stranger);
+            play.admission.call_ended(now, stranger, TimedOut, MS);
             play.admission.run_ended(now, stranger, Completed, MS);
             play.admission.caller_gone(now, stranger);
         }
