--- a/crates/aldercrank-testbench/tests/suite/fleet.rs
+++ b/crates/aldercrank-testbench/tests/suite/fleet.rs
@@ -14,7 +14,7 @@
 /// Plays it; no rule may be broken. Gives its outcome.
 fn plays(name: &str, steps: &str) -> Value {
     let outcome = unbroken(name, &format!("{FLEET}{steps}"));
-    assert!(outcome["counts"]["settled"].as_u64() > Some(100), "{outcome}");
+    assert!(outcome["counts"]["completed"].as_u64() > Some(100), "{outcome}");
     outcome
 }
 
@@ -165,7 +165,7 @@
     let (code, story) = why("20");
     assert_eq!(code, Some(0), "{story}");
     assert!(story.contains("asks, as") && story.contains("over for its caller"), "{story}");
-    assert!(story.contains("logs: read product=") && story.contains("logs: its run ended"), "{story}");
+    assert!(story.contains("logs: read class=") && story.contains("logs: its run ended"), "{story}");
     assert_eq!(why("999999").0, Some(1));
     std::fs::write(keep.join("trace.jsonl"), "{\"us\": 1,").unwrap();
     assert_eq!(why("20").0, Some(2), "a record that is cut short");
--- a/crates/aldercrank-testbench/tests/suite/rules.rs
+++ b/crates/aldercrank-testbench/tests/suite/rules.rs
@@ -13,7 +13,7 @@
 /// Plays it; no rule may be broken, the book's promise among them. Gives its outcome.
 fn plays(name: &str, steps: &str) -> Value {
     let outcome = unbroken(name, &format!("{BASE}{steps}"));
-    assert!(outcome["counts"]["settled"].as_u64() > Some(500), "{outcome}");
+    assert!(outcome["counts"]["completed"].as_u64() > Some(500), "{outcome}");
     outcome
 }
 
