--- a/crates/aldercrank-testbench/tests/suite/rules.rs
+++ b/crates/aldercrank-testbench/tests/suite/rules.rs
@@ -199,3 +199,13 @@
     drop(_running);
     let _ = std::fs::remove_dir_all(keep);
 }
+
+#[test]
+fn a_version_published_while_another_is_being_decided_takes_effect_after_it() {
+    // Messages between servers take so long that the first version is still being decided when the second is read.
+    let steps = "at 0.5 \"delay\" with=\"peers\" ms=15 for=8\n\
+        at 2 \"rules\" set=\"licence-buy.points=6\"\nat 2.05 \"rules\" set=\"licence-buy.points=7\"\n\
+        rules within-ms=2000\n";
+    let outcome = plays("overlap", steps);
+    assert_eq!(acted_on(&outcome), 3, "the first version and both that were published");
+}
