--- /dev/null
+++ b/crates/aldercrank-testbench/src/cold_start.rs
@@ -0,0 +1,141 @@
+//! Fleets that start at once: the command `coldstart` and the check of the same name.
+
+use crate::check_runner::{repository_scenario, run_checks, CheckTask};
+use crate::figures;
+use crate::scenario_command;
+use crate::selection::Selection;
+use aldercrank_test_cluster::run_record::Outcome;
+use aldercrank_test_cluster::scenario::{Bounds, Fault, Scenario};
+use std::io;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// Runs at once: each keeps well under a core busy.
+const SIDE_BY_SIDE: usize = 4;
+/// What `check coldstart` plays.
+const COLD: [&str; 8] = [
+    "cold-start-late",
+    "cold-start-stop",
+    "cold-start-dead",
+    "cold-start-half",
+    "cold-start-index",
+    "cold-start-forgets",
+    "cold-start-slow",
+    "cold-start",
+];
+
+/// A start of so many, as `aldercrank-testbench coldstart` plays it.
+#[derive(Clone, Debug)]
+pub(crate) struct ColdStart {
+    pub(crate) servers: usize,
+    pub(crate) list_capacity: f64,
+    pub(crate) index_slots: f64,
+    pub(crate) rate: f64,
+    pub(crate) seed: u64,
+    pub(crate) program: Option<PathBuf>,
+    pub(crate) against: Option<PathBuf>,
+    pub(crate) report: Option<PathBuf>,
+    pub(crate) json: bool,
+}
+
+/// Starts a fleet at once over a cold index, shows what came of it, and the same for an earlier build.
+pub(crate) fn run(start: &ColdStart) -> io::Result<bool> {
+    let mut scenario = repository_scenario("cold-start-index")?;
+    scenario.name = format!("{} servers start at once", start.servers);
+    scenario.bounds = Bounds::default();
+    (scenario.fleet.servers, scenario.seed) = (start.servers, start.seed);
+    (scenario.list_capacity, scenario.callers.rate) = (start.list_capacity, start.rate);
+    (scenario.index.slots, scenario.index.limit) = (start.index_slots, start.index_slots * 1.5);
+    let play = |program: Option<PathBuf>| -> io::Result<Outcome> {
+        scenario_command::play(&scenario, &scenario_command::program(program)?, false)
+    };
+    let now = play(start.program.clone())?;
+    let before = start.against.clone().map(|old| play(Some(old))).transpose()?;
+    if let Some(file) = &start.report {
+        let page = aldercrank_test_cluster::report::html(&now, before.as_ref()).map_err(io::Error::other)?;
+        std::fs::write(file, page)?;
+        eprintln!("written: {}", file.display());
+    }
+    if start.json {
+        println!("{}", serde_json::json!({"now": now, "before": before}));
+    } else {
+        print_comparison(&now, before.as_ref());
+    }
+    Ok(now.counts.broken == 0)
+}
+
+fn print_comparison(now: &Outcome, before: Option<&Outcome>) {
+    let row = |what: &str, of: &dyn Fn(&Outcome) -> String| {
+        let before = before.map_or(String::new(), |b| format!("{:>12}", of(b)));
+        println!("{what:<52}{:>12}{before}", of(now));
+    };
+    let or_never = |s: Option<f64>| s.map_or("never".to_string(), |s| format!("{s:.1}"));
+    println!("{:<52}{:>12}{}", now.scenario, "", if before.is_some() { "      before" } else { "" });
+    row("membership service, connections", &|o| o.list.connections.to_string());
+    row("  most in a second", &|o| o.list.most_second.to_string());
+    row("  most in a tenth of a second", &|o| o.list.most_tenth.to_string());
+    row("  reports rejected", &|o| o.list.refused.to_string());
+    row("all listed after, s", &|o| or_never(o.list.all_listed_s));
+    row("lapses of running servers", &|o| o.list.flaps.to_string());
+    row("index, most outstanding calls", &|o| o.index_most.to_string());
+    row("  slowest second, times one alone", &|o| format!("{:.1}", o.index_slowest));
+    row("  collapses", &|o| o.index_collapses.to_string());
+    row("value", &|o| format!("{:.3}", o.value));
+    row("  steady after, s", &|o| or_never(o.steady_s));
+    row("  least possible, s", &|o| format!("{:.1}", o.least_steady_s));
+    row("most completed by one server, times the mean", &|o| format!("{:.2}", o.crowded));
+    row("rules broken", &|o| o.counts.broken.to_string());
+}
+
+/// A fleet that starts at once, and what it comes to at the membership service; an earlier build beside it for its figures.
+pub(crate) fn check(
+    selection: &Selection,
+    long: bool,
+    program: Option<PathBuf>,
+    against: Option<PathBuf>,
+) -> io::Result<bool> {
+    let mut scenarios: Vec<Scenario> =
+        COLD.iter().map(|name| repository_scenario(name)).collect::<io::Result<_>>()?;
+    if long {
+        // How evenly a first load is shared hangs on a machine that keeps up with it: no verdict for a busy one.
+        scenarios.push(repository_scenario("cold-start-even")?);
+        scenarios.iter_mut().for_each(grown);
+    }
+    if let Some(old) = against {
+        let old = scenario_command::program(Some(old))?;
+        for scenario in &scenarios {
+            println!("before {}", figures::of_cold_start(&scenario_command::play(scenario, &old, false)?));
+        }
+    }
+    let tasks: Vec<CheckTask> = scenarios.into_iter().map(CheckTask::Scenario).collect();
+    run_checks(
+        "coldstart",
+        selection,
+        tasks,
+        &scenario_command::program(program)?,
+        if long { 1 } else { SIDE_BY_SIDE },
+    )
+}
+
+/// The same start of three hundred servers: what they share can do as much more.
+fn grown(scenario: &mut Scenario) {
+    const SERVERS: usize = 300;
+    const MOST_RATE: f64 = 2000.0;
+    let times = SERVERS as f64 / scenario.fleet.servers as f64;
+    scenario.name = scenario.name.replace("forty", "three hundred");
+    scenario.fleet.servers = SERVERS;
+    scenario.list_capacity *= times;
+    let rate = (scenario.callers.rate * times).min(MOST_RATE);
+    let calls = rate / scenario.callers.rate;
+    (scenario.callers.rate, scenario.span) = (rate, scenario.span.mul_f64(1.5));
+    (scenario.index.slots, scenario.index.limit) =
+        (scenario.index.slots * times, scenario.index.limit * times);
+    // The rig itself takes a moment for each process: hundreds in one turn would be its own pause.
+    for step in scenario.timeline.iter_mut().filter(|s| matches!(s.fault, Fault::Kill | Fault::Leave)) {
+        step.each = step.each.max(Duration::from_millis(4));
+    }
+    // It warms by calls, which come so much oftener.
+    scenario.index.warming = (f64::from(scenario.index.warming) * calls) as u32;
+    scenario.bounds.index_most = scenario.bounds.index_most.map(|most| (most as f64 * times) as u64);
+    scenario.bounds.list_refused = scenario.bounds.list_refused.map(|most| (most as f64 * times) as u64);
+}
--- a/crates/aldercrank-testbench/src/budget.rs
+++ b/crates/aldercrank-testbench/src/cost_budget.rs
@@ -1,8 +1,8 @@
 //! The budget: what a txn of each kind may cost, by counts that do not depend on how fast the machine is, and
 //! the verdict on what was measured.
 
-use crate::cost::{self, Case, Cost};
-use crate::server::Build;
+use crate::request_cost::{self, Case, Cost};
+use crate::server_under_test::Build;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io;
@@ -91,8 +91,8 @@
 /// Measures the ordinary cases and holds them against the budget. Gives whether all are within.
 pub fn check(write: bool) -> io::Result<bool> {
     let mut measured = Budget::new();
-    for case in cost::ordinary() {
-        let counts = counts(&cost::measure(&Build::Counted, &case, 3)?);
+    for case in request_cost::ordinary() {
+        let counts = counts(&request_cost::measure(&Build::Counted, &case, 3)?);
         println!("{:<34} {}", case.name, serde_json::to_string(&counts).unwrap_or_default());
         measured.insert(case.name, counts);
     }
@@ -133,7 +133,7 @@
         "a txn", "calls", "allocs", "bytes", "copied", "cpu us", "peak MB"
     );
     for (case, cost) in rows {
-        let heap = |of: fn(&cost::Heap) -> f64| {
+        let heap = |of: fn(&request_cost::Heap) -> f64| {
             cost.heap.as_ref().map_or("-".to_string(), |h| format!("{:.1}", of(h)))
         };
         let names: Vec<String> = cost.calls.iter().map(|(name, n)| format!("{name} {n:.2}")).collect();
--- a/crates/aldercrank-testbench/src/plot.rs
+++ b/crates/aldercrank-testbench/src/cost_plot.rs
@@ -1,6 +1,6 @@
 //! Cost as things grow, drawn: one panel for each thing that grows, time on a core for each txn over its number.
 
-use crate::cost::{Case, Cost};
+use crate::request_cost::{Case, Cost};
 use plotters::prelude::*;
 use std::path::Path;
 
--- a/crates/aldercrank-testbench/src/peer.rs
+++ b/crates/aldercrank-testbench/src/edge_client.rs
@@ -1,4 +1,4 @@
-//! The other side of the edge protocol: an edge node's connection, as the laboratory plays it.
+//! The other side of the edge protocol: an edge node's connection, as the testbench plays it.
 
 use rmp::encode;
 use rmpv::Value;
@@ -7,13 +7,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Calls that may be open on a connection.
-pub const OPEN: usize = 32;
+pub const MAX_OPEN_CALLS: usize = 32;
 /// How long an answer is waited for.
 const LONG: Duration = Duration::from_secs(20);
 
 /// A txn to be asked for.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     pub attempt: u64,
     pub class: &'static str,
     pub token: Option<u64>,
@@ -24,7 +24,7 @@
     pub rank: f64,
 }
 
-impl Ask {
+impl ClientRequest {
     /// As it is written on the wire.
     pub fn id(&self) -> String {
         format!("{:016x}", self.attempt)
@@ -39,7 +39,7 @@
     Failed,
 }
 
-pub struct Edge {
+pub struct EdgeConnection {
     stream: TcpStream,
     input: Vec<u8>,
     next: u32,
@@ -49,17 +49,17 @@
     let _ = encode::write_str(into, text);
 }
 
-impl Edge {
-    pub fn connect(to: SocketAddr) -> io::Result<Edge> {
+impl EdgeConnection {
+    pub fn connect(to: SocketAddr) -> io::Result<EdgeConnection> {
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(LONG))?;
-        Ok(Edge { stream, input: Vec::new(), next: 0 })
+        Ok(EdgeConnection { stream, input: Vec::new(), next: 0 })
     }
 
     /// A second handle, to read answers with while this one asks.
-    pub fn reader(&self) -> io::Result<Edge> {
-        Ok(Edge { stream: self.stream.try_clone()?, input: Vec::new(), next: 0 })
+    pub fn reader(&self) -> io::Result<EdgeConnection> {
+        Ok(EdgeConnection { stream: self.stream.try_clone()?, input: Vec::new(), next: 0 })
     }
 
     pub fn patience(&self, span: Duration) -> io::Result<()> {
@@ -67,7 +67,7 @@
     }
 
     /// Adds one call to `into`; gives its number on this connection.
-    pub fn call(&mut self, into: &mut Vec<u8>, ask: &Ask) -> u32 {
+    pub fn call(&mut self, into: &mut Vec<u8>, ask: &ClientRequest) -> u32 {
         self.next += 1;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut fields = vec![
@@ -94,7 +94,7 @@
     }
 
     /// Asks for these in one write.
-    pub fn ask(&mut self, asks: &[Ask]) -> io::Result<()> {
+    pub fn ask(&mut self, asks: &[ClientRequest]) -> io::Result<()> {
         let mut bytes = Vec::new();
         for ask in asks {
             self.call(&mut bytes, ask);
--- /dev/null
+++ b/crates/aldercrank-testbench/src/figures.rs
@@ -0,0 +1,89 @@
+//! One line of figures for each kind of run, as the checks print them.
+
+use aldercrank_test_cluster::invariant_checker::Rule;
+use aldercrank_test_cluster::run_record::Outcome;
+
+/// The value of a run as a share of that of the run without faults, where there is one.
+fn of_calm(outcome: &Outcome, calm: Option<&Outcome>) -> String {
+    calm.map_or(String::new(), |calm| format!(" of calm {:.3}", outcome.value / calm.value.max(1e-9)))
+}
+
+fn lost(outcome: &Outcome) -> usize {
+    outcome.broken.iter().filter(|b| matches!(b.rule, Rule::Lost | Rule::Late)).count()
+}
+
+fn twice(outcome: &Outcome) -> usize {
+    outcome.broken.iter().filter(|b| b.rule == Rule::Twice).count()
+}
+
+/// A run with faults between servers and what they depend on.
+pub fn of_cluster(o: &Outcome, calm: Option<&Outcome>) -> String {
+    let of_calm = of_calm(o, calm);
+    format!(
+        "{}: {} servers, value {:.3}{of_calm}, {} attempts, {} runs, lost {}, twice {}, across incarnations {}, rules broken {}, \
+         test cluster {:.2} cores, {} MB, start {:.1} s",
+        o.scenario,
+        o.servers,
+        o.value,
+        o.counts.attempts,
+        o.counts.runs,
+        lost(o),
+        twice(o),
+        o.counts.across,
+        o.counts.broken,
+        o.rig_cpu_s / o.span_s,
+        o.rig_memory_kb / 1000,
+        o.start_s
+    )
+}
+
+/// A start of a whole fleet.
+pub fn of_cold_start(o: &Outcome) -> String {
+    let listed = o.list.all_listed_s.map_or("never".to_string(), |at| format!("after {at:.1} s"));
+    format!(
+        "{}: {} connections at the membership service, at most {} in a second and {} in a tenth ({} and {} from 5 s on), \
+         {} reports rejected, all listed {listed}, {} lapses, value {:.3}, steady after {} s ({:.1} at least), index at \
+         most {} and {:.1} times one alone, most on one server {:.2}, rules broken {}",
+        o.scenario,
+        o.list.connections,
+        o.list.most_second,
+        o.list.most_tenth,
+        o.list.later_second,
+        o.list.later_tenth,
+        o.list.refused,
+        o.list.flaps,
+        o.value,
+        o.steady_s.map_or("-".to_string(), |s| format!("{s:.0}")),
+        o.least_steady_s,
+        o.index_most,
+        o.index_slowest,
+        o.crowded,
+        o.counts.broken
+    )
+}
+
+/// A run in which servers go by a versioned configuration.
+pub fn of_versions(o: &Outcome, calm: Option<&Outcome>) -> String {
+    let of_calm = of_calm(o, calm);
+    let a = o.agree.clone().unwrap_or_default();
+    let each = a.words as f64 / o.servers as f64 / o.span_s;
+    format!(
+        "{}: {} servers, value {:.3}{of_calm}, lost {}, twice {}, rules broken {}, {} acts by {} of {} versions, \
+         contradicting acts at most {:.0} ms apart, in force after {:.0} and {:.0} ms (p99, free and fenced), \
+         {each:.1} messages a server and second, {} reads of the membership service, index at most {}",
+        o.scenario,
+        o.servers,
+        o.value,
+        lost(o),
+        twice(o),
+        o.counts.broken,
+        a.acts,
+        a.acted_on,
+        a.published + 1,
+        a.farthest_ms,
+        a.free_p99_ms,
+        a.fenced_p99_ms,
+        a.reads,
+        o.index_most
+    )
+}
--- a/crates/aldercrank-testbench/src/lib.rs
+++ b/crates/aldercrank-testbench/src/lib.rs
@@ -1,40 +1,43 @@
-//! The laboratory's command line: `aldercrank-lab load`, `cost`, `check`.
+//! The testbench's command line: `aldercrank-testbench load`, `cost`, `check`.
 
 // Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
 #![allow(missing_docs, unreachable_pub)]
 #![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
 
-mod agree;
-mod budget;
-mod cost;
-mod fleet;
-mod live;
-mod load;
-mod peer;
-mod platform;
-mod plot;
+mod check_runner;
+mod cluster_checks;
+mod cold_start;
+mod consensus_check;
+mod cost_budget;
+mod cost_plot;
+mod edge_client;
+mod figures;
+mod load_generator;
+mod platform_check;
+mod request_cost;
+mod request_trace;
+mod scenario_command;
 mod selection;
-mod server;
-mod soak;
-mod stand;
-mod trace;
-mod why;
+mod server_under_test;
+mod soak_check;
+mod stub_services;
+mod syscall_trace;
 
 use bpaf::{construct, long, positional, OptionParser, Parser};
-use cost::Case;
-use server::Build;
+use request_cost::Case;
+use server_under_test::Build;
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Counts what the counted server allocates; the laboratory's own processes pay a little for it.
+/// Counts what the counted server allocates; the testbench's own processes pay a little for it.
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 #[derive(Clone, Debug)]
 enum Command {
-    Load(load::Load),
+    Load(load_generator::Load),
     Cost {
         program: Option<PathBuf>,
         against: Option<PathBuf>,
@@ -52,8 +55,8 @@
         against: Option<PathBuf>,
         name: String,
     },
-    Fleet(fleet::Fleet),
-    Start(live::Start),
+    Fleet(scenario_command::Fleet),
+    ColdStart(cold_start::ColdStart),
     Hunt {
         program: Option<PathBuf>,
         seconds: u64,
@@ -97,11 +100,11 @@
     let cores = long("cores").help("cores that runs share").argument("N").fallback(4usize);
     let work = long("work-ms").help("how long a run takes on a core").argument("MS").fallback(50u64);
     let json = long("json").help("one JSON document in place of the table").switch();
-    let load = construct!(load::Load { program, rate, seconds, connections, cores, work, json });
+    let load = construct!(load_generator::Load { program, rate, seconds, connections, cores, work, json });
     let load = construct!(Command::Load(load))
         .to_options()
-        .descr("Start a server with stand-ins round it, send an open-loop load and count the answers")
-        .footer("Example: aldercrank-lab load --rate 160\nExit: 0 all answered once, 1 not so, 2 it could not be run")
+        .descr("Start a server with stub services round it, send an open-loop load and count the answers")
+        .footer("Example: aldercrank-testbench load --rate 160\nExit: 0 all answered once, 1 not so, 2 it could not be run")
         .command("load");
     let program =
         file("program", "measure this program; heap and copies are counted in our own only").optional();
@@ -112,7 +115,7 @@
     let cost = construct!(Command::Cost { program, against, rounds, plot, json })
         .to_options()
         .descr("Say what one txn of each kind costs the server")
-        .footer("Example: aldercrank-lab cost --plot cost.svg\nExit: 0 all measured, 1 some were not, 2 none could be")
+        .footer("Example: aldercrank-testbench cost --plot cost.svg\nExit: 0 all measured, 1 some were not, 2 none could be")
         .command("cost");
     let instructions = bpaf::pure(Command::Instructions)
         .to_options()
@@ -152,7 +155,7 @@
     let why = construct!(Command::Why { dir, request })
         .to_options()
         .descr("Follow one txn through every process that handled it")
-        .footer("Example: aldercrank-lab why /tmp/run 17\nExit: 0 it stands in the record, 1 it does not, 2 no record")
+        .footer("Example: aldercrank-testbench why /tmp/run 17\nExit: 0 it stands in the record, 1 it does not, 2 no record")
         .command("why");
     let parent = positional::<u32>("PARENT");
     let words = positional::<String>("WORD").many();
@@ -163,7 +166,7 @@
     let watch = construct!(Command::Watch { parent, report, words }).to_options().command("watch").hide();
     construct!([load, cost, instructions, check, fleet, start, hunt, why, counted, broken, hold, watch])
         .to_options()
-        .descr("aldercrank's laboratory, on loopback")
+        .descr("aldercrank's testbench, on loopback")
 }
 
 fn start_command() -> impl Parser<Command> {
@@ -182,7 +185,7 @@
     let against = file("against", "an earlier build, played on the same seed");
     let report = file("report", "write a page with plots");
     let json = long("json").help("one JSON document in place of the table").switch();
-    construct!(live::Start {
+    construct!(cold_start::ColdStart {
         servers,
         list_capacity,
         index_slots,
@@ -193,13 +196,13 @@
         report,
         json
     })
-    .map(Command::Start)
+    .map(Command::ColdStart)
     .to_options()
     .descr(
         "Start a fleet in one moment, over an index with empty caches, and say what the services below met",
     )
     .footer(
-        "Example: aldercrank-lab coldstart --servers 100 --list-capacity 150 --against old/aldercrank\n\
+        "Example: aldercrank-testbench coldstart --servers 100 --list-capacity 150 --against old/aldercrank\n\
              Exit: 0 no rule broken, 1 one was, 2 it could not be played",
     )
     .command("coldstart")
@@ -217,12 +220,12 @@
     let report = path("report", "write a page with plots", "FILE.html");
     let keep = path("keep", "keep configurations, logs and the record, for `why`", "DIR");
     let file = positional::<PathBuf>("SCENARIO").help("a KDL document, as scenarios/ has them");
-    construct!(fleet::Fleet { program, seed, calm, json, quiet, report, keep, file })
+    construct!(scenario_command::Fleet { program, seed, calm, json, quiet, report, keep, file })
         .map(Command::Fleet)
         .to_options()
         .descr("Start a fleet of real servers, play a scenario with faults between them, and judge it by the rules")
         .footer(
-            "Example: aldercrank-lab fleet scenarios/kill-restart.kdl --report run.html\n\
+            "Example: aldercrank-testbench fleet scenarios/kill-restart.kdl --report run.html\n\
              Exit: 0 rules and bounds hold, 1 one does not, 2 it could not be played",
         )
         .command("fleet")
@@ -239,7 +242,7 @@
     construct!(Command::Hunt { program, seconds, seed, rules, into })
         .to_options()
         .descr("Draw timelines of faults, and keep the smallest that break a rule or lose the most")
-        .footer("Example: aldercrank-lab hunt --seconds 600\nExit: 0 no rule broken, 1 one was, 2 it could not be played")
+        .footer("Example: aldercrank-testbench hunt --seconds 600\nExit: 0 no rule broken, 1 one was, 2 it could not be played")
         .command("hunt")
 }
 
@@ -253,8 +256,8 @@
 
 /// Serves in this process, and says on each line of standard input what has been counted.
 fn broken(injected_fault: &str, config: String, service: Option<String>) -> Result<(), String> {
-    let injected_fault =
-        agree::injected_fault(injected_fault).ok_or(format!("no mistake is named {injected_fault}"))?;
+    let injected_fault = consensus_check::injected_fault(injected_fault)
+        .ok_or(format!("no mistake is named {injected_fault}"))?;
     let read = move || {
         let mut config = aldercrank_server::config::Config::load(Some(&config), service.as_deref())?;
         config.rules.iter_mut().for_each(|rules| rules.injected_fault = Some(injected_fault));
@@ -284,11 +287,11 @@
     cases: Vec<Case>,
     rounds: usize,
     left: &mut Vec<String>,
-) -> Vec<(Case, cost::Cost)> {
+) -> Vec<(Case, request_cost::Cost)> {
     let mut rows = Vec::new();
     for case in cases {
         eprintln!("measuring {} ...", case.name);
-        match cost::measure(build, &case, rounds) {
+        match request_cost::measure(build, &case, rounds) {
             Ok(cost) => rows.push((case, cost)),
             Err(e) => left.push(format!("{}: not measured: {e}", case.name)),
         }
@@ -303,29 +306,29 @@
     plot: Option<PathBuf>,
     json: bool,
 ) -> std::io::Result<bool> {
-    let all: Vec<Case> = cost::ordinary().into_iter().chain(cost::growth()).collect();
+    let all: Vec<Case> = request_cost::ordinary().into_iter().chain(request_cost::growth()).collect();
     let mut left = Vec::new();
     let rows = measure(&build, all, rounds, &mut left);
     if json {
-        println!("{}", budget::json(&rows));
+        println!("{}", cost_budget::json(&rows));
     } else {
-        budget::table(&rows);
+        cost_budget::table(&rows);
     }
     if let Some(file) = plot {
         let earlier = match &against {
-            Some(old) => measure(&Build::Program(old.clone()), cost::growth(), rounds, &mut left),
+            Some(old) => measure(&Build::Program(old.clone()), request_cost::growth(), rounds, &mut left),
             None => Vec::new(),
         };
-        plot::growth(&file, &rows, &earlier).map_err(std::io::Error::other)?;
+        cost_plot::growth(&file, &rows, &earlier).map_err(std::io::Error::other)?;
         println!("drawn: {}", file.display());
     }
     left.iter().for_each(|line| eprintln!("{line}"));
     let whole = left.is_empty();
     let Some(old) = against else { return Ok(whole) };
     for (name, held, open) in PAIRED {
-        let case = Case { held, open, requests: 320, ..Case::new(name, cost::Kind::Completed) };
-        let own = Build::Program(server::beside());
-        let (a, b, ratio) = cost::paired(&own, &Build::Program(old.clone()), &case, 5)?;
+        let case = Case { held, open, requests: 320, ..Case::new(name, request_cost::Kind::Completed) };
+        let own = Build::Program(server_under_test::beside());
+        let (a, b, ratio) = request_cost::paired(&own, &Build::Program(old.clone()), &case, 5)?;
         println!("{name}: {a:?} against {b:?} on a core for each txn, ratio {ratio:.3}");
     }
     Ok(whole)
@@ -346,7 +349,7 @@
         dedup_entries,
         open,
         requests: 1024,
-        ..Case::new(name, cost::Kind::Completed)
+        ..Case::new(name, request_cost::Kind::Completed)
     };
     let cases = [
         of("settled", 0, 0, 0, 1),
@@ -357,7 +360,7 @@
         of("50,000 marks", 0, 0, 50_000, 1),
     ];
     for case in cases {
-        println!("{:<34}{:>10.0} instructions a txn", case.name, cost::instructions(&case)?);
+        println!("{:<34}{:>10.0} instructions a txn", case.name, request_cost::instructions(&case)?);
     }
     Ok(true)
 }
@@ -366,40 +369,40 @@
 pub fn main() -> ExitCode {
     raise_descriptors();
     let run = match commands().run() {
-        Command::Load(load) => load::run(&load),
+        Command::Load(load) => load_generator::run(&load),
         Command::Cost { program, against, rounds, plot, json } => {
             let build = program.map_or(Build::Counted, Build::Program);
             cost(build, against, rounds.max(1), plot, json)
         }
         Command::Instructions => instructions(),
         Command::Check { selection, write, name, .. } if name == "cost" => {
-            selection.check_is_empty().and_then(|()| budget::check(write))
+            selection.check_is_empty().and_then(|()| cost_budget::check(write))
         }
         Command::Check { selection, long, program, name, .. } if name == "live" => {
-            live::check(&selection, long, program)
+            cluster_checks::check(&selection, long, program)
         }
         Command::Check { selection, long, program, against, name, .. } if name == "coldstart" => {
-            live::cold(&selection, long, program, against)
+            cold_start::check(&selection, long, program, against)
         }
         Command::Check { selection, long, program, name, .. } if name == "agree" => {
-            agree::check(&selection, long, program)
+            consensus_check::check(&selection, long, program)
         }
         Command::Check { selection, program, name, .. } if name == "platform" => {
-            selection.check_is_empty().and_then(|()| platform::check(program))
+            selection.check_is_empty().and_then(|()| platform_check::check(program))
         }
         Command::Check { selection, name, .. } if name == "soak" => {
-            selection.check_is_empty().and_then(|()| soak::check())
+            selection.check_is_empty().and_then(|()| soak_check::check())
         }
         Command::Check { name, .. } => Err(std::io::Error::other(format!(
             "no check is named {name}; there are: cost, live, coldstart, agree, platform, soak"
         ))),
-        Command::Fleet(fleet) => fleet::run(&fleet),
-        Command::Start(start) => live::start(&start),
+        Command::Fleet(fleet) => scenario_command::run(&fleet),
+        Command::ColdStart(start) => cold_start::run(&start),
         Command::Hunt { program, seconds, seed, rules, into } => {
-            fleet::hunt(seconds, seed, rules, &into, program)
+            scenario_command::hunt(seconds, seed, rules, &into, program)
         }
-        Command::Why { dir, request } => why::why(&dir, &request),
-        Command::Watch { parent, report, words } => platform::watch(parent, &report, &words),
+        Command::Why { dir, request } => request_trace::why(&dir, &request),
+        Command::Watch { parent, report, words } => platform_check::watch(parent, &report, &words),
         Command::Hold { parent, words } => Err(aldercrank_test_cluster::process::hold(parent, &words)),
         Command::Broken { injected_fault, service, config } => {
             broken(&injected_fault, config, service).map(|()| true).map_err(std::io::Error::other)
@@ -413,7 +416,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
-            eprintln!("aldercrank-lab: {e}");
+            eprintln!("aldercrank-testbench: {e}");
             ExitCode::from(2)
         }
     }
--- a/crates/aldercrank-testbench/src/load.rs
+++ b/crates/aldercrank-testbench/src/load_generator.rs
@@ -1,9 +1,9 @@
 //! An open-loop load: what is due is sent when it is due, however slow the answers are, and each answer's time
 //! counts from when its txn was due.
 
-use crate::peer::{Answer, Ask, Edge, OPEN};
-use crate::server::{beside, Build, Server, Setup};
-use crate::stand::{Plan, Runs};
+use crate::edge_client::{Answer, ClientRequest, EdgeConnection, MAX_OPEN_CALLS};
+use crate::server_under_test::{beside, Build, Server, Setup};
+use crate::stub_services::{Plan, Runs};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::io;
@@ -31,7 +31,7 @@
 
 /// What has been answered, with when each was due.
 #[derive(Default)]
-struct VersionedConfig {
+struct AnswerLog {
     due: BTreeMap<(usize, u32), Instant>,
     seconds: Vec<[u64; 3]>,
     times: BTreeMap<&'static str, Histogram<u64>>,
@@ -48,7 +48,7 @@
     }
 }
 
-impl VersionedConfig {
+impl AnswerLog {
     fn open(&self, on: usize) -> usize {
         self.due.range((on, 0)..=(on, u32::MAX)).count()
     }
@@ -78,8 +78,8 @@
     let server = Server::start(&Build::Program(program), &setup(load.cores))?;
     let work = Runs::Work { span: Duration::from_millis(load.work), cores: load.cores };
     server.pool.plan(Plan { runs: work, calls: true, result: 100 });
-    let (book, over, began) =
-        (Arc::new(Mutex::new(VersionedConfig::default())), Arc::new(AtomicBool::new(false)), Instant::now());
+    let (log, over, began) =
+        (Arc::new(Mutex::new(AnswerLog::default())), Arc::new(AtomicBool::new(false)), Instant::now());
     let mut edges = Vec::new();
     let total = u64::from(load.rate) * u64::from(load.seconds);
     eprintln!("sending {} a second for {} s to {}", load.rate, load.seconds, server.edge);
@@ -87,34 +87,35 @@
         let due = began + Duration::from_secs_f64(n as f64 / f64::from(load.rate));
         thread::sleep(due.saturating_duration_since(Instant::now()));
         // As edge nodes do: a connection that has all the calls open that it may is left alone.
-        let on =
-            (0..edges.len()).map(|i| (n as usize + i) % edges.len()).find(|on| lock(&book).open(*on) < OPEN);
+        let on = (0..edges.len())
+            .map(|i| (n as usize + i) % edges.len())
+            .find(|on| lock(&log).open(*on) < MAX_OPEN_CALLS);
         let on = match on.filter(|_| edges.len() >= load.connections) {
             Some(on) => on,
             None => {
-                edges.push(connect(&server, edges.len(), &book, &over, began)?);
+                edges.push(connect(&server, edges.len(), &log, &over, began)?);
                 edges.len() - 1
             }
         };
         let token = (n % BUYS == 0).then_some(n);
         let class = if token.is_some() { "licence-buy" } else { "map-extract" };
         let (budget, rank) = (Duration::from_secs(3), rank(n, token.is_some()));
-        let ask = Ask { attempt: n + 1, class, token, budget, body: 100, rank };
+        let ask = ClientRequest { attempt: n + 1, class, token, budget, body: 100, rank };
         // Noted before it is sent: the answer may come at once.
         let mut bytes = Vec::new();
         let call = edges[on].call(&mut bytes, &ask);
-        lock(&book).due.insert((on, call), due);
+        lock(&log).due.insert((on, call), due);
         edges[on].send(&bytes)?;
     }
     let rest = Instant::now() + REST;
-    while Instant::now() < rest && !lock(&book).due.is_empty() {
+    while Instant::now() < rest && !lock(&log).due.is_empty() {
         thread::sleep(Duration::from_millis(10));
     }
     over.store(true, Ordering::Relaxed);
-    let mut book = lock(&book);
-    book.lost = book.due.len() as u64;
-    say(load, &book, total);
-    Ok(book.lost == 0 && book.strange == 0)
+    let mut log = lock(&log);
+    log.lost = log.due.len() as u64;
+    print_results(load, &log, total);
+    Ok(log.lost == 0 && log.strange == 0)
 }
 
 /// A server of so many cores, as `examples/config.json` has it.
@@ -139,18 +140,18 @@
 fn connect(
     server: &Server,
     number: usize,
-    book: &Arc<Mutex<VersionedConfig>>,
+    log: &Arc<Mutex<AnswerLog>>,
     over: &Arc<AtomicBool>,
     began: Instant,
-) -> io::Result<Edge> {
-    let edge = Edge::connect(server.edge)?;
+) -> io::Result<EdgeConnection> {
+    let edge = EdgeConnection::connect(server.edge)?;
     let mut reader = edge.reader()?;
     reader.patience(Duration::from_millis(100))?;
-    let (book, over) = (book.clone(), over.clone());
+    let (log, over) = (log.clone(), over.clone());
     thread::spawn(move || {
         while !over.load(Ordering::Relaxed) {
             match reader.answer() {
-                Ok(Some((call, answer))) => lock(&book).answered((number, call), answer, began),
+                Ok(Some((call, answer))) => lock(&log).answered((number, call), answer, began),
                 Ok(None) => {}
                 Err(_) => return,
             }
@@ -159,31 +160,31 @@
     Ok(edge)
 }
 
-fn lock(book: &Mutex<VersionedConfig>) -> std::sync::MutexGuard<'_, VersionedConfig> {
-    book.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(log: &Mutex<AnswerLog>) -> std::sync::MutexGuard<'_, AnswerLog> {
+    log.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn say(load: &Load, book: &VersionedConfig, total: u64) {
+fn print_results(load: &Load, log: &AnswerLog, total: u64) {
     if load.json {
         let times = |h: &Histogram<u64>| {
             serde_json::json!({"count": h.len(), "p50_us": h.value_at_quantile(0.5),
             "p99_us": h.value_at_quantile(0.99), "max_us": h.max()})
         };
         let kinds: BTreeMap<&str, serde_json::Value> =
-            book.times.iter().map(|(name, h)| (*name, times(h))).collect();
-        let all = serde_json::json!({"sent": total, "answers": kinds, "lost": book.lost, "strange": book.strange,
-            "seconds": book.seconds});
+            log.times.iter().map(|(name, h)| (*name, times(h))).collect();
+        let all = serde_json::json!({"sent": total, "answers": kinds, "lost": log.lost, "strange": log.strange,
+            "seconds": log.seconds});
         return println!("{all}");
     }
     println!("{:>8}{:>10}{:>10}{:>10}", "second", "settled", "declined", "voided");
-    for (second, [completed, rejected, failed]) in book.seconds.iter().enumerate() {
+    for (second, [completed, rejected, failed]) in log.seconds.iter().enumerate() {
         println!("{second:>8}{completed:>10}{rejected:>10}{failed:>10}");
     }
     println!("{:>10}{:>10}{:>12}{:>12}{:>12}", "answer", "count", "p50 ms", "p99 ms", "most ms");
-    for (name, h) in &book.times {
+    for (name, h) in &log.times {
         let ms = |us: u64| us as f64 / 1e3;
         let (p50, p99) = (ms(h.value_at_quantile(0.5)), ms(h.value_at_quantile(0.99)));
         println!("{name:>10}{:>10}{p50:>12.1}{p99:>12.1}{:>12.1}", h.len(), ms(h.max()));
     }
-    println!("{total} sent, {} not answered, {} answered twice or unasked", book.lost, book.strange);
+    println!("{total} sent, {} not answered, {} answered twice or unasked", log.lost, log.strange);
 }
--- a/crates/aldercrank-testbench/src/platform.rs
+++ b/crates/aldercrank-testbench/src/platform_check.rs
@@ -1,8 +1,8 @@
-//! `aldercrank-lab check platform`: the program on a day that takes every path, looked at from outside. It has to do
+//! `aldercrank-testbench check platform`: the program on a day that takes every path, looked at from outside. It has to do
 //! without all that the operators' platform refuses: certain system calls, a second process, descriptors and
 //! listeners of other kinds, static linking.
 
-use crate::fleet;
+use crate::scenario_command;
 use aldercrank_test_cluster::cluster::{run_dir, RunOptions, TestCluster};
 use aldercrank_test_cluster::process::end_with;
 use aldercrank_test_cluster::scenario::Scenario;
@@ -132,7 +132,7 @@
     text.lines().skip(1).filter_map(row).collect()
 }
 
-/// What this process has open: the program may have it from here, through whoever called the laboratory.
+/// What this process has open: the program may have it from here, through whoever called the testbench.
 fn inherited() -> BTreeSet<String> {
     let Ok(open) = std::fs::read_dir("/proc/self/fd") else { return BTreeSet::new() };
     open.flatten()
@@ -225,7 +225,7 @@
     // What is traced answers to one thread only, the one that started it.
     std::thread::spawn(move || {
         let code = traced(&report, &words, &say).unwrap_or_else(|e| {
-            eprintln!("aldercrank-lab: {e}");
+            eprintln!("aldercrank-testbench: {e}");
             Some(2)
         });
         std::process::exit(code.unwrap_or(101));
@@ -269,7 +269,7 @@
 }
 
 pub fn check(program: Option<PathBuf>) -> io::Result<bool> {
-    let mut program = fleet::program(program)?;
+    let mut program = scenario_command::program(program)?;
     let scenario = Scenario::parse(DAY).map_err(io::Error::other)?;
     let report = run_dir("platform-report");
     std::fs::create_dir_all(&report)?;
--- a/crates/aldercrank-testbench/src/cost.rs
+++ b/crates/aldercrank-testbench/src/request_cost.rs
@@ -1,17 +1,17 @@
 //! What one txn of each kind costs the server: system calls by name, heap, copies, time on a core. Each figure
 //! is the least of several rounds, so that what comes by the clock (a report, a tick) is not in it.
 
-use crate::peer::{Answer, Ask, Edge, OPEN};
-use crate::server::{Build, Counts, Server, Setup};
-use crate::stand::{Plan, Runs};
-use crate::trace::{Calls, Tracer};
+use crate::edge_client::{Answer, ClientRequest, EdgeConnection, MAX_OPEN_CALLS};
+use crate::server_under_test::{Build, Counts, Server, Setup};
+use crate::stub_services::{Plan, Runs};
+use crate::syscall_trace::{Calls, Tracer};
 use std::collections::BTreeMap;
 use std::io;
 use std::time::{Duration, Instant};
 
 /// How long callers wait: far beyond a round, and all of it, or a try would be taken for a later one.
 const WHOLE_TIME: Duration = Duration::from_secs(1200);
-/// How long the laboratory waits for a state of the stand-ins.
+/// How long the testbench waits for a state of the stub services.
 const LONG: Duration = Duration::from_secs(20);
 
 /// The kinds of txn, by what becomes of them.
@@ -117,10 +117,10 @@
 }
 
 /// A server with everything that a case needs beside the txns that are measured.
-struct RunOptions {
+struct Measurement {
     server: Server,
     case: Case,
-    edges: Vec<Edge>,
+    edges: Vec<EdgeConnection>,
     /// Which connection each of the held came on, by its id.
     held: BTreeMap<String, usize>,
     next: u64,
@@ -139,7 +139,7 @@
 }
 
 fn wrong(what: &str) -> io::Error {
-    io::Error::other(format!("the stand-ins saw what they should not: {what}"))
+    io::Error::other(format!("the stub services saw what they should not: {what}"))
 }
 
 fn wait(what: &str, mut until: impl FnMut() -> bool) -> io::Result<()> {
@@ -153,16 +153,16 @@
     Ok(())
 }
 
-impl RunOptions {
-    fn begin(build: &Build, case: &Case) -> io::Result<RunOptions> {
+impl Measurement {
+    fn begin(build: &Build, case: &Case) -> io::Result<Measurement> {
         let server = Server::start(build, &setup(case))?;
-        let connections = 1 + case.idle + (case.held + 4).div_ceil(OPEN);
+        let connections = 1 + case.idle + (case.held + 4).div_ceil(MAX_OPEN_CALLS);
         let mut edges = Vec::with_capacity(connections);
         for n in 0..connections {
-            let mut edge = Edge::connect(server.edge)?;
+            let mut edge = EdgeConnection::connect(server.edge)?;
             // One that never says anything whole would be closed.
             let budget = Duration::from_secs(1);
-            edge.ask(&[Ask {
+            edge.ask(&[ClientRequest {
                 attempt: u64::MAX - n as u64,
                 class: "map-extract",
                 token: None,
@@ -173,22 +173,23 @@
             edge.answer()?;
             edges.push(edge);
         }
-        let mut play = RunOptions { server, case: case.clone(), edges, held: BTreeMap::new(), next: 1 };
-        play.plan(Runs::AtOnce, 0);
+        let mut measurement =
+            Measurement { server, case: case.clone(), edges, held: BTreeMap::new(), next: 1 };
+        measurement.plan(Runs::AtOnce, 0);
         // What has been learnt of how long runs take, and buffers that have been as full before.
-        play.batches(Kind::Completed, 256, if case.held > 0 { 1 } else { OPEN })?;
-        play.batches(Kind::Buy, case.dedup_entries, 32)?;
+        measurement.batches(Kind::Completed, 256, if case.held > 0 { 1 } else { MAX_OPEN_CALLS })?;
+        measurement.batches(Kind::Buy, case.dedup_entries, 32)?;
         let cue = matches!(case.kind, Kind::Interrupted | Kind::Dropped) || case.held > 0;
-        play.plan(if cue { Runs::OnCue } else { Runs::AtOnce }, case.result);
-        play.fill()?;
-        Ok(play)
+        measurement.plan(if cue { Runs::OnCue } else { Runs::AtOnce }, case.result);
+        measurement.fill()?;
+        Ok(measurement)
     }
 
     fn plan(&self, runs: Runs, result: usize) {
         self.server.pool.plan(Plan { runs, calls: self.case.kind == Kind::WithCall, result });
     }
 
-    fn one(&mut self, kind: Kind) -> Ask {
+    fn one(&mut self, kind: Kind) -> ClientRequest {
         self.next += 1;
         let token = match kind {
             Kind::Buy => Some(self.next),
@@ -197,14 +198,14 @@
         };
         let class = if token.is_some() { "licence-buy" } else { "map-extract" };
         let budget = if kind == Kind::Rejected { Duration::from_secs(1) } else { WHOLE_TIME };
-        Ask { attempt: self.next, class, token, budget, body: self.case.body, rank: 0.5 }
+        ClientRequest { attempt: self.next, class, token, budget, body: self.case.body, rank: 0.5 }
     }
 
     /// Fills the hold: the window is as wide as the cores.
     fn fill(&mut self) -> io::Result<()> {
         let all = if self.case.held > 0 { self.case.held + 4 } else { 0 };
         for i in 0..all {
-            let (ask, on) = (self.one(Kind::Completed), 1 + i / OPEN);
+            let (ask, on) = (self.one(Kind::Completed), 1 + i / MAX_OPEN_CALLS);
             self.held.insert(ask.id(), on);
             self.edges[on].ask(&[ask])?;
         }
@@ -219,7 +220,7 @@
         let mut left = requests;
         while left > 0 {
             let n = left.min(open);
-            let asks: Vec<Ask> = (0..n).map(|_| self.one(kind)).collect();
+            let asks: Vec<ClientRequest> = (0..n).map(|_| self.one(kind)).collect();
             self.edges[0].ask(&asks)?;
             for _ in 0..n {
                 let answer = self.edges[0].answer()?.map(|(_, answer)| answer);
@@ -264,7 +265,7 @@
     }
 
     fn dropped(&mut self) -> io::Result<()> {
-        let (ask, mut edge) = (self.one(Kind::Completed), Edge::connect(self.server.edge)?);
+        let (ask, mut edge) = (self.one(Kind::Completed), EdgeConnection::connect(self.server.edge)?);
         edge.ask(&[ask])?;
         self.running(1)?;
         drop(edge);
@@ -295,19 +296,19 @@
 
 /// Measures one case: its heap and time first, its system calls in a run of their own, which tracing slows.
 pub fn measure(build: &Build, case: &Case, rounds: usize) -> io::Result<Cost> {
-    let mut play = RunOptions::begin(build, case)?;
-    play.round()?;
+    let mut measurement = Measurement::begin(build, case)?;
+    measurement.round()?;
     let (mut cpu, mut heap): (Duration, Option<Heap>) = (Duration::MAX, None);
     for _ in 0..rounds {
-        let before = play.server.counts()?;
-        cpu = cpu.min(play.cpu()?);
-        let after = play.server.counts()?;
+        let before = measurement.server.counts()?;
+        cpu = cpu.min(measurement.cpu()?);
+        let after = measurement.server.counts()?;
         if let (Some(before), Some(after)) = (before, after) {
             heap = Some(least(heap, each(before, after, case.requests)));
         }
     }
-    let peak_kb = play.server.peak_kb()?;
-    drop(play);
+    let peak_kb = measurement.server.peak_kb()?;
+    drop(measurement);
     Ok(Cost { calls: system_calls(build, case, rounds)?, heap, cpu, peak_kb })
 }
 
@@ -330,13 +331,13 @@
 }
 
 fn system_calls(build: &Build, case: &Case, rounds: usize) -> io::Result<BTreeMap<&'static str, f64>> {
-    let mut play = RunOptions::begin(build, case)?;
-    let tracer = Tracer::start(play.server.pid())?;
-    play.round()?;
+    let mut measurement = Measurement::begin(build, case)?;
+    let tracer = Tracer::start(measurement.server.pid())?;
+    measurement.round()?;
     let mut best: Option<Calls> = None;
     for _ in 0..rounds {
         let before = tracer.calls();
-        play.round()?;
+        measurement.round()?;
         let after = tracer.calls();
         let round: Calls =
             after.iter().map(|(name, n)| (*name, n - before.get(name).unwrap_or(&0))).collect();
@@ -355,12 +356,13 @@
 pub fn instructions(case: &Case) -> io::Result<f64> {
     let (few, many) = (case.requests, case.requests * 3);
     let total = |requests: usize| -> io::Result<f64> {
-        let file = std::env::temp_dir().join(format!("aldercrank-lab-{}.callgrind", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("aldercrank-testbench-{}.callgrind", std::process::id()));
         let case = Case { requests, ..case.clone() };
-        let mut play = RunOptions::begin(&Build::Instructions(file.clone()), &case)?;
-        play.round()?;
-        play.edges.clear();
-        play.server.end()?;
+        let mut measurement = Measurement::begin(&Build::Instructions(file.clone()), &case)?;
+        measurement.round()?;
+        measurement.edges.clear();
+        measurement.server.end()?;
         let text = std::fs::read_to_string(&file)?;
         let _ = std::fs::remove_file(&file);
         let line = text.lines().find_map(|line| line.strip_prefix("totals:"));
@@ -371,7 +373,7 @@
 
 /// Two builds in turns on the same case: the median of the ratios of their times on a core, round by round.
 pub fn paired(new: &Build, old: &Build, case: &Case, rounds: usize) -> io::Result<(Duration, Duration, f64)> {
-    let (mut a, mut b) = (RunOptions::begin(new, case)?, RunOptions::begin(old, case)?);
+    let (mut a, mut b) = (Measurement::begin(new, case)?, Measurement::begin(old, case)?);
     a.round()?;
     b.round()?;
     let mut all = Vec::new();
--- a/crates/aldercrank-testbench/src/fleet.rs
+++ b/crates/aldercrank-testbench/src/scenario_command.rs
@@ -1,6 +1,6 @@
-//! `aldercrank-lab fleet`: plays a scenario on real processes, shows what it came to, and follows one txn through it.
+//! `aldercrank-testbench fleet`: plays a scenario on real processes, shows what it came to, and follows one txn through it.
 
-use crate::server::beside;
+use crate::server_under_test::beside;
 use aldercrank_test_cluster::cluster::{run_dir, RunOptions, TestCluster};
 use aldercrank_test_cluster::fault_search::{self, Game};
 use aldercrank_test_cluster::ids::ServerNo;
@@ -45,14 +45,18 @@
 }
 
 /// The same seed without faults, where it is asked for or a bound is a share of it.
-pub fn beside_it(scenario: &Scenario, program: &Program, asked: bool) -> io::Result<Option<Outcome>> {
+pub fn play_without_faults(
+    scenario: &Scenario,
+    program: &Program,
+    asked: bool,
+) -> io::Result<Option<Outcome>> {
     let bounds = &scenario.bounds;
     let relative = bounds.of_calm.or(bounds.inquiry_of_calm).or(bounds.cut_inquiry_of_calm).is_some();
     (asked || relative).then(|| play(&scenario.calm(), program, false)).transpose()
 }
 
 /// Which bounds do not hold, in words.
-pub fn missed(scenario: &Scenario, outcome: &Outcome, calm: Option<&Outcome>) -> Vec<String> {
+pub fn missed_bounds(scenario: &Scenario, outcome: &Outcome, calm: Option<&Outcome>) -> Vec<String> {
     let (bounds, capacity) = (&scenario.bounds, scenario.list_capacity);
     let mut missed = Vec::new();
     let mut least = |what: &str, found: f64, least: Option<f64>| {
@@ -170,12 +174,12 @@
         &scenario,
         &RunOptions { program: program.clone(), dir, keep, verbose: !fleet.quiet },
     )?;
-    let calm = beside_it(&scenario, &program, fleet.calm)?;
+    let calm = play_without_faults(&scenario, &program, fleet.calm)?;
     if let Some(file) = &fleet.report {
         std::fs::write(file, report::html(&outcome, calm.as_ref()).map_err(io::Error::other)?)?;
         eprintln!("written: {}", file.display());
     }
-    let missed = missed(&scenario, &outcome, calm.as_ref());
+    let missed = missed_bounds(&scenario, &outcome, calm.as_ref());
     if fleet.json {
         let all = serde_json::json!({"outcome": outcome, "calm": calm, "missed": missed});
         println!("{all}");
--- a/crates/aldercrank-testbench/src/server.rs
+++ b/crates/aldercrank-testbench/src/server_under_test.rs
@@ -1,7 +1,7 @@
 //! The server under test: its configuration, its process, and what can be read of it from outside.
 
-use crate::peer::Edge;
-use crate::stand::{self, Pool};
+use crate::edge_client::EdgeConnection;
+use crate::stub_services::{self, Pool};
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 /// What is measured.
 #[derive(Clone, Debug)]
 pub enum Build {
-    /// This repository's server in a process of the laboratory's, with its heap and copies counted.
+    /// This repository's server in a process of the testbench's, with its heap and copies counted.
     Counted,
     /// A program that serves a configuration, such as an earlier build.
     Program(PathBuf),
@@ -63,8 +63,8 @@
     pub fn start(build: &Build, setup: &Setup) -> io::Result<Server> {
         let ip = address();
         let pool = Pool::start(&ip)?;
-        let index = stand::http(&ip, setup.index_pause, stand::FOUND)?;
-        let members = stand::http(&ip, Duration::ZERO, stand::LISTED)?;
+        let index = stub_services::http(&ip, setup.index_pause, stub_services::FOUND)?;
+        let members = stub_services::http(&ip, Duration::ZERO, stub_services::LISTED)?;
         let edge = TcpListener::bind((&ip[..], 0))?.local_addr()?;
         let us = |span: Duration| span.as_micros() as u64;
         let class = |name: &str, effect: &str| {
@@ -86,7 +86,7 @@
                 "rules": {"answer_slack": us(setup.slack), "cold_from": 0.25, "warm_after": 1_000_000,
                     "fall_multiple": 5.0, "stop_sending_within": 1_000_000},
                 "profiles": [class("map-extract", "retryable"), class("licence-buy", "dedup")]}});
-        let file = format!("aldercrank-lab-{}-{}.json", std::process::id(), edge.port());
+        let file = format!("aldercrank-testbench-{}-{}.json", std::process::id(), edge.port());
         let path = std::env::temp_dir().join(file);
         std::fs::write(&path, config.to_string())?;
         let own = std::env::current_exe()?;
@@ -125,7 +125,7 @@
                 return Err(io::Error::other(why));
             }
             // Bound to its pool it takes work; before that it declines all.
-            if Edge::connect(self.edge).is_ok() && self.pool.linked() {
+            if EdgeConnection::connect(self.edge).is_ok() && self.pool.linked() {
                 std::thread::sleep(Duration::from_millis(100));
                 return Ok(());
             }
--- a/crates/aldercrank-testbench/src/soak.rs
+++ b/crates/aldercrank-testbench/src/soak_check.rs
@@ -1,4 +1,4 @@
-//! `aldercrank-lab check soak`: ten million txns of ever new tokens through the core and the module in virtual time.
+//! `aldercrank-testbench check soak`: ten million txns of ever new tokens through the core and the module in virtual time.
 //! What they hold must be as much after each tenth as after the first.
 
 use crate::HEAP;
--- a/crates/aldercrank-testbench/tests/suite/common.rs
+++ b/crates/aldercrank-testbench/tests/suite/common.rs
@@ -1,4 +1,4 @@
-//! What the laboratory's tests share: the program, a directory of each test's own, a fleet that is played.
+//! What the testbench's tests share: the program, a directory of each test's own, a fleet that is played.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 
 pub const LAB: &str = env!("CARGO_BIN_EXE_aldercrank-testbench");
 
-/// The program, which this workspace's build has put beside the laboratory's.
+/// The program, which this workspace's build has put beside the testbench's.
 pub fn program() -> PathBuf {
     let beside = Path::new(LAB).with_file_name("aldercrank");
     if !beside.is_file() {
--- a/crates/aldercrank-testbench/tests/suite/golden_command_line.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_command_line.rs
@@ -1,4 +1,4 @@
-//! Golden file of the laboratory's command line: which subcommands and flags it accepts. Help texts are not recorded.
+//! Golden file of the testbench's command line: which subcommands and flags it accepts. Help texts are not recorded.
 
 use crate::common::LAB;
 use crate::compare;
@@ -51,7 +51,7 @@
         assert_eq!(run(line, "--help").0, Some(0), "{line} --help");
     }
     let list: String = ACCEPTED.iter().map(|line| format!("{line}\n")).collect();
-    compare::check("command-line/laboratory-accepts.txt", &list);
+    compare::check("command-line/testbench-accepts.txt", &list);
 }
 
 /// The way of asking above tells a flag that is not known from one that is.
--- a/crates/aldercrank-testbench/tests/suite/known_red.rs
+++ b/crates/aldercrank-testbench/tests/suite/known_red.rs
@@ -20,7 +20,7 @@
 struct Checkout(PathBuf);
 
 impl Checkout {
-    /// A checkout with the script, stand-ins for cargo and the testbench, and this list.
+    /// A checkout with the script, stub services for cargo and the testbench, and this list.
     fn with(name: &str, list: Option<&str>) -> Checkout {
         let dir = std::env::temp_dir().join(format!("aldercrank-known-red-{name}-{}", std::process::id()));
         std::fs::create_dir_all(dir.join(".ci")).unwrap();
--- a/crates/aldercrank-testbench/tests/suite/main.rs
+++ b/crates/aldercrank-testbench/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's tests: each starts several processes of the program.
+//! The testbench's tests: each starts several processes of the program.
 
 // Support code is shared by the modules of this test alone; a scenario may be long.
 #![allow(
