--- a/crates/aldercrank-testbench/src/check_runner.rs
+++ b/crates/aldercrank-testbench/src/check_runner.rs
@@ -1,7 +1,8 @@
 //! Plays the scenarios of a check side by side and prints whether each came out as it has to.
 
 use crate::figures;
-use crate::scenario_command::{self, missed_bounds};
+use crate::scenario_bounds::missed_bounds;
+use crate::scenario_command;
 use crate::selection::Selection;
 use aldercrank_test_cluster::invariant_checker::Rule;
 use aldercrank_test_cluster::process::Program;
--- a/crates/aldercrank-testbench/src/edge_client.rs
+++ b/crates/aldercrank-testbench/src/edge_client.rs
@@ -1,4 +1,4 @@
-//! The other side of the edge protocol: an edge node's connection, as the testbench plays it.
+//! The client side of the edge protocol: a connection from an edge node.
 
 use rmp::encode;
 use rmpv::Value;
@@ -6,40 +6,41 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Calls that may be open on a connection.
-pub const MAX_OPEN_CALLS: usize = 32;
-/// How long an answer is waited for.
-const LONG: Duration = Duration::from_secs(20);
+/// Requests that may be open on a connection, as the edge protocol limits them.
+pub(crate) const MAX_OPEN_CALLS: usize = 32;
+/// How long a response is waited for.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A txn to be asked for.
+/// A request to be sent.
 #[derive(Clone, Debug)]
-pub struct ClientRequest {
-    pub attempt: u64,
-    pub class: &'static str,
-    pub token: Option<u64>,
+pub(crate) struct ClientRequest {
+    pub(crate) attempt: u64,
+    pub(crate) class: &'static str,
+    pub(crate) token: Option<u64>,
     /// How long its caller waits.
-    pub budget: Duration,
-    pub body: usize,
-    /// Its user's place by value, from 0 up to 1.
-    pub rank: f64,
+    pub(crate) budget: Duration,
+    pub(crate) body: usize,
+    /// Priority rank, from 0 up to 1.
+    pub(crate) rank: f64,
 }
 
 impl ClientRequest {
-    /// As it is written on the wire.
-    pub fn id(&self) -> String {
+    /// The attempt id as it is written on the wire.
+    pub(crate) fn id(&self) -> String {
         format!("{:016x}", self.attempt)
     }
 }
 
-/// How it was answered.
+/// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Answer {
+pub(crate) enum Answer {
     Completed(usize),
     Rejected,
     Failed,
 }
 
-pub struct EdgeConnection {
+/// One connection from an edge node to the server.
+pub(crate) struct EdgeConnection {
     stream: TcpStream,
     input: Vec<u8>,
     next: u32,
@@ -50,64 +51,64 @@
 }
 
 impl EdgeConnection {
-    pub fn connect(to: SocketAddr) -> io::Result<EdgeConnection> {
+    pub(crate) fn connect(to: SocketAddr) -> io::Result<EdgeConnection> {
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(LONG))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         Ok(EdgeConnection { stream, input: Vec::new(), next: 0 })
     }
 
-    /// A second handle, to read answers with while this one asks.
-    pub fn reader(&self) -> io::Result<EdgeConnection> {
+    /// A second handle, which reads responses while this one sends.
+    pub(crate) fn reader(&self) -> io::Result<EdgeConnection> {
         Ok(EdgeConnection { stream: self.stream.try_clone()?, input: Vec::new(), next: 0 })
     }
 
-    pub fn patience(&self, span: Duration) -> io::Result<()> {
+    pub(crate) fn set_read_timeout(&self, span: Duration) -> io::Result<()> {
         self.stream.set_read_timeout(Some(span))
     }
 
-    /// Adds one call to `into`; gives its number on this connection.
-    pub fn call(&mut self, into: &mut Vec<u8>, ask: &ClientRequest) -> u32 {
+    /// Encodes one request into `into`; gives its message id.
+    pub(crate) fn append_request(&mut self, into: &mut Vec<u8>, request: &ClientRequest) -> u32 {
         self.next += 1;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut fields = vec![
-            ("rid", ask.id()),
+            ("rid", request.id()),
             ("t0", unix.as_millis().to_string()),
             ("peer", "1".to_string()),
-            ("budget", ask.budget.as_millis().to_string()),
+            ("budget", request.budget.as_millis().to_string()),
             ("mem", "20".to_string()),
-            ("prio", format!("{:.4}", ask.rank)),
+            ("prio", format!("{:.4}", request.rank)),
         ];
-        fields.extend(ask.token.map(|token| ("token", format!("{token:032x}"))));
+        fields.extend(request.token.map(|token| ("token", format!("{token:032x}"))));
         let _ = encode::write_array_len(into, 4);
         let _ = encode::write_uint(into, 0);
         let _ = encode::write_uint(into, u64::from(self.next));
-        text(into, ask.class);
+        text(into, request.class);
         let _ = encode::write_array_len(into, 2);
         let _ = encode::write_map_len(into, fields.len() as u32);
         for (name, value) in &fields {
             text(into, name);
             text(into, value);
         }
-        let _ = encode::write_bin(into, &vec![b'b'; ask.body]);
+        let _ = encode::write_bin(into, &vec![b'b'; request.body]);
         self.next
     }
 
-    /// Asks for these in one write.
-    pub fn ask(&mut self, asks: &[ClientRequest]) -> io::Result<()> {
+    /// Sends these in one write.
+    pub(crate) fn send_requests(&mut self, requests: &[ClientRequest]) -> io::Result<()> {
         let mut bytes = Vec::new();
-        for ask in asks {
-            self.call(&mut bytes, ask);
+        for request in requests {
+            self.append_request(&mut bytes, request);
         }
         self.send(&bytes)
     }
 
-    pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
+    pub(crate) fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// Takes back the last call.
-    pub fn interrupt_last(&mut self) -> io::Result<()> {
+    /// Cancels the last request.
+    pub(crate) fn cancel_last(&mut self) -> io::Result<()> {
         let mut bytes = Vec::new();
         let _ = encode::write_array_len(&mut bytes, 3);
         let _ = encode::write_uint(&mut bytes, 2);
@@ -117,16 +118,16 @@
         self.stream.write_all(&bytes)
     }
 
-    /// The next answer, with its call's number; nothing when none has come in the time that is waited.
-    pub fn answer(&mut self) -> io::Result<Option<(u32, Answer)>> {
+    /// The next response with its message id; nothing where none has come within the read timeout.
+    pub(crate) fn read_answer(&mut self) -> io::Result<Option<(u32, Answer)>> {
         let mut chunk = [0; 64 * 1024];
         loop {
             let mut rest = &self.input[..];
             if let Ok(message) = rmpv::decode::read_value(&mut rest) {
                 let taken = self.input.len() - rest.len();
                 self.input.drain(..taken);
-                match read(&message) {
-                    Some(answer) => return Ok(Some(answer)),
+                match parse_response(&message) {
+                    Some(read_answer) => return Ok(Some(read_answer)),
                     None => continue,
                 }
             }
@@ -140,15 +141,15 @@
     }
 }
 
-/// An answer's call and kind; nothing for a notification.
-fn read(message: &Value) -> Option<(u32, Answer)> {
+/// A response's message id and kind; nothing for a notification.
+fn parse_response(message: &Value) -> Option<(u32, Answer)> {
     let parts = message.as_array()?;
-    let [kind, call, error, result] = &parts[..] else { return None };
+    let [kind, append_request, error, result] = &parts[..] else { return None };
     if kind.as_u64() != Some(1) {
         return None;
     }
     let named = error.as_array().and_then(|e| e.first()).and_then(Value::as_str);
-    let answer = match named {
+    let read_answer = match named {
         Some("Overloaded") => Answer::Rejected,
         Some(_) => Answer::Failed,
         None => match result.as_array().and_then(|r| r.first()) {
@@ -156,5 +157,5 @@
             _ => Answer::Failed,
         },
     };
-    Some((call.as_u64()? as u32, answer))
+    Some((append_request.as_u64()? as u32, read_answer))
 }
--- a/crates/aldercrank-testbench/src/figures.rs
+++ b/crates/aldercrank-testbench/src/figures.rs
@@ -17,7 +17,7 @@
 }
 
 /// A run with faults between servers and what they depend on.
-pub fn of_cluster(o: &Outcome, calm: Option<&Outcome>) -> String {
+pub(crate) fn of_cluster(o: &Outcome, calm: Option<&Outcome>) -> String {
     let of_calm = of_calm(o, calm);
     format!(
         "{}: {} servers, value {:.3}{of_calm}, {} attempts, {} runs, lost {}, twice {}, across incarnations {}, rules broken {}, \
@@ -38,7 +38,7 @@
 }
 
 /// A start of a whole fleet.
-pub fn of_cold_start(o: &Outcome) -> String {
+pub(crate) fn of_cold_start(o: &Outcome) -> String {
     let listed = o.list.all_listed_s.map_or("never".to_string(), |at| format!("after {at:.1} s"));
     format!(
         "{}: {} connections at the membership service, at most {} in a second and {} in a tenth ({} and {} from 5 s on), \
@@ -63,7 +63,7 @@
 }
 
 /// A run in which servers go by a versioned configuration.
-pub fn of_versions(o: &Outcome, calm: Option<&Outcome>) -> String {
+pub(crate) fn of_versions(o: &Outcome, calm: Option<&Outcome>) -> String {
     let of_calm = of_calm(o, calm);
     let a = o.agree.clone().unwrap_or_default();
     let each = a.words as f64 / o.servers as f64 / o.span_s;
--- a/crates/aldercrank-testbench/src/load_generator.rs
+++ b/crates/aldercrank-testbench/src/load_generator.rs
@@ -1,9 +1,9 @@
-//! An open-loop load: what is due is sent when it is due, however slow the answers are, and each answer's time
-//! counts from when its txn was due.
+//! `aldercrank-testbench load`: an open-loop load. A request is sent when it is due, however slow the responses are, and
+//! its response time counts from then.
 
 use crate::edge_client::{Answer, ClientRequest, EdgeConnection, MAX_OPEN_CALLS};
-use crate::server_under_test::{beside, Build, Server, Setup};
-use crate::stub_services::{Plan, Runs};
+use crate::server_under_test::{program_beside, Build, ServerSetup, ServerUnderTest};
+use crate::stub_services::{PoolBehavior, RunBehavior};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::io;
@@ -13,49 +13,50 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Every so many first tries one is a licence-buy.
-const BUYS: u64 = 4;
-/// The longest that answers are waited for after the last was sent.
-const REST: Duration = Duration::from_secs(5);
+/// Of so many requests one is keyed.
+const KEYED_EVERY: u64 = 4;
+/// How long responses are waited for after the last request.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// The arguments of `load`.
 #[derive(Clone, Debug)]
-pub struct Load {
-    pub program: Option<PathBuf>,
-    pub rate: u32,
-    pub seconds: u32,
-    pub connections: usize,
-    pub cores: usize,
-    pub work: u64,
-    pub json: bool,
+pub(crate) struct Load {
+    pub(crate) program: Option<PathBuf>,
+    pub(crate) rate: u32,
+    pub(crate) seconds: u32,
+    pub(crate) connections: usize,
+    pub(crate) cores: usize,
+    pub(crate) work_ms: u64,
+    pub(crate) json: bool,
 }
 
-/// What has been answered, with when each was due.
+/// The requests in flight and how the others were answered.
 #[derive(Default)]
-struct AnswerLog {
+struct ResponseLog {
     due: BTreeMap<(usize, u32), Instant>,
     seconds: Vec<[u64; 3]>,
     times: BTreeMap<&'static str, Histogram<u64>>,
-    /// Answers to calls that were not open.
-    strange: u64,
+    /// Responses to requests that were not open.
+    unexpected: u64,
     lost: u64,
 }
 
 fn kind(answer: Answer) -> (&'static str, usize) {
     match answer {
-        Answer::Completed(_) => ("settled", 0),
-        Answer::Rejected => ("declined", 1),
-        Answer::Failed => ("voided", 2),
+        Answer::Completed(_) => ("completed", 0),
+        Answer::Rejected => ("rejected", 1),
+        Answer::Failed => ("failed", 2),
     }
 }
 
-impl AnswerLog {
+impl ResponseLog {
     fn open(&self, on: usize) -> usize {
         self.due.range((on, 0)..=(on, u32::MAX)).count()
     }
 
-    fn answered(&mut self, call: (usize, u32), answer: Answer, began: Instant) {
-        let Some(due) = self.due.remove(&call) else {
-            self.strange += 1;
+    fn record(&mut self, message: (usize, u32), answer: Answer, began: Instant) {
+        let Some(due) = self.due.remove(&message) else {
+            self.unexpected += 1;
             return;
         };
         let (name, place) = kind(answer);
@@ -70,57 +71,58 @@
     }
 }
 
-pub fn run(load: &Load) -> io::Result<bool> {
+/// Sends the load and prints how it was answered. Gives whether each request was answered once.
+pub(crate) fn run(load: &Load) -> io::Result<bool> {
     if load.rate == 0 || load.connections == 0 || load.cores == 0 {
         return Err(io::Error::other("rate, connections and cores must be 1 or more"));
     }
-    let program = load.program.clone().unwrap_or_else(beside);
-    let server = Server::start(&Build::Program(program), &setup(load.cores))?;
-    let work = Runs::Work { span: Duration::from_millis(load.work), cores: load.cores };
-    server.pool.plan(Plan { runs: work, calls: true, result: 100 });
-    let (log, over, began) =
-        (Arc::new(Mutex::new(AnswerLog::default())), Arc::new(AtomicBool::new(false)), Instant::now());
-    let mut edges = Vec::new();
+    let program = load.program.clone().unwrap_or_else(program_beside);
+    let server = ServerUnderTest::start(&Build::Program(program), &setup(load.cores))?;
+    let work = RunBehavior::Work { span: Duration::from_millis(load.work_ms), cores: load.cores };
+    server.pool.set_behavior(PoolBehavior { runs: work, calls: true, result: 100 });
+    let (log, finished, began) =
+        (Arc::new(Mutex::new(ResponseLog::default())), Arc::new(AtomicBool::new(false)), Instant::now());
+    let mut connections: Vec<EdgeConnection> = Vec::new();
     let total = u64::from(load.rate) * u64::from(load.seconds);
     eprintln!("sending {} a second for {} s to {}", load.rate, load.seconds, server.edge);
     for n in 0..total {
         let due = began + Duration::from_secs_f64(n as f64 / f64::from(load.rate));
         thread::sleep(due.saturating_duration_since(Instant::now()));
-        // As edge nodes do: a connection that has all the calls open that it may is left alone.
-        let on = (0..edges.len())
-            .map(|i| (n as usize + i) % edges.len())
+        // As edge nodes do: a connection with the most open requests that it may have is passed over.
+        let on = (0..connections.len())
+            .map(|i| (n as usize + i) % connections.len())
             .find(|on| lock(&log).open(*on) < MAX_OPEN_CALLS);
-        let on = match on.filter(|_| edges.len() >= load.connections) {
+        let on = match on.filter(|_| connections.len() >= load.connections) {
             Some(on) => on,
             None => {
-                edges.push(connect(&server, edges.len(), &log, &over, began)?);
-                edges.len() - 1
+                connections.push(connect(&server, connections.len(), &log, &finished, began)?);
+                connections.len() - 1
             }
         };
-        let token = (n % BUYS == 0).then_some(n);
+        let token = (n % KEYED_EVERY == 0).then_some(n);
         let class = if token.is_some() { "licence-buy" } else { "map-extract" };
         let (budget, rank) = (Duration::from_secs(3), rank(n, token.is_some()));
-        let ask = ClientRequest { attempt: n + 1, class, token, budget, body: 100, rank };
+        let request = ClientRequest { attempt: n + 1, class, token, budget, body: 100, rank };
         // Noted before it is sent: the answer may come at once.
         let mut bytes = Vec::new();
-        let call = edges[on].call(&mut bytes, &ask);
-        lock(&log).due.insert((on, call), due);
-        edges[on].send(&bytes)?;
+        let message_id = connections[on].append_request(&mut bytes, &request);
+        lock(&log).due.insert((on, message_id), due);
+        connections[on].send(&bytes)?;
     }
-    let rest = Instant::now() + REST;
+    let rest = Instant::now() + DRAIN_TIMEOUT;
     while Instant::now() < rest && !lock(&log).due.is_empty() {
         thread::sleep(Duration::from_millis(10));
     }
-    over.store(true, Ordering::Relaxed);
+    finished.store(true, Ordering::Relaxed);
     let mut log = lock(&log);
     log.lost = log.due.len() as u64;
     print_results(load, &log, total);
-    Ok(log.lost == 0 && log.strange == 0)
+    Ok(log.lost == 0 && log.unexpected == 0)
 }
 
-/// A server of so many cores, as `examples/config.json` has it.
-fn setup(cores: usize) -> Setup {
-    Setup {
+/// A server with this many cores, otherwise as in `examples/config.json`.
+fn setup(cores: usize) -> ServerSetup {
+    ServerSetup {
         cores: cores as f64,
         memory_kb: 20_000.0 * cores as f64,
         slack: Duration::from_millis(60),
@@ -130,28 +132,30 @@
     }
 }
 
-/// Users spread evenly over each product's band; the buys stand above.
-fn rank(n: u64, buy: bool) -> f64 {
+/// Priority ranks spread evenly over each class's band; keyed requests rank above the others.
+fn rank(n: u64, keyed: bool) -> f64 {
     let place = (n as f64 * 0.618_033_988_75).fract() * 0.999;
-    (place + f64::from(u8::from(buy))) / 2.0
+    (place + f64::from(u8::from(keyed))) / 2.0
 }
 
-/// One more connection, and a thread that books its answers.
+/// One more connection, and a thread that records its responses.
 fn connect(
-    server: &Server,
+    server: &ServerUnderTest,
     number: usize,
-    log: &Arc<Mutex<AnswerLog>>,
-    over: &Arc<AtomicBool>,
+    log: &Arc<Mutex<ResponseLog>>,
+    finished: &Arc<AtomicBool>,
     began: Instant,
 ) -> io::Result<EdgeConnection> {
     let edge = EdgeConnection::connect(server.edge)?;
     let mut reader = edge.reader()?;
-    reader.patience(Duration::from_millis(100))?;
-    let (log, over) = (log.clone(), over.clone());
+    reader.set_read_timeout(Duration::from_millis(100))?;
+    let (log, finished) = (log.clone(), finished.clone());
     thread::spawn(move || {
-        while !over.load(Ordering::Relaxed) {
-            match reader.answer() {
-                Ok(Some((call, answer))) => lock(&log).answered((number, call), answer, began),
+        while !finished.load(Ordering::Relaxed) {
+            match reader.read_answer() {
+                Ok(Some((message_id, answer))) => {
+                    lock(&log).record((number, message_id), answer, began);
+                }
                 Ok(None) => {}
                 Err(_) => return,
             }
@@ -160,11 +164,11 @@
     Ok(edge)
 }
 
-fn lock(log: &Mutex<AnswerLog>) -> std::sync::MutexGuard<'_, AnswerLog> {
+fn lock(log: &Mutex<ResponseLog>) -> std::sync::MutexGuard<'_, ResponseLog> {
     log.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn print_results(load: &Load, log: &AnswerLog, total: u64) {
+fn print_results(load: &Load, log: &ResponseLog, total: u64) {
     if load.json {
         let times = |h: &Histogram<u64>| {
             serde_json::json!({"count": h.len(), "p50_us": h.value_at_quantile(0.5),
@@ -172,11 +176,11 @@
         };
         let kinds: BTreeMap<&str, serde_json::Value> =
             log.times.iter().map(|(name, h)| (*name, times(h))).collect();
-        let all = serde_json::json!({"sent": total, "answers": kinds, "lost": log.lost, "strange": log.strange,
+        let all = serde_json::json!({"sent": total, "answers": kinds, "lost": log.lost, "unexpected": log.unexpected,
             "seconds": log.seconds});
         return println!("{all}");
     }
-    println!("{:>8}{:>10}{:>10}{:>10}", "second", "settled", "declined", "voided");
+    println!("{:>8}{:>10}{:>10}{:>10}", "second", "completed", "rejected", "failed");
     for (second, [completed, rejected, failed]) in log.seconds.iter().enumerate() {
         println!("{second:>8}{completed:>10}{rejected:>10}{failed:>10}");
     }
@@ -186,5 +190,5 @@
         let (p50, p99) = (ms(h.value_at_quantile(0.5)), ms(h.value_at_quantile(0.99)));
         println!("{name:>10}{:>10}{p50:>12.1}{p99:>12.1}{:>12.1}", h.len(), ms(h.max()));
     }
-    println!("{total} sent, {} not answered, {} answered twice or unasked", log.lost, log.strange);
+    println!("{total} sent, {} not answered, {} answered twice or not sent", log.lost, log.unexpected);
 }
--- /dev/null
+++ b/crates/aldercrank-testbench/src/server_modes.rs
@@ -0,0 +1,42 @@
+//! The server's own code in a process of the testbench: with its allocations and copies counted, or with a fault
+//! injected into its consensus.
+
+use crate::consensus_check::injected_fault;
+use crate::HEAP;
+use aldercrank_server::config::Config;
+use aldercrank_server::net::serve;
+use std::io;
+
+/// Serves until SIGTERM with a fault injected that the checks must find. Fails where the fault is unknown or the
+/// configuration can't be served.
+pub(crate) fn serve_faulty(name: &str, config: String, service: Option<String>) -> io::Result<bool> {
+    let unknown = || io::Error::other(format!("no injected fault is named {name}"));
+    let fault = injected_fault(name).ok_or_else(unknown)?;
+    let load = move || {
+        let mut config = Config::load(Some(&config), service.as_deref())?;
+        if let Some(rules) = &mut config.rules {
+            rules.injected_fault = Some(fault);
+        }
+        Ok(config)
+    };
+    serve(load().map_err(io::Error::other)?, load)?;
+    Ok(true)
+}
+
+/// Serves until SIGTERM, and answers each line of standard input with allocations, bytes allocated and bytes copied so
+/// far. Ends when standard input does.
+pub(crate) fn serve_counted(config: String, service: Option<String>) -> io::Result<bool> {
+    std::thread::spawn(|| {
+        for _ in io::stdin().lines() {
+            let heap = HEAP.stats();
+            let allocations = heap.allocations + heap.reallocations;
+            let copied = aldercrank_server::payload::copied();
+            println!("{allocations} {} {copied}", heap.bytes_allocated);
+        }
+        // Whoever asked has ended.
+        std::process::exit(0);
+    });
+    let load = move || Config::load(Some(&config), service.as_deref());
+    serve(load().map_err(io::Error::other)?, load)?;
+    Ok(true)
+}
--- a/crates/aldercrank-testbench/src/soak_check.rs
+++ b/crates/aldercrank-testbench/src/soak_check.rs
@@ -1,5 +1,5 @@
-//! `aldercrank-testbench check soak`: ten million txns of ever new tokens through the core and the module in virtual time.
-//! What they hold must be as much after each tenth as after the first.
+//! `aldercrank-testbench check soak`: ten million requests with ever new idempotency keys through the core and the
+//! admission module in virtual time. Their memory must not grow after the first tenth.
 
 use crate::HEAP;
 use aldercrank::{IncomingRequest, Outcome, RequestId, Settings};
@@ -14,20 +14,21 @@
 use std::time::Duration;
 
 const REQUESTS: u64 = 10_000_000;
-/// From one txn to the next, and how long each runs.
-const GAP: Duration = Duration::from_millis(1);
-const RUN: Duration = Duration::from_millis(2);
-/// Connections come and go: so many txns on each.
-const ON_A_CONNECTION: u64 = 1000;
-/// What may be held more than after the first tenth.
-const MORE: f64 = 1.05;
-/// Kept results may take so much.
-const ROOM: usize = 1 << 20;
+/// Time between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(1);
+/// How long each runs.
+const RUN_TIME: Duration = Duration::from_millis(2);
+/// Requests on each connection before it closes.
+const REQUESTS_PER_CONNECTION: u64 = 1000;
+/// Memory after each tenth, as a share of that after the first, at most.
+const MAX_GROWTH: f64 = 1.05;
+/// Bytes for cached responses.
+const CACHE_BYTES: usize = 1 << 20;
 
 #[derive(Default)]
-struct World {
+struct VirtualServer {
     now: Duration,
-    reminders: Deadlines<TimerId>,
+    timers: Deadlines<TimerId>,
     runs: VecDeque<(Duration, AttemptId)>,
     polls: VecDeque<u64>,
     completed: u64,
@@ -35,9 +36,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Hands(Rc<RefCell<World>>);
+struct RecordingPorts(Rc<RefCell<VirtualServer>>);
 
-impl Ports for Hands {
+impl Ports for RecordingPorts {
     fn complete(&mut self, _: ReplyTo, _: Payload) {
         self.0.borrow_mut().completed += 1;
     }
@@ -48,9 +49,9 @@
         self.0.borrow_mut().others += 1;
     }
     fn start_run(&mut self, attempt: AttemptId, _: &str, _: &Rc<[u8]>) {
-        let mut w = self.0.borrow_mut();
-        let ends = w.now + RUN;
-        w.runs.push_back((ends, attempt));
+        let mut server = self.0.borrow_mut();
+        let ends = server.now + RUN_TIME;
+        server.runs.push_back((ends, attempt));
     }
     fn stop_run(&mut self, _: AttemptId) {}
     fn deliver_call_result(&mut self, _: AttemptId, _: &[u8]) {}
@@ -64,9 +65,9 @@
     fn close_idle(&mut self, _: Duration) {}
     fn advertise(&mut self, _: f64) {}
     fn set_timer(&mut self, what: TimerId, after: Duration) {
-        let mut w = self.0.borrow_mut();
-        let at = w.now + after;
-        w.reminders.set(what, at);
+        let mut server = self.0.borrow_mut();
+        let at = server.now + after;
+        server.timers.set(what, at);
     }
 }
 
@@ -83,47 +84,49 @@
         "profiles": [class("map-extract", "retryable"), class("licence-buy", "dedup")]}))
 }
 
-/// What is held on the heap now, in bytes.
-fn held() -> usize {
+/// Bytes on the heap now.
+fn heap_bytes() -> usize {
     let heap = HEAP.stats();
     heap.bytes_allocated.saturating_sub(heap.bytes_deallocated)
 }
 
-/// What is due, and ends of runs, up to the world's time.
-fn pass(core: &mut Core<Hands>, world: &Hands, now: Duration) {
-    world.0.borrow_mut().now = now;
+/// Advances the time: timers that are due, load metrics, and ends of runs.
+fn advance(core: &mut Core<RecordingPorts>, server: &RecordingPorts, now: Duration) {
+    server.0.borrow_mut().now = now;
     loop {
-        let due = world.0.borrow_mut().reminders.due(now);
+        let due = server.0.borrow_mut().timers.due(now);
         let Some(reminder) = due else { break };
         core.reminded(now, reminder);
     }
     loop {
-        let tag = world.0.borrow_mut().polls.pop_front();
+        let tag = server.0.borrow_mut().polls.pop_front();
         let Some(tag) = tag else { break };
         core.polled(now, tag, &[0.5, 2.0]);
     }
     loop {
-        let ended = world.0.borrow_mut().runs.pop_front_if(|(ends, _)| *ends <= now);
+        let ended = server.0.borrow_mut().runs.pop_front_if(|(ends, _)| *ends <= now);
         let Some((_, attempt)) = ended else { break };
         core.run_ended(
             now,
             attempt,
             Outcome::Completed,
-            RUN,
+            RUN_TIME,
             Payload::Passing(b"what the run made, thirty-two b."),
         );
     }
 }
 
-/// Reads one; gives how many answers are owed no more, since their callers have gone.
-fn read(core: &mut Core<Hands>, now: Duration, n: u64) -> u64 {
+/// Sends request `n`; gives how many responses are no longer owed, since their callers have gone.
+fn send(core: &mut Core<RecordingPorts>, now: Duration, n: u64) -> u64 {
     let attempt = AttemptId::new(&format!("{n:016x}")).expect("sixteen hex digits");
-    let reply_to =
-        ReplyTo { conn: ConnId((n / ON_A_CONNECTION) as u32), call: MessageId((n % ON_A_CONNECTION) as u32) };
+    let reply_to = ReplyTo {
+        conn: ConnId((n / REQUESTS_PER_CONNECTION) as u32),
+        call: MessageId((n % REQUESTS_PER_CONNECTION) as u32),
+    };
     let class = if n.is_multiple_of(3) { "map-extract" } else { "licence-buy" };
     let token = format!("{n:032x}");
-    let mark = (class == "licence-buy").then(|| DedupKey::token(class, &token, b"a body"));
-    let arrival = IncomingRequest {
+    let dedup_key = (class == "licence-buy").then(|| DedupKey::token(class, &token, b"a body"));
+    let incoming = IncomingRequest {
         class,
         deadline: Some(now + Duration::from_secs(3)),
         memory_kb: 10.0,
@@ -133,35 +136,36 @@
     core.request_received(
         now,
         reply_to,
-        ReceivedRequest { attempt, dedup_key: mark, arrival, unread: GAP, body: b"a body" },
+        ReceivedRequest { attempt, dedup_key, arrival: incoming, unread: REQUEST_INTERVAL, body: b"a body" },
     );
     let owed = core.owed();
     // One in a hundred has a caller that goes; a connection goes with all that is open on it.
     if n.is_multiple_of(100) {
         core.caller_gone(now, reply_to);
     }
-    if n % ON_A_CONNECTION == ON_A_CONNECTION - 1 {
+    if n % REQUESTS_PER_CONNECTION == REQUESTS_PER_CONNECTION - 1 {
         core.conn_lost(now, reply_to.conn);
     }
     (owed - core.owed()) as u64
 }
 
-pub fn check() -> std::io::Result<bool> {
-    let world = Hands::default();
-    let before = held();
-    let mut core = Core::start(settings(), Duration::ZERO, ROOM, world.clone());
+/// Plays the check. Gives whether memory stayed flat and each request was answered once.
+pub(crate) fn check() -> std::io::Result<bool> {
+    let server = RecordingPorts::default();
+    let before = heap_bytes();
+    let mut core = Core::start(settings(), Duration::ZERO, CACHE_BYTES, server.clone());
     core.pool_bound(Duration::ZERO);
     let (mut now, mut first, mut most, mut gone) = (Duration::ZERO, 0, 0, 0);
     for tenth in 1..=10 {
         for n in 0..REQUESTS / 10 {
-            now += GAP;
-            pass(&mut core, &world, now);
-            gone += read(&mut core, now, (tenth - 1) * (REQUESTS / 10) + n + 1);
+            now += REQUEST_INTERVAL;
+            advance(&mut core, &server, now);
+            gone += send(&mut core, now, (tenth - 1) * (REQUESTS / 10) + n + 1);
         }
-        let bytes = held().saturating_sub(before);
+        let bytes = heap_bytes().saturating_sub(before);
         let (slots, dedup_entries) = core.in_tables();
         println!(
-            "{:>10} txns: {bytes} bytes held, {slots} slots, {dedup_entries} marks, {} in hand",
+            "{:>10} requests: {bytes} bytes on the heap, {slots} slots, {dedup_entries} dedup entries, {} in flight",
             tenth * (REQUESTS / 10),
             core.in_hand()
         );
@@ -170,12 +174,12 @@
         }
         most = most.max(bytes);
     }
-    let (completed, others) = (world.0.borrow().completed, world.0.borrow().others);
-    let flat = most as f64 <= first as f64 * MORE;
-    // Each whose caller stayed has had one answer, but for those that are still owed theirs.
+    let (completed, others) = (server.0.borrow().completed, server.0.borrow().others);
+    let flat = most as f64 <= first as f64 * MAX_GROWTH;
+    // Each request whose caller stayed has had one response or is still owed it.
     let all = completed + others + gone + core.owed() as u64 == REQUESTS;
     println!(
-        "check soak: {most} bytes at most, {first} after the first tenth; {completed} settled, {others} not, \
+        "check soak: {most} bytes at most, {first} after the first tenth; {completed} completed, {others} not, \
          {gone} callers gone, {} still owed",
         core.owed()
     );
--- a/crates/aldercrank-testbench/src/stub_services.rs
+++ b/crates/aldercrank-testbench/src/stub_services.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what the server speaks to besides edge nodes: worker pool, index, membership service. All on
-//! loopback, each on a thread of its own that ends with the process.
+//! Stub services on loopback: worker pool, index, membership service. Each runs on a thread of its own that ends with
+//! the process.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read, Write};
@@ -8,64 +8,66 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How the pool runs what it is told.
+/// How the worker pool runs requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Runs {
-    /// Each run ends as soon as it is told.
+pub(crate) enum RunBehavior {
+    /// Each run ends as soon as it is started.
     #[default]
-    AtOnce,
-    /// Runs wait until `finish`.
-    OnCue,
+    Immediate,
+    /// Runs wait until `finish_oldest`.
+    OnDemand,
     /// Each takes this long on a core of its own, longer when the cores are shared among more.
     Work { span: Duration, cores: usize },
 }
 
+/// What the worker pool does from now on.
 #[derive(Debug, Default)]
-pub struct Plan {
-    pub runs: Runs,
-    /// Whether map-extracts make a call first.
-    pub calls: bool,
+pub(crate) struct PoolBehavior {
+    pub(crate) runs: RunBehavior,
+    /// Whether requests of the class `map-extract` make a call first.
+    pub(crate) calls: bool,
     /// Bytes of each result.
-    pub result: usize,
+    pub(crate) result: usize,
 }
 
 #[derive(Default)]
 struct State {
-    plan: Plan,
+    set_behavior: PoolBehavior,
     link: Option<TcpStream>,
     notice: u64,
     running: VecDeque<String>,
-    /// When those that work were told, since the server learns from how long they took.
-    told: BTreeMap<String, Instant>,
+    /// When runs with work were started, since the server learns from how long they took.
+    started_at: BTreeMap<String, Instant>,
 }
 
 impl State {
     fn end(&mut self, into: &mut Vec<u8>, attempt: &str, how: &str) {
-        let length = if how == "ok" { self.plan.result } else { 0 };
+        let length = if how == "ok" { self.set_behavior.result } else { 0 };
         self.notice += 1;
-        let took = self.told.remove(attempt).map_or(1.0, |at| at.elapsed().as_secs_f64() * 1e3);
+        let took = self.started_at.remove(attempt).map_or(1.0, |at| at.elapsed().as_secs_f64() * 1e3);
         into.extend(format!("finished {} {attempt} {how} {took:.3} {length}\r\n", self.notice).bytes());
         into.resize(into.len() + length, b'r');
         into.extend(b"\r\n");
     }
 
-    fn say(&mut self, bytes: &[u8]) {
+    fn send(&mut self, bytes: &[u8]) {
         if let Some(link) = self.link.as_mut().filter(|_| !bytes.is_empty()) {
             let _ = link.write_all(bytes);
         }
     }
 }
 
+/// A worker pool that serves one link at a time.
 #[derive(Clone)]
-pub struct Pool {
+pub(crate) struct StubWorkerPool {
     state: Arc<Mutex<State>>,
-    pub addr: SocketAddr,
+    pub(crate) addr: SocketAddr,
 }
 
-impl Pool {
-    pub fn start(ip: &str) -> io::Result<Pool> {
+impl StubWorkerPool {
+    pub(crate) fn start(ip: &str) -> io::Result<StubWorkerPool> {
         let listener = TcpListener::bind((ip, 0))?;
-        let pool = Pool { state: Arc::default(), addr: listener.local_addr()? };
+        let pool = StubWorkerPool { state: Arc::default(), addr: listener.local_addr()? };
         let serving = pool.clone();
         thread::spawn(move || {
             for link in listener.incoming().flatten() {
@@ -79,26 +81,26 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn plan(&self, plan: Plan) {
-        self.state().plan = plan;
+    pub(crate) fn set_behavior(&self, set_behavior: PoolBehavior) {
+        self.state().set_behavior = set_behavior;
     }
 
-    /// Whether the server has bound itself.
-    pub fn linked(&self) -> bool {
+    /// Whether a server is connected.
+    pub(crate) fn is_connected(&self) -> bool {
         self.state().link.is_some()
     }
 
-    pub fn running(&self) -> usize {
+    pub(crate) fn running(&self) -> usize {
         self.state().running.len()
     }
 
-    /// Ends the oldest run; gives its txn's id.
-    pub fn finish(&self) -> Option<String> {
+    /// Ends the oldest run; gives its attempt id.
+    pub(crate) fn finish_oldest(&self) -> Option<String> {
         let mut state = self.state();
         let mut bytes = Vec::new();
         let attempt = state.running.pop_front()?;
         state.end(&mut bytes, &attempt, "ok");
-        state.say(&bytes);
+        state.send(&bytes);
         Some(attempt)
     }
 
@@ -112,63 +114,63 @@
                 return Ok(());
             }
             input.extend_from_slice(&chunk[..n]);
-            // All that has come is followed before anything is said: answers go out together.
-            let (mut said, mut taken) = (Vec::new(), 0);
-            while let Some(length) = self.command(&input[taken..], &mut said) {
+            // All commands that have come are carried out before anything is written: events go out together.
+            let (mut output, mut taken) = (Vec::new(), 0);
+            while let Some(length) = self.command(&input[taken..], &mut output) {
                 taken += length;
             }
             input.drain(..taken);
-            self.state().say(&said);
+            self.state().send(&output);
         }
     }
 
-    /// Follows one command off the front; gives its length, or nothing while it is not whole.
-    fn command(&self, buf: &[u8], said: &mut Vec<u8>) -> Option<usize> {
+    /// Carries out one command off the front; gives its length, or nothing while it is incomplete.
+    fn command(&self, buf: &[u8], output: &mut Vec<u8>) -> Option<usize> {
         let end = buf.windows(2).position(|two| two == b"\r\n")?;
         let line = String::from_utf8_lossy(&buf[..end]).to_string();
-        let words: Vec<&str> = line.split_whitespace().collect();
-        let word = |i: usize| words.get(i).copied().unwrap_or_default();
-        let carries = matches!(word(0), "spawn" | "supply");
-        let length = words.last().filter(|_| carries).and_then(|w| w.parse::<usize>().ok());
-        let whole = end + 2 + length.map_or(0, |n| n + 2);
-        if buf.len() < whole {
+        let fields: Vec<&str> = line.split_whitespace().collect();
+        let field = |i: usize| fields.get(i).copied().unwrap_or_default();
+        let carries = matches!(field(0), "spawn" | "supply");
+        let length = fields.last().filter(|_| carries).and_then(|text| text.parse::<usize>().ok());
+        let total = end + 2 + length.map_or(0, |n| n + 2);
+        if buf.len() < total {
             return None;
         }
         let mut state = self.state();
-        match word(0) {
-            "bind" => said.extend(b"bound warm 100000\r\n"),
+        match field(0) {
+            "bind" => output.extend(b"bound warm 100000\r\n"),
             "poll" => {
                 let n = state.running.len();
-                said.extend(format!("polled {} 0.5 {n}\r\n", word(1)).bytes());
+                output.extend(format!("polled {} 0.5 {n}\r\n", field(1)).bytes());
             }
             "spawn" => {
-                if matches!(state.plan.runs, Runs::Work { .. }) {
-                    state.told.insert(word(1).to_string(), Instant::now());
+                if matches!(state.set_behavior.runs, RunBehavior::Work { .. }) {
+                    state.started_at.insert(field(1).to_string(), Instant::now());
                 }
-                if state.plan.calls && word(2) == "map-extract" {
+                if state.set_behavior.calls && field(2) == "map-extract" {
                     state.notice += 1;
-                    said.extend(format!("blocked {} {} 4\r\nask!\r\n", state.notice, word(1)).bytes());
+                    output.extend(format!("blocked {} {} 4\r\nask!\r\n", state.notice, field(1)).bytes());
                 } else {
-                    self.run(&mut state, word(1), said);
+                    self.run(&mut state, field(1), output);
                 }
             }
-            "supply" | "pass" => self.run(&mut state, word(1), said),
+            "supply" | "pass" => self.run(&mut state, field(1), output),
             "suspend" => {
-                let at = state.running.iter().position(|attempt| attempt == word(1));
+                let at = state.running.iter().position(|attempt| attempt == field(1));
                 if at.and_then(|at| state.running.remove(at)).is_some() {
-                    state.end(said, word(1), "halted");
+                    state.end(output, field(1), "halted");
                 }
             }
             _ => {}
         }
-        Some(whole)
+        Some(total)
     }
 
-    fn run(&self, state: &mut State, attempt: &str, said: &mut Vec<u8>) {
-        match state.plan.runs {
-            Runs::AtOnce => state.end(said, attempt, "ok"),
-            Runs::OnCue => state.running.push_back(attempt.to_string()),
-            Runs::Work { span, cores } => {
+    fn run(&self, state: &mut State, attempt: &str, output: &mut Vec<u8>) {
+        match state.set_behavior.runs {
+            RunBehavior::Immediate => state.end(output, attempt, "ok"),
+            RunBehavior::OnDemand => state.running.push_back(attempt.to_string()),
+            RunBehavior::Work { span, cores } => {
                 state.running.push_back(attempt.to_string());
                 let crowd = (state.running.len() as f64 / cores as f64).max(1.0);
                 let (pool, attempt) = (self.clone(), attempt.to_string());
@@ -179,7 +181,7 @@
                     if at.and_then(|at| state.running.remove(at)).is_some() {
                         let mut bytes = Vec::new();
                         state.end(&mut bytes, &attempt, "ok");
-                        state.say(&bytes);
+                        state.send(&bytes);
                     }
                 });
             }
@@ -187,19 +189,19 @@
     }
 }
 
-/// Answers each HTTP request with this, after a pause.
-pub fn http(ip: &str, pause: Duration, answer: &'static str) -> io::Result<SocketAddr> {
+/// Starts an HTTP server that gives each request this response, after a pause.
+pub(crate) fn http(ip: &str, pause: Duration, response: &'static str) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((ip, 0))?;
     let addr = listener.local_addr()?;
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            thread::spawn(move || answer_all(stream, pause, answer));
+            thread::spawn(move || respond_to_all(stream, pause, response));
         }
     });
     Ok(addr)
 }
 
-fn answer_all(mut stream: TcpStream, pause: Duration, answer: &str) -> io::Result<()> {
+fn respond_to_all(mut stream: TcpStream, pause: Duration, response: &str) -> io::Result<()> {
     let (mut input, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
         let n = stream.read(&mut chunk)?;
@@ -215,9 +217,11 @@
         }
         input.clear();
         thread::sleep(pause);
-        stream.write_all(answer.as_bytes())?;
+        stream.write_all(response.as_bytes())?;
     }
 }
 
-pub const FOUND: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfound";
-pub const LISTED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+/// The response of the index.
+pub(crate) const FOUND: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfound";
+/// The response of the membership service.
+pub(crate) const LISTED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
--- a/crates/aldercrank-testbench/src/syscall_trace.rs
+++ b/crates/aldercrank-testbench/src/syscall_trace.rs
@@ -9,37 +9,39 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use syscalls::Sysno;
 
-pub type Calls = BTreeMap<&'static str, u64>;
+/// System calls by name.
+pub(crate) type Calls = BTreeMap<&'static str, u64>;
 
 /// Follows the first thread of a process until that ends.
-pub struct Tracer {
+pub(crate) struct Tracer {
     calls: Arc<Mutex<Calls>>,
 }
 
 impl Tracer {
-    /// Fails where the system does not let a process look at its own child.
-    pub fn start(pid: u32) -> io::Result<Tracer> {
+    /// Begins to trace. Fails where the system does not let a process trace its own child.
+    pub(crate) fn start(pid: u32) -> io::Result<Tracer> {
         let calls: Arc<Mutex<Calls>> = Arc::default();
         let (counted, pid) = (calls.clone(), Pid::from_raw(pid as i32));
-        let (say, begun) = channel();
+        let (attached, attach_result) = channel();
         // What is traced answers to one thread only.
         std::thread::spawn(move || {
             let seized =
                 ptrace::seize(pid, Options::PTRACE_O_TRACESYSGOOD).and_then(|()| ptrace::interrupt(pid));
             let good = seized.is_ok();
-            let _ = say.send(seized);
+            let _ = attached.send(seized);
             if good {
                 let _ = follow(pid, &counted);
             }
         });
-        match begun.recv() {
+        match attach_result.recv() {
             Ok(Ok(())) => Ok(Tracer { calls }),
             Ok(Err(e)) => Err(io::Error::other(format!("cannot trace the server: {e}"))),
             Err(_) => Err(io::Error::other("the tracer has ended")),
         }
     }
 
-    pub fn calls(&self) -> Calls {
+    /// The calls so far.
+    pub(crate) fn calls(&self) -> Calls {
         self.calls.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
--- a/crates/aldercrank-testbench/tests/suite/main.rs
+++ b/crates/aldercrank-testbench/tests/suite/main.rs
@@ -10,6 +10,7 @@
 )]
 
 mod common;
+mod cost_budget;
 mod fleet;
 mod golden_command_line;
 mod golden_written_config;
