--- a/src/admission/dependency.rs
+++ b/src/admission/dependency.rs
@@ -1,103 +1,80 @@
-//! Calls to the shared dependency: their own window, time-outs, retries, and when one is left out.
+//! The upstream dependency as a whole: the window of outstanding calls, this server's quota, and usual call times.
 
-use super::*;
+use super::constants::{
+    CALL_BOUND, CALL_WINDOW_STEP_SHARE, MAX_CALL_WINDOW_SHARE, MIN_CALL_WINDOW_SHARE, REJECTED_CALL_FACTOR,
+    SLOW_CALL_LATENCY_SHARE, SLOW_CALL_RATIO, WINDOW_CUT_FACTOR,
+};
+use super::state::{CallEnding, LogTopic};
+use super::Admission;
+use crate::host::Host;
+use crate::types::RequestId;
+use std::time::Duration;
 
 impl<H: Host> Admission<H> {
-    /// A call is over, here at least: one given up, whatever for, lingers below.
-    pub(super) fn call_over(&mut self, now: Duration, id: RequestId, gone: bool) {
-        let linger = if gone { Duration::ZERO } else { self.terms.linger };
-        self.calls.ends(id, now, now + linger);
+    /// Ends a call in the sums. An abandoned call may still occupy the dependency for a while.
+    pub(super) fn end_call(&mut self, now: Duration, id: RequestId, ending: CallEnding) {
+        let remaining = match ending {
+            CallEnding::Ended => Duration::ZERO,
+            CallEnding::Abandoned => self.parameters.abandoned_call_time,
+        };
+        self.calls.set_end(id, now, now + remaining);
     }
 
-    /// The longest that one more call may take: the calls of the last `calls_over`, each counted up to its
-    /// time-out, stay within this server's share, however slow what lies below becomes.
-    pub(super) fn call_room(&mut self, now: Duration) -> Duration {
-        let over = self.terms.calls_over;
-        let taken = self.calls.taken(now.saturating_sub(over));
-        let most = (self.terms.calls_share * CALLS_SHARE).min(1e6);
-        over.mul_f64(most).saturating_sub(taken)
+    /// Halves the call window at the first call that the dependency rejects within an evaluation interval: it rejects
+    /// those of other servers too.
+    pub(super) fn call_was_rejected(&mut self) {
+        if !std::mem::replace(&mut self.call_rejected, true) {
+            let smallest = self.parameters.call_quota * MIN_CALL_WINDOW_SHARE;
+            self.call_window = (self.call_window * REJECTED_CALL_FACTOR).max(smallest);
+        }
     }
 
-    /// So many times what a call takes; without end while none has been answered.
-    pub(super) fn usual_calls(&self, times: f64) -> Duration {
-        let base = if self.call_base < f64::MAX { self.call_base } else { 0.0 };
-        let usual = self.call_pace.max(base);
-        Duration::from_secs_f64(if usual > 0.0 { (usual * times).min(1e6) } else { 1e6 })
+    /// Cuts the call window where calls are much slower than at best, since the calls of all servers together slow each
+    /// other down; grows it otherwise, unless a call has been rejected.
+    pub(super) fn evaluate_call_window(&mut self, now: Duration) {
+        let (quota, rejected) = (self.parameters.call_quota, std::mem::take(&mut self.call_rejected));
+        if self.call_times.smoothed > SLOW_CALL_RATIO * self.call_times.best {
+            self.call_window = (self.call_window * WINDOW_CUT_FACTOR).max(quota * MIN_CALL_WINDOW_SHARE);
+            let (seconds, window) = (self.call_times.smoothed, self.call_window);
+            self.log(now, LogTopic::CallWindow, || {
+                format!("upstream calls take {seconds:.2} s: call window cut to {window:.2}")
+            });
+        } else if !rejected {
+            self.call_window =
+                (self.call_window + quota * CALL_WINDOW_STEP_SHARE).min(quota * MAX_CALL_WINDOW_SHARE);
+        }
     }
 
-    /// Whether calls take much longer than at best, and long enough to matter for the SLA times.
-    pub(super) fn calls_slow(&self) -> bool {
-        self.call_pace > (CALLS_SLOW * self.call_base).max(CALLS_HURT * self.shortest())
+    /// The longest timeout of one more call: the calls of the quota period, each counted up to its timeout, stay within
+    /// this server's quota however slow the dependency becomes.
+    pub(super) fn longest_timeout(&mut self, now: Duration) -> Duration {
+        let period = self.parameters.call_quota_period;
+        let used = self.calls.time_since(now.saturating_sub(period));
+        let quota = (self.parameters.call_quota * MAX_CALL_WINDOW_SHARE).min(CALL_BOUND);
+        period.mul_f64(quota).saturating_sub(used)
     }
 
-    pub(super) fn shortest(&self) -> f64 {
-        self.classes.iter().map(|p| p.latency_target.as_secs_f64()).fold(f64::MAX, f64::min)
+    /// A multiple of the usual call time; practically unlimited until a call has been answered.
+    pub(super) fn multiple_of_call_time(&self, multiple: f64) -> Duration {
+        let best = if self.call_times.best < f64::MAX { self.call_times.best } else { 0.0 };
+        let usual = self.call_times.smoothed.max(best);
+        Duration::from_secs_f64(if usual > 0.0 { (usual * multiple).min(CALL_BOUND) } else { CALL_BOUND })
     }
 
-    /// What leaving out a call loses, in millionths.
-    pub(super) fn stake(&self, class: usize) -> i64 {
-        (self.classes[class].value * (1.0 - self.classes[class].without) * 1e6) as i64
+    /// Whether calls take much longer than at best, and long enough to matter for the latency targets.
+    pub(super) fn calls_are_slow(&self) -> bool {
+        self.call_times.smoothed
+            > (SLOW_CALL_RATIO * self.call_times.best)
+                .max(SLOW_CALL_LATENCY_SHARE * self.shortest_latency_target())
     }
 
-    /// Makes the calls that wait, those first that lose most without, while the calls' window has room. Goes
-    /// on without, where that earns a part, once the wait would take half of the time left. Then fills cores.
-    pub(super) fn go_on(&mut self, now: Duration) {
-        if self.at_call.is_empty() {
-            return self.fill(now);
-        }
-        let mut waiting = std::mem::take(&mut self.waiting);
-        for (id, _) in self.at_call.iter() {
-            let t = &self.requests[&id];
-            // One that can't be in time any more has only its late value at stake.
-            let usual = self.run_time(now, t.class) * 0.5 + self.call_pace;
-            let in_time = t.due.saturating_sub(now).as_secs_f64() >= usual;
-            let share = if in_time { 1.0 } else { self.classes[t.class].late };
-            waiting.push(((-self.stake(t.class) as f64 * share) as i64, t.due, id));
-        }
-        waiting.sort_unstable();
-        let mut longest = self.call_room(now);
-        let (mut ahead, mut out) = (0.0, self.calls.out(now) as f64);
-        let dearest = (0..self.classes.len()).filter(|i| self.classes[*i].calls).map(|i| self.stake(i)).max();
-        for (stake, _, id) in waiting.drain(..) {
-            let request = &self.requests[&id];
-            let p = &self.classes[request.class];
-            let rest = Duration::from_secs_f64(self.run_time(now, request.class) * 0.5);
-            let to_due = request.due.saturating_sub(now + rest);
-            let to_expiry = request.deadline.saturating_sub(now + rest + self.terms.tick);
-            let gap = self.call_pace / self.calls_window;
-            let last = self.calls.last().map_or(f64::MAX, |made| now.saturating_sub(made).as_secs_f64());
-            // Its own share of the time, also while the pace lags behind what calls have come to take.
-            let paced = out == 0.0 && last >= gap.max(self.call_last / self.calls_window);
-            let left = if p.without > 0.0 && to_due > self.terms.tick { to_due } else { to_expiry };
-            // One that takes many times the usual will not be answered; it must not keep others out.
-            let left = left.min(self.usual_calls(CALLS_GONE));
-            // A time-out that is short for want of room would leave the call's effect unknown.
-            let sure = left.min(p.latency_target / 2).min(self.usual_calls(CALLS_SURE));
-            let fits = longest >= sure || self.calls.is_empty();
-            let room = fits && (out + 1.0 <= self.calls_window || paced) && now >= request.redial;
-            let wait = if room { self.call_pace } else { (ahead + 1.0) * gap + self.call_pace };
-            let futile = wait > to_due.as_secs_f64() * 0.5 && (!to_due.is_zero() || p.late <= 0.0 || !room);
-            if p.without > 0.0 && (futile || (-stake < dearest.unwrap_or(0) && self.calls_slow())) {
-                self.resume(now, id);
-                self.host.skip_call(id);
-            } else if room {
-                let timeout = left.max(self.terms.tick).min(longest);
-                out += 1.0;
-                self.calls.made(id, now, now + timeout);
-                longest = longest.saturating_sub(timeout);
-                self.put(id, Stage::Calling);
-                self.requests.entry(id).and_modify(|t| t.calls += 1);
-                self.host.start_call(id, timeout);
-            } else {
-                ahead += 1.0;
-            }
-        }
-        self.waiting = waiting;
-        self.fill(now);
+    /// The shortest latency target of all classes, in seconds.
+    pub(super) fn shortest_latency_target(&self) -> f64 {
+        self.classes.iter().map(|class| class.latency_target.as_secs_f64()).fold(f64::MAX, f64::min)
     }
 
-    pub(super) fn resume(&mut self, now: Duration, id: RequestId) {
-        self.put(id, Stage::Running);
-        self.requests.entry(id).and_modify(|t| t.call_wait += now.saturating_sub(t.call_since));
+    /// What an answer without its call loses, in millionths of a weight.
+    pub(super) fn loss_without_call(&self, class: usize) -> i64 {
+        (self.classes[class].priority_weight * (1.0 - self.classes[class].share_without_call) * 1e6) as i64
     }
 }
--- a/src/admission/window.rs
+++ b/src/admission/window.rs
@@ -1,110 +1,88 @@
-//! The concurrency window: grown and cut by latency, its ceiling, and how many requests it starts.
+//! The concurrency window: its evaluation and limit, and the speed of a server that warms up.
 
-use super::*;
+use super::constants::{
+    COLD_WINDOW_PER_CORE, GROWTH_MAX_P99, INITIAL_RUN_TIME, MIN_IDLE_SHARE, MIN_ON_CORE_SHARE, P99_SPAN,
+    SMOOTHING, STORM_READ_SHARE, WARM_WINDOW_PER_CORE, WINDOW_CUT_FACTOR, WINDOW_INCREMENT,
+};
+use super::state::LogTopic;
+use super::Admission;
+use crate::host::Host;
+use crate::recent_callers::COMPARED_REQUESTS;
+use std::time::Duration;
 
 impl<H: Host> Admission<H> {
+    /// Adapts the windows and the idle timeout to what has happened since the last evaluation.
     pub(super) fn evaluate(&mut self, now: Duration) {
-        let since = std::mem::replace(&mut self.evaluated, now);
-        let longest = self.classes.iter().map(|p| p.latency_target).max().unwrap_or(self.terms.tick);
-        let p99 = self.recent.p99(now, longest.mul_f64(SLIDING));
+        let last_evaluation = std::mem::replace(&mut self.evaluated_at, now);
+        self.evaluate_window(now);
+        self.forget_slow_runs(last_evaluation);
+        self.evaluate_call_window(now);
+        self.evaluate_idle_timeout();
+    }
+
+    fn evaluate_window(&mut self, now: Duration) {
+        let longest_target =
+            self.classes.iter().map(|class| class.latency_target).max().unwrap_or(self.parameters.tick);
+        let p99 = self.recent_runs.p99(now, longest_target.mul_f64(P99_SPAN));
         if p99 > 1.0 {
-            self.window *= BETA;
+            self.window *= WINDOW_CUT_FACTOR;
             let window = self.window;
-            self.log(now, "cut", || format!("p99 at {p99:.2} SLA times, window {window:.1}"));
-        } else if p99 < HEADROOM && self.pressure {
-            self.window += ALPHA;
+            self.log(now, LogTopic::Window, || {
+                format!("p99 of run time is {p99:.2} latency targets: concurrency window cut to {window:.1}")
+            });
+        } else if p99 < GROWTH_MAX_P99 && self.window_was_full {
+            self.window += WINDOW_INCREMENT;
         }
-        self.window = self.window.min(self.ceiling(now)).max(self.terms.cores);
-        self.pressure = false;
-        // A product that nothing has been learnt of lately is taken for quicker again, or a stall, once
-        // learnt, would have it turned away for ever.
+        self.window = self.window.min(self.max_window(now)).max(self.parameters.cores);
+        self.window_was_full = false;
+    }
+
+    /// Lowers the run time of classes without a run since the last evaluation towards its initial value: a class that
+    /// is rejected because of one stall would otherwise never be run, and so never be measured, again.
+    fn forget_slow_runs(&mut self, last_evaluation: Duration) {
         for i in 0..self.classes.len() {
-            let first = self.classes[i].latency_target.as_secs_f64() * PACE_AT_FIRST;
-            if !self.recent.any(i, since) && self.pace[i] > first {
-                self.pace[i] += 2.0 * PACE_GAIN * (first - self.pace[i]);
+            let initial = self.classes[i].latency_target.as_secs_f64() * INITIAL_RUN_TIME;
+            if !self.recent_runs.has_ended_since(i, last_evaluation) && self.run_seconds[i] > initial {
+                self.run_seconds[i] += 2.0 * SMOOTHING * (initial - self.run_seconds[i]);
             }
         }
-        let (share, refused) = (self.terms.calls_share, std::mem::take(&mut self.refused));
-        // What is harmless here may be a crowd there: all servers' calls together slow each other.
-        if self.call_pace > CALLS_SLOW * self.call_base {
-            self.calls_window = (self.calls_window * BETA).max(share * CALLS_LEAST);
-            let (pace, at_once) = (self.call_pace, self.calls_window);
-            self.log(now, "calls", || format!("calls take {pace:.2} s, {at_once:.2} at once"));
-        } else if !refused {
-            self.calls_window = (self.calls_window + share * CALLS_STEP).min(share * CALLS_SHARE);
-        }
-        // Idle connections of callers that seldom return give way to new ones: a full table takes cores and
-        // leaves others no room. In a storm of tries it is still the cheapest way to turn callers away.
-        if let Some(most) = self.terms.idle {
-            let storm = self.reading > STORM * (self.reading + self.terms.cores);
-            let least = most.mul_f64((COMPARED as f64 / self.terms.upstreams).powi(2).clamp(IDLE_LEAST, 1.0));
-            self.idle = self.idle.mul_f64(if storm { 2.0 } else { BETA }).clamp(least, most.max(least));
-            self.host.close_idle(self.idle);
-        }
-    }
-
-    /// The most that the window may be: the cold figure a core after a cold start, rising to the warm one.
-    pub(super) fn ceiling(&self, now: Duration) -> f64 {
-        let warm = self.terms.per_core.unwrap_or(WARM_PER_CORE);
-        let cold = self.terms.cold_per_core.unwrap_or(COLD_PER_CORE).min(warm);
-        (self.terms.cores * (cold + (warm - cold) * self.warmth(now)) / self.on_core.max(0.4))
-            .max(self.terms.cores)
     }
 
-    /// How far this server has warmed up at least, 0 to 1.
-    pub(super) fn warmth(&self, now: Duration) -> f64 {
-        self.terms.warm_after.map_or(1.0, |after| now.div_duration_f64(after).min(1.0))
+    /// Closes idle connections of callers that seldom return sooner, since a full table takes cores and leaves new
+    /// connections no room; later in a storm of attempts, where a kept connection is the cheapest way to reject.
+    fn evaluate_idle_timeout(&mut self) {
+        let Some(longest) = self.parameters.idle_timeout else { return };
+        let is_storm = self.read_load > STORM_READ_SHARE * (self.read_load + self.parameters.cores);
+        let return_share = COMPARED_REQUESTS as f64 / self.parameters.caller_count;
+        let shortest = longest.mul_f64(return_share.powi(2).clamp(MIN_IDLE_SHARE, 1.0));
+        let factor = if is_storm { 2.0 } else { WINDOW_CUT_FACTOR };
+        self.idle_timeout = self.idle_timeout.mul_f64(factor).clamp(shortest, longest.max(shortest));
+        self.host.close_idle(self.idle_timeout);
     }
 
-    /// Starts held txns by due time while the window has room.
-    pub(super) fn fill(&mut self, now: Duration) {
-        while let Some((_, id)) = self.queue.first() {
-            let running = self.totals.running() as f64;
-            if running + 1.0 > self.window || !self.start_request(now, id) {
-                self.pressure = true;
-                return;
-            }
-        }
+    /// The limit of the window. After a cold start it rises from the cold to the warm limit.
+    pub(super) fn max_window(&self, now: Duration) -> f64 {
+        let warm = self.parameters.window_per_core.unwrap_or(WARM_WINDOW_PER_CORE);
+        let cold = self.parameters.cold_window_per_core.unwrap_or(COLD_WINDOW_PER_CORE).min(warm);
+        (self.parameters.cores * (cold + (warm - cold) * self.warmth(now))
+            / self.on_core_share.max(MIN_ON_CORE_SHARE))
+        .max(self.parameters.cores)
     }
 
-    /// The only place where a run begins: all guards of the four rules stand here.
-    pub(super) fn start_request(&mut self, now: Duration, id: RequestId) -> bool {
-        let Some(request) = self.requests.get(&id).filter(|t| t.stage == Stage::Queued) else { return false };
-        let unkept = request.effect == Effect::Keyed && !self.dedup.is_live(id);
-        if unkept || self.too_late(request.arrived) || now + self.terms.tick >= request.deadline {
-            self.turn_away(now, id);
-            return true;
-        }
-        // Calls return to the cores on their own, so they count for the crowd.
-        let crowd = self.totals.begun() as f64 + 1.0;
-        let memory = self.memory(request.kb);
-        let survives = self.terms.cores * (1.0 + (self.terms.fall_multiple - 1.0) * self.speed(now));
-        if crowd > (CROWD_SHARE * survives).max(self.terms.cores) || memory > MEMORY_SHARE {
-            return false;
-        }
-        self.queue.remove((request.due, id));
-        self.put(id, Stage::Running);
-        self.requests.entry(id).and_modify(|t| t.started = now);
-        self.host.start_run(id);
-        true
+    /// How far this server has warmed up at least, from 0 to 1.
+    pub(super) fn warmth(&self, now: Duration) -> f64 {
+        self.parameters.warm_after.map_or(1.0, |after| now.div_duration_f64(after).min(1.0))
     }
 
-    /// The share of its speed that this server has at least.
+    /// The least speed of this server, as a share of its warm speed.
     pub(super) fn speed(&self, now: Duration) -> f64 {
         let warmth = self.warmth(now);
-        let from = if warmth < 1.0 { self.terms.cold_from } else { 1.0 };
-        from + (1.0 - from) * warmth
-    }
-
-    /// Seconds that a run of this product takes on the cores at present.
-    pub(super) fn run_time(&self, now: Duration, class: usize) -> f64 {
-        self.pace[class] / self.speed(now)
+        let cold_speed = if warmth < 1.0 { self.parameters.cold_speed } else { 1.0 };
+        cold_speed + (1.0 - cold_speed) * warmth
     }
 
-    /// Memory in use once a held txn of this size is started, as a share of what there is.
-    pub(super) fn memory(&self, started: f64) -> f64 {
-        let (factor, (waiting, begun)) = (self.terms.run_factor, self.totals.kb());
-        let keys = self.dedup.live() as f64 * self.terms.key_kb;
-        (waiting + begun * factor + keys + started * (factor - 1.0)) / self.terms.memory_kb
+    /// Seconds that a run of this class takes at the present speed.
+    pub(super) fn run_seconds_now(&self, now: Duration, class: usize) -> f64 {
+        self.run_seconds[class] / self.speed(now)
     }
 }
--- a/src/dedup.rs
+++ b/src/dedup.rs
@@ -1,90 +1,116 @@
-//! The table of marked txns: until when each is known, which are live, and which repeat took whose place in the
-//! queue. No decision lives here.
+//! The deduplication entries as admission control sees them: how long each lasts, and which repeat has replaced which
+//! queued request. The responses themselves are kept by the host.
 
 use crate::types::{Effect, RequestClass, RequestId, RequestMap};
 use std::time::Duration;
 
 struct DedupEntry {
-    until: Duration,
-    live: bool,
+    ends_at: Duration,
+    /// Its window has not ended, so it counts for memory.
+    active: bool,
     class: usize,
     /// The repeat that took its place in the queue.
-    heir: Option<RequestId>,
+    replaced_by: Option<RequestId>,
 }
 
+/// A deduplication entry that lasts longer than before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ExtendedEntry {
+    pub(crate) request_id: RequestId,
+    pub(crate) ends_at: Duration,
+}
+
+/// All deduplication entries, by the request that they were made for.
 #[derive(Default)]
-pub struct DedupEntries {
-    all: RequestMap<DedupEntry>,
-    live: usize,
+pub(crate) struct DedupEntries {
+    entries: RequestMap<DedupEntry>,
+    active_count: usize,
 }
 
 impl DedupEntries {
-    pub fn knows(&self, id: RequestId) -> bool {
-        self.all.contains_key(&id)
+    pub(crate) fn contains(&self, id: RequestId) -> bool {
+        self.entries.contains_key(&id)
     }
 
-    /// The last of those that took one another's place, beginning with this one.
-    pub fn last_heir(&self, id: RequestId) -> RequestId {
-        let mut last = id;
-        while let Some(heir) = self.all.get(&last).and_then(|m| m.heir) {
-            last = heir;
+    /// Follows the chain of replacements from this request to the one that now stands in its place.
+    pub(crate) fn latest_replacement(&self, id: RequestId) -> RequestId {
+        let mut latest = id;
+        while let Some(replacement) = self.entries.get(&latest).and_then(|entry| entry.replaced_by) {
+            latest = replacement;
         }
-        last
+        latest
     }
 
-    pub fn is_live(&self, id: RequestId) -> bool {
-        self.all.get(&id).is_some_and(|m| m.live)
+    pub(crate) fn is_active(&self, id: RequestId) -> bool {
+        self.entries.get(&id).is_some_and(|entry| entry.active)
     }
 
-    /// Those that count for the memory.
-    pub fn live(&self) -> usize {
-        self.live
+    /// Number of entries that count for memory.
+    pub(crate) fn active_count(&self) -> usize {
+        self.active_count
     }
 
-    pub fn keep(&mut self, id: RequestId, class: usize, until: Duration) {
-        self.live += 1;
-        self.all.insert(id, DedupEntry { until, live: true, class, heir: None });
+    pub(crate) fn insert(&mut self, id: RequestId, class: usize, ends_at: Duration) {
+        self.active_count += 1;
+        self.entries.insert(id, DedupEntry { ends_at, active: true, class, replaced_by: None });
     }
 
-    /// Products have come to be others. Where a window has grown, gives the live entries that last longer now, in the
-    /// order of their ids, with their ends.
-    pub fn extend(&mut self, old: &[RequestClass], new: &[RequestClass]) -> Vec<(RequestId, Duration)> {
-        let grown = |(old, new): (&RequestClass, &RequestClass)| match old.effect {
+    /// Extends the active entries of keyed classes whose window has grown from `old` to `new`. Returns them in the
+    /// order of their ids.
+    pub(crate) fn extend_windows(
+        &mut self,
+        old: &[RequestClass],
+        new: &[RequestClass],
+    ) -> Vec<ExtendedEntry> {
+        let growth = |(old, new): (&RequestClass, &RequestClass)| match old.effect {
             Effect::Keyed => new.window.saturating_sub(old.window),
-            _ => Duration::ZERO,
+            Effect::Idempotent | Effect::Unsafe => Duration::ZERO,
         };
-        let by: Vec<Duration> = old.iter().zip(new).map(grown).collect();
-        let mut longer = Vec::new();
-        for (id, mark) in self.all.iter_mut().filter(|(_, m)| m.live && !by[m.class].is_zero()) {
-            mark.until += by[mark.class];
-            longer.push((*id, mark.until));
+        let growth: Vec<Duration> = old.iter().zip(new).map(growth).collect();
+        let mut extended = Vec::new();
+        for (id, entry) in self.entries.iter_mut().filter(|(_, e)| e.active && !growth[e.class].is_zero()) {
+            entry.ends_at += growth[entry.class];
+            extended.push(ExtendedEntry { request_id: *id, ends_at: entry.ends_at });
         }
-        longer.sort_unstable();
-        longer
+        extended.sort_unstable();
+        extended
     }
 
-    /// This one's place in the queue is another's now; others may still name it until then.
-    pub fn replaced(&mut self, id: RequestId, class: usize, heir: RequestId, until: Duration) {
-        self.all.insert(id, DedupEntry { until, live: false, class, heir: Some(heir) });
+    /// Records that a repeat has taken the place of this request in the queue. Until `ends_at` other repeats may
+    /// still name the replaced request.
+    pub(crate) fn insert_replaced(
+        &mut self,
+        id: RequestId,
+        class: usize,
+        replaced_by: RequestId,
+        ends_at: Duration,
+    ) {
+        let replaced_by = Some(replaced_by);
+        self.entries.insert(id, DedupEntry { ends_at, active: false, class, replaced_by });
     }
 
-    /// Whether there was one.
-    pub fn forget(&mut self, id: RequestId) -> bool {
-        let mark = self.all.remove(&id);
-        self.live -= usize::from(mark.as_ref().is_some_and(|m| m.live));
-        mark.is_some()
+    /// Removes an entry. Returns whether there was one.
+    pub(crate) fn remove(&mut self, id: RequestId) -> bool {
+        let entry = self.entries.remove(&id);
+        self.active_count -= usize::from(entry.as_ref().is_some_and(|entry| entry.active));
+        entry.is_some()
     }
 
-    /// A time of this one has come. One that was live is known for so much longer, since a repeat may be read long
-    /// after it came, and is to be looked at again then; one that was not is gone.
-    pub fn lapse(&mut self, id: RequestId, now: Duration, known: Duration) -> Option<Duration> {
-        let mark = self.all.get_mut(&id).filter(|m| m.until <= now)?;
-        if !std::mem::take(&mut mark.live) {
-            self.all.remove(&id);
+    /// Handles the timer of an entry. An active entry becomes inactive and is kept for `inactive_span` more, because a
+    /// repeat may be read long after it arrived; returns the end of that. An inactive entry is removed.
+    pub(crate) fn expire(
+        &mut self,
+        id: RequestId,
+        now: Duration,
+        inactive_span: Duration,
+    ) -> Option<Duration> {
+        let entry = self.entries.get_mut(&id).filter(|entry| entry.ends_at <= now)?;
+        if !std::mem::take(&mut entry.active) {
+            self.entries.remove(&id);
             return None;
         }
-        mark.until = now + known;
-        self.live -= 1;
-        Some(mark.until)
+        entry.ends_at = now + inactive_span;
+        self.active_count -= 1;
+        Some(entry.ends_at)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,7 @@
-//! Decides, inside each server of a fleet, what it takes, runs and turns away.
+//! Admission control for one server of a fleet: which requests it queues, runs and rejects.
 //!
-//! `Admission` is the decision module: one instance a server, one method for each thing that can happen.
-//! It acts through the `Host` it is handed at start and knows nothing but what it is told.
-
-// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
-#![allow(missing_docs, unreachable_pub)]
-#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+//! [`Admission`] is a state machine without I/O and without a clock: the server calls one method for each event, with
+//! the time since its start, and the state machine acts through the [`Host`] that it was given.
 
 pub mod admission;
 mod dedup;
@@ -13,15 +9,20 @@
 pub mod outstanding_calls;
 pub mod parameters;
 pub mod queue;
-mod quotas;
+pub mod range_summary_map;
 mod recent_callers;
 mod recent_runs;
 mod request;
+mod request_totals;
 pub mod settings;
-mod totals;
-pub mod tree;
+mod tenant_quotas;
 pub mod types;
 
+/// The former name of [`range_summary_map`], until the other packages use the new one.
+pub mod tree {
+    pub use crate::range_summary_map::RangeSummaryMap as Tree;
+}
+
 pub use admission::Admission;
 pub use host::Host;
 pub use settings::{Settings, Value};
--- a/src/outstanding_calls.rs
+++ b/src/outstanding_calls.rs
@@ -1,92 +1,102 @@
-//! The calls of late: when each was made, and until when it may stay below. Keeps the sums that are asked for
-//! at every event. No decision lives here.
+//! The upstream calls of the last seconds: when each was made, and until when it may occupy the dependency. Keeps
+//! running sums, because they are asked for at every event.
 
-use crate::tree::Tree;
+use crate::range_summary_map::RangeSummaryMap;
 use crate::types::{RequestId, RequestMap};
 use std::collections::VecDeque;
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
-    request: RequestId,
-    made: Duration,
-    until: Duration,
-    /// Nothing of it counts any more.
-    gone: bool,
+    request_id: RequestId,
+    started_at: Duration,
+    ends_at: Duration,
+    /// It ended before the observed period and is no longer part of the sums.
+    expired: bool,
 }
 
+/// The end of an open call. Ordered by time, then by the number of the call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct CallEnd {
+    at: Duration,
+    number: u64,
+}
+
+/// Upstream calls, numbered in the order in which they were made.
 #[derive(Debug, Default)]
-pub struct Calls {
-    /// In the order in which they were made; the first has the number `first`.
-    all: VecDeque<Call>,
-    first: u64,
-    latest: RequestMap<u64>,
-    /// By their end, those that have not come to it.
-    open: Tree<(Duration, u64)>,
-    /// Those that count, and the time that they take in all.
-    count: usize,
-    sum: Duration,
+pub struct OutstandingCalls {
+    /// In the order in which they were made; the first has the number `first_number`.
+    calls: VecDeque<Call>,
+    first_number: u64,
+    latest_of_request: RequestMap<u64>,
+    open: RangeSummaryMap<CallEnd>,
+    /// Number of the calls that are not expired, and the time that they take in total.
+    counted: usize,
+    total_time: Duration,
 }
 
-impl Calls {
-    pub fn made(&mut self, request: RequestId, now: Duration, until: Duration) {
-        let number = self.first + self.all.len() as u64;
-        self.all.push_back(Call { request, made: now, until, gone: false });
-        self.latest.insert(request, number);
-        self.open.insert((until, number), ());
-        (self.count, self.sum) = (self.count + 1, self.sum + until.saturating_sub(now));
+impl OutstandingCalls {
+    /// Records a call that may last until `ends_at`.
+    pub fn start(&mut self, request_id: RequestId, now: Duration, ends_at: Duration) {
+        let number = self.first_number + self.calls.len() as u64;
+        self.calls.push_back(Call { request_id, started_at: now, ends_at, expired: false });
+        self.latest_of_request.insert(request_id, number);
+        self.open.insert(CallEnd { at: ends_at, number }, ());
+        self.counted += 1;
+        self.total_time += ends_at.saturating_sub(now);
     }
 
-    /// The last one of this txn, if it has not come to its end, ends at `until`.
-    pub fn ends(&mut self, request: RequestId, now: Duration, until: Duration) {
-        let Some(&number) = self.latest.get(&request) else { return };
-        let Some(call) = self.all.get_mut((number - self.first) as usize) else { return };
-        if call.until >= now && !call.gone {
-            self.open.remove(&(call.until, number));
-            self.sum = (self.sum + until).saturating_sub(call.until);
-            call.until = until;
-            self.open.insert((until, number), ());
+    /// Moves the end of the latest call of this request to `ends_at`, unless it has ended already.
+    pub fn set_end(&mut self, request_id: RequestId, now: Duration, ends_at: Duration) {
+        let Some(&number) = self.latest_of_request.get(&request_id) else { return };
+        let Some(call) = self.calls.get_mut((number - self.first_number) as usize) else { return };
+        if call.ends_at >= now && !call.expired {
+            self.open.remove(&CallEnd { at: call.ends_at, number });
+            self.total_time = (self.total_time + ends_at).saturating_sub(call.ends_at);
+            call.ends_at = ends_at;
+            self.open.insert(CallEnd { at: ends_at, number }, ());
         }
     }
 
-    /// What the calls took since this moment, each counted from then on at the earliest. Older ones go.
-    pub fn taken(&mut self, since: Duration) -> Duration {
-        let mut before = Duration::ZERO;
-        // Only those that were made before can have gone, or count in part: as many as were out at once.
-        for call in self.all.iter_mut().take_while(|c| c.made < since).filter(|c| !c.gone) {
-            if call.until <= since {
-                call.gone = true;
-                self.count -= 1;
-                self.sum = self.sum.saturating_sub(call.until.saturating_sub(call.made));
+    /// The total time that calls take after `since`, up to the end of each. Drops calls that ended before.
+    pub fn time_since(&mut self, since: Duration) -> Duration {
+        let mut time_before = Duration::ZERO;
+        // Only calls made before `since` can have ended before it or count in part.
+        for call in self.calls.iter_mut().take_while(|c| c.started_at < since).filter(|c| !c.expired) {
+            if call.ends_at <= since {
+                call.expired = true;
+                self.counted -= 1;
+                self.total_time =
+                    self.total_time.saturating_sub(call.ends_at.saturating_sub(call.started_at));
             } else {
-                before += since - call.made;
+                time_before += since - call.started_at;
             }
         }
-        while let Some(call) = self.all.front().filter(|c| c.gone) {
-            if self.latest.get(&call.request) == Some(&self.first) {
-                self.latest.remove(&call.request);
+        while let Some(call) = self.calls.front().filter(|c| c.expired) {
+            if self.latest_of_request.get(&call.request_id) == Some(&self.first_number) {
+                self.latest_of_request.remove(&call.request_id);
             }
-            self.all.pop_front();
-            self.first += 1;
+            self.calls.pop_front();
+            self.first_number += 1;
         }
-        self.sum.saturating_sub(before)
+        self.total_time.saturating_sub(time_before)
     }
 
-    /// How many may still be below.
-    pub fn out(&mut self, now: Duration) -> usize {
-        while let Some((end, _)) = self.open.first().filter(|(end, _)| end.0 <= now) {
+    /// Number of calls that may still occupy the dependency.
+    pub fn open_count(&mut self, now: Duration) -> usize {
+        while let Some((end, ())) = self.open.first().filter(|(end, ())| end.at <= now) {
             self.open.remove(&end);
         }
         self.open.len()
     }
 
-    /// Whether none counts.
+    /// Whether no call is part of the sums.
     pub fn is_empty(&self) -> bool {
-        self.count == 0
+        self.counted == 0
     }
 
-    /// When the last one was made.
-    pub fn last(&self) -> Option<Duration> {
-        self.all.back().filter(|_| self.count > 0).map(|c| c.made)
+    /// When the last call was made, if any call is part of the sums.
+    pub fn last_start(&self) -> Option<Duration> {
+        self.calls.back().filter(|_| self.counted > 0).map(|call| call.started_at)
     }
 }
--- a/src/parameters.rs
+++ b/src/parameters.rs
@@ -1,115 +1,169 @@
-//! The settings that the module goes by, read once, with the defaults that docs/design.md lists.
+//! The parameters of admission control, read from the settings once, with the defaults of docs/design.md.
 
 use crate::settings::Settings;
 use crate::types::{Effect, RequestClass};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The form of the free value.
+/// What the load hint expresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Advert {
+pub enum LoadHintForm {
+    /// The admission threshold, from 0 to 1.
     Threshold,
-    ShareOf,
+    /// The share of its usual load that this server takes, from 0 to 1.
+    ShareOfLoad,
+    /// Requests that a caller may have in flight with this server.
     Window,
 }
 
+/// This server's part of the quota of a tenant.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TenantQuota {
+    /// The tenant's name.
+    pub name: String,
+    /// Requests a second.
+    pub rate: f64,
+}
+
+/// The parameters of admission control.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct Parameters {
+    /// Cores of this server.
     pub cores: f64,
+    /// Interval of the timer, and the time that an answer takes to be sent.
     pub tick: Duration,
+    /// Memory for requests and deduplication entries, in KB.
     pub memory_kb: f64,
-    pub run_factor: f64,
-    pub key_kb: f64,
-    pub calls_share: f64,
-    pub calls_over: Duration,
-    pub linger: Duration,
-    pub fresh: Duration,
-    pub idle: Option<Duration>,
-    pub upstreams: f64,
-    pub halt: bool,
-    pub advert: Option<Advert>,
-    /// The place of the gauge among those that come.
-    pub runnable: Option<usize>,
-    pub fall_multiple: f64,
-    pub cold_from: f64,
-    /// After a cold start.
+    /// Memory of a started request, as a multiple of what it took before.
+    pub run_memory_factor: f64,
+    /// Memory of a deduplication entry, in KB.
+    pub dedup_entry_kb: f64,
+    /// Upstream calls that this server may have outstanding on average.
+    pub call_quota: f64,
+    /// The period over which that average is taken.
+    pub call_quota_period: Duration,
+    /// How long a call that this server has abandoned may still occupy the dependency.
+    pub abandoned_call_time: Duration,
+    /// How long idempotent requests are remembered; zero for not at all.
+    pub idempotent_window: Duration,
+    /// How long callers keep idle connections.
+    pub idle_timeout: Option<Duration>,
+    /// Number of callers that send to this server.
+    pub caller_count: f64,
+    /// Whether runs can be stopped.
+    pub can_stop_runs: bool,
+    /// What the load hint expresses; none is sent without it.
+    pub load_hint_form: Option<LoadHintForm>,
+    /// Index of the number of runnable tasks among the load metrics.
+    pub runnable_metric: Option<usize>,
+    /// Started requests at which a warm server collapses, as a multiple of the cores.
+    pub collapse_multiple: f64,
+    /// Speed just after a cold start, as a share of the warm speed.
+    pub cold_speed: f64,
+    /// Time after a cold start until the server is warm; none after a warm start.
     pub warm_after: Option<Duration>,
-    pub grace: Duration,
-    pub per_core: Option<f64>,
-    pub cold_per_core: Option<f64>,
-    /// The longest that a caller may be told to stay away, where it heeds that at all.
-    pub retry_after: Duration,
-    /// The tenants' names and shares of this server, and what a txn beyond its share is worth.
-    pub tenants: Vec<(String, f64)>,
-    pub over_share: f64,
-    /// Callers that nothing is run for.
+    /// After the notice to drain, callers stop sending within this time.
+    pub senders_stop_within: Duration,
+    /// Limit of the concurrency window a core, once warm.
+    pub window_per_core: Option<f64>,
+    /// The same just after a cold start.
+    pub cold_window_per_core: Option<f64>,
+    /// The longest `Retry-After`; zero if callers do not heed it.
+    pub max_retry_after: Duration,
+    /// Tenants with a quota.
+    pub tenants: Vec<TenantQuota>,
+    /// Factor of the priority of requests beyond their tenant's quota.
+    pub over_quota_factor: f64,
+    /// Callers whose requests are all rejected.
     pub rejected_callers: BTreeSet<u64>,
 }
 
-impl Terms {
-    pub fn read(cfg: &Settings) -> Terms {
-        let info = |name: &str| cfg.num(&format!("family_info.{name}"));
-        let slack = cfg.span("rules.answer_slack").unwrap_or(Duration::from_millis(20));
-        let cold = cfg.flag("family_info.cold") == Some(true);
-        let heard = cfg.flag("limits.retry_after") == Some(true);
-        let meters = (0..).map_while(|i| cfg.text(&format!("family_info.meters.{i}")));
-        let peers = cfg.num("peers_total").unwrap_or(1.0).max(1.0);
-        let quota = |i: usize| cfg.num(&format!("tenants.{i}.quota_per_s")).unwrap_or(f64::MAX) / peers;
-        let tenants = (0..).map_while(|i| cfg.text(&format!("tenants.{i}.name")).map(|name| (i, name)));
-        let away = (0..).map_while(|i| cfg.num(&format!("rules.turned_away.{i}")));
-        Terms {
+impl Parameters {
+    /// Reads the parameters. Where a setting is missing or invalid its default holds.
+    pub fn from_settings(settings: &Settings) -> Parameters {
+        let info = |name: &str| settings.num(&format!("family_info.{name}"));
+        let answer_slack = settings.span("rules.answer_slack").unwrap_or(Duration::from_millis(20));
+        let cold = settings.flag("family_info.cold") == Some(true);
+        let heeds_retry_after = settings.flag("limits.retry_after") == Some(true);
+        let metrics = (0..).map_while(|i| settings.text(&format!("family_info.meters.{i}")));
+        let rejected_callers = (0..).map_while(|i| settings.num(&format!("rules.turned_away.{i}")));
+        Parameters {
             cores: info("cores").unwrap_or(1.0).max(1.0),
-            tick: (slack / 2).max(cfg.span("tick").unwrap_or_default()).max(Duration::from_millis(5)),
+            tick: (answer_slack / 2)
+                .max(settings.span("tick").unwrap_or_default())
+                .max(Duration::from_millis(5)),
             memory_kb: info("memory_kb").unwrap_or(f64::MAX),
-            run_factor: info("run_factor").unwrap_or(8.0).max(1.0),
-            key_kb: info("key_kb").unwrap_or(0.0),
-            calls_share: info("calls_out").filter(|c| *c > 0.0).unwrap_or(f64::MAX),
-            calls_over: cfg.span("family_info.calls_over").unwrap_or(Duration::from_secs(5)),
-            linger: cfg.span("family_info.linger").unwrap_or_default(),
-            fresh: cfg.span("family_info.fresh_for").unwrap_or_default(),
-            idle: cfg.span("family_info.idle"),
-            upstreams: info("upstreams").unwrap_or(1.0).max(1.0),
-            halt: cfg.text("family_info.halt").unwrap_or("none") != "none",
-            advert: match cfg.text("family_info.advert") {
-                Some("threshold") => Some(Advert::Threshold),
-                Some("share_of") => Some(Advert::ShareOf),
-                Some("window") => Some(Advert::Window),
-                _ => None,
-            },
-            runnable: meters.into_iter().position(|name| name == "runnable"),
-            fall_multiple: cfg.num("rules.fall_multiple").unwrap_or(2.0).max(1.0),
-            cold_from: cfg.num("rules.cold_from").unwrap_or(0.0).clamp(0.05, 1.0),
-            warm_after: cfg.span("rules.warm_after").filter(|after| cold && !after.is_zero()),
-            grace: cfg.span("rules.stop_sending_within").unwrap_or_default(),
-            per_core: cfg.num("window.per_core"),
-            cold_per_core: cfg.num("window.cold_per_core"),
-            retry_after: cfg.span("limits.max_retry_after").filter(|_| heard).unwrap_or_default(),
-            tenants: tenants.map(|(i, name)| (name.to_string(), quota(i))).collect(),
-            rejected_callers: away.map(|caller| caller as u64).collect(),
-            over_share: cfg.num("over_share_worth").unwrap_or(1.0).min(1.0),
+            run_memory_factor: info("run_factor").unwrap_or(8.0).max(1.0),
+            dedup_entry_kb: info("key_kb").unwrap_or(0.0),
+            call_quota: info("calls_out").filter(|quota| *quota > 0.0).unwrap_or(f64::MAX),
+            call_quota_period: settings.span("family_info.calls_over").unwrap_or(Duration::from_secs(5)),
+            abandoned_call_time: settings.span("family_info.linger").unwrap_or_default(),
+            idempotent_window: settings.span("family_info.fresh_for").unwrap_or_default(),
+            idle_timeout: settings.span("family_info.idle"),
+            caller_count: info("upstreams").unwrap_or(1.0).max(1.0),
+            can_stop_runs: settings.text("family_info.halt").unwrap_or("none") != "none",
+            load_hint_form: load_hint_form(settings),
+            runnable_metric: metrics.into_iter().position(|name| name == "runnable"),
+            collapse_multiple: settings.num("rules.fall_multiple").unwrap_or(2.0).max(1.0),
+            cold_speed: settings.num("rules.cold_from").unwrap_or(0.0).clamp(0.05, 1.0),
+            warm_after: settings.span("rules.warm_after").filter(|after| cold && !after.is_zero()),
+            senders_stop_within: settings.span("rules.stop_sending_within").unwrap_or_default(),
+            window_per_core: settings.num("window.per_core"),
+            cold_window_per_core: settings.num("window.cold_per_core"),
+            max_retry_after: settings
+                .span("limits.max_retry_after")
+                .filter(|_| heeds_retry_after)
+                .unwrap_or_default(),
+            tenants: tenant_quotas(settings),
+            over_quota_factor: settings.num("over_share_worth").unwrap_or(1.0).min(1.0),
+            rejected_callers: rejected_callers.map(|caller| caller as u64).collect(),
         }
     }
 }
 
-/// The products in the order of the settings.
-pub fn classes(cfg: &Settings) -> Vec<RequestClass> {
-    let key = |i: usize, field: &str| format!("profiles.{i}.{field}");
-    let named = (0..).map_while(|i| cfg.text(&key(i, "name")).map(|name| (i, name)));
-    let serves = cfg.flag("rules.in_service") != Some(false);
-    let class = |(i, name): (usize, &str)| {
-        let deadline = cfg.span(&key(i, "give_up")).unwrap_or(Duration::from_secs(5));
-        RequestClass {
-            name: name.into(),
-            effect: Effect::named(cfg.text(&key(i, "effect")).unwrap_or_default()),
-            latency_target: cfg.span(&key(i, "goal_time")).filter(|s| !s.is_zero()).unwrap_or(deadline / 2),
-            deadline,
-            value: cfg.num(&key(i, "points")).unwrap_or(1.0),
-            late: cfg.num(&key(i, "late_worth")).unwrap_or(0.0),
-            window: cfg.span(&key(i, "window")).unwrap_or(deadline * 4),
-            without: cfg.num(&format!("family_info.worth_without.{i}")).unwrap_or(0.0),
-            calls: cfg.flag(&format!("family_info.class_calls.{i}")) != Some(false),
-            offered: cfg.flag(&key(i, "offered")) != Some(false) && serves,
-        }
-    };
-    named.map(class).collect()
+fn load_hint_form(settings: &Settings) -> Option<LoadHintForm> {
+    match settings.text("family_info.advert") {
+        Some("threshold") => Some(LoadHintForm::Threshold),
+        Some("share_of") => Some(LoadHintForm::ShareOfLoad),
+        Some("window") => Some(LoadHintForm::Window),
+        _ => None,
+    }
+}
+
+fn tenant_quotas(settings: &Settings) -> Vec<TenantQuota> {
+    let servers = settings.num("peers_total").unwrap_or(1.0).max(1.0);
+    let rate = |i: usize| settings.num(&format!("tenants.{i}.quota_per_s")).unwrap_or(f64::MAX) / servers;
+    (0..)
+        .map_while(|i| settings.text(&format!("tenants.{i}.name")).map(|name| (i, name)))
+        .map(|(i, name)| TenantQuota { name: name.to_string(), rate: rate(i) })
+        .collect()
+}
+
+/// The request classes in the order of the settings.
+pub fn classes(settings: &Settings) -> Vec<RequestClass> {
+    let in_service = settings.flag("rules.in_service") != Some(false);
+    (0..)
+        .map_while(|i| settings.text(&format!("profiles.{i}.name")).map(|name| (i, name)))
+        .map(|(i, name)| request_class(settings, i, name, in_service))
+        .collect()
+}
+
+fn request_class(settings: &Settings, index: usize, name: &str, in_service: bool) -> RequestClass {
+    let key = |field: &str| format!("profiles.{index}.{field}");
+    let deadline = settings.span(&key("give_up")).unwrap_or(Duration::from_secs(5));
+    RequestClass {
+        name: name.into(),
+        effect: Effect::named(settings.text(&key("effect")).unwrap_or_default()),
+        latency_target: settings
+            .span(&key("goal_time"))
+            .filter(|target| !target.is_zero())
+            .unwrap_or(deadline / 2),
+        deadline,
+        priority_weight: settings.num(&key("points")).unwrap_or(1.0),
+        late_share: settings.num(&key("late_worth")).unwrap_or(0.0),
+        window: settings.span(&key("window")).unwrap_or(deadline * 4),
+        share_without_call: settings.num(&format!("family_info.worth_without.{index}")).unwrap_or(0.0),
+        makes_calls: settings.flag(&format!("family_info.class_calls.{index}")) != Some(false),
+        offered: settings.flag(&key("offered")) != Some(false) && in_service,
+    }
 }
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,162 +1,227 @@
-//! The queue: what has been read and not begun, in order of due time, with running figures of every stretch of
-//! it, so that neither its cost nor the question who can't be in time needs a pass over all. No decision
-//! lives here: the module says what it asks for.
+//! The queue of requests that have been read and not started, in the order of their due times.
+//!
+//! Summaries of ranges answer what the queue costs and which request cannot be in time without a pass over all entries.
 
-use crate::tree::{Summary, Tree, View};
+use crate::range_summary_map::{NodeView, RangeSummaryMap, Summary};
 use crate::types::RequestId;
 use std::time::Duration;
 
-pub type Place = (Duration, RequestId);
+/// A position in the queue. Ordered by due time, then by id.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QueuePosition {
+    /// When the answer is due, since the start of the server.
+    pub due_at: Duration,
+    /// The request.
+    pub request_id: RequestId,
+}
+
+/// A position that a search has found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FoundRequest {
+    /// Its position.
+    pub position: QueuePosition,
+    /// Index of its request class.
+    pub class: usize,
+}
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct QueuedRequest {
     class: usize,
-    worth: f64,
+    priority: f64,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct ClassSummary {
+    count: u32,
+    earliest_due: Duration,
 }
 
-/// Of a stretch: how many of each product, the earliest due time of each, and the place of the least worth.
+const EMPTY_CLASS: ClassSummary = ClassSummary { count: 0, earliest_due: Duration::MAX };
+
+#[derive(Clone, Copy, Debug)]
+struct LowestPriority {
+    priority: f64,
+    position: QueuePosition,
+}
+
+/// Of a range: count and earliest due time by class, and the request of the lowest priority.
 #[derive(Debug, Default)]
-struct Stretch {
-    of_class: Vec<(u32, Duration)>,
-    least: Option<(f64, Place)>,
+struct RangeSummary {
+    classes: Vec<ClassSummary>,
+    lowest: Option<LowestPriority>,
 }
 
-impl Summary<Place, Held> for Stretch {
-    fn gather(&mut self, key: &Place, value: &Held, left: Option<&Self>, right: Option<&Self>) {
-        let below = [left, right];
-        let classes = below.iter().flatten().map(|s| s.of_class.len()).fold(value.class + 1, usize::max);
-        self.of_class.resize(classes, NONE);
-        for (i, sum) in self.of_class.iter_mut().enumerate() {
-            let of = |s: Option<&Self>| s.and_then(|s| s.of_class.get(i)).copied().unwrap_or(NONE);
-            let (l, r) = (of(left), of(right));
-            *sum = (l.0 + r.0, l.1.min(r.1));
+impl Summary<QueuePosition, QueuedRequest> for RangeSummary {
+    fn recompute(
+        &mut self,
+        key: &QueuePosition,
+        value: &QueuedRequest,
+        left: Option<&Self>,
+        right: Option<&Self>,
+    ) {
+        let children = [left, right];
+        let class_count =
+            children.iter().flatten().map(|child| child.classes.len()).fold(value.class + 1, usize::max);
+        self.classes.resize(class_count, EMPTY_CLASS);
+        for (class, summary) in self.classes.iter_mut().enumerate() {
+            let of = |child: Option<&Self>| {
+                child.and_then(|child| child.classes.get(class)).copied().unwrap_or(EMPTY_CLASS)
+            };
+            let (left, right) = (of(left), of(right));
+            *summary = ClassSummary {
+                count: left.count + right.count,
+                earliest_due: left.earliest_due.min(right.earliest_due),
+            };
         }
-        self.least = None;
-        // Left before the node before right: of those of equal worth the first one stands.
-        self.lessen(left.and_then(|s| s.least));
+        self.lowest = None;
+        // In the order of the queue, so that the first of equal priorities stays.
+        self.lower_to(left.and_then(|child| child.lowest));
         self.add(key, value);
-        self.lessen(right.and_then(|s| s.least));
+        self.lower_to(right.and_then(|child| child.lowest));
     }
 
-    fn add(&mut self, key: &Place, value: &Held) {
-        if self.of_class.len() <= value.class {
-            self.of_class.resize(value.class + 1, NONE);
+    fn add(&mut self, key: &QueuePosition, value: &QueuedRequest) {
+        if self.classes.len() <= value.class {
+            self.classes.resize(value.class + 1, EMPTY_CLASS);
         }
-        let own = &mut self.of_class[value.class];
-        *own = (own.0 + 1, own.1.min(key.0));
-        self.lessen(Some((value.worth, *key)));
+        let class = &mut self.classes[value.class];
+        class.count += 1;
+        class.earliest_due = class.earliest_due.min(key.due_at);
+        self.lower_to(Some(LowestPriority { priority: value.priority, position: *key }));
     }
 }
 
-/// Nothing of a product.
-const NONE: (u32, Duration) = (0, Duration::MAX);
-
-impl Stretch {
-    /// Takes this place for the least where it is less, or as little and before.
-    fn lessen(&mut self, other: Option<(f64, Place)>) {
-        let Some((worth, place)) = other else { return };
-        let less = |(least, at): (f64, Place)| worth.total_cmp(&least).then(place.cmp(&at)).is_lt();
-        if self.least.is_none_or(less) {
-            self.least = Some((worth, place));
+impl RangeSummary {
+    /// Takes the other for the lowest where its priority is lower, or equal with an earlier position.
+    fn lower_to(&mut self, other: Option<LowestPriority>) {
+        let Some(other) = other else { return };
+        let is_lower = |lowest: LowestPriority| {
+            other.priority.total_cmp(&lowest.priority).then(other.position.cmp(&lowest.position)).is_lt()
+        };
+        if self.lowest.is_none_or(is_lower) {
+            self.lowest = Some(other);
         }
     }
 
-    fn cost(&self, run: &impl Fn(usize) -> f64) -> f64 {
-        self.of_class.iter().enumerate().map(|(i, (n, _))| f64::from(*n) * run(i)).sum()
+    /// Seconds that all requests of the range take.
+    fn run_seconds(&self, run_seconds: &impl Fn(usize) -> f64) -> f64 {
+        self.classes
+            .iter()
+            .enumerate()
+            .map(|(class, summary)| f64::from(summary.count) * run_seconds(class))
+            .sum()
     }
 }
 
-type Node<'a> = View<'a, Place, Held, Stretch>;
+type Node<'a> = NodeView<'a, QueuePosition, QueuedRequest, RangeSummary>;
 
+/// Requests that have been read and not started.
 #[derive(Debug, Default)]
 pub struct Queue {
-    tree: Tree<Place, Held, Stretch>,
+    requests: RangeSummaryMap<QueuePosition, QueuedRequest, RangeSummary>,
 }
 
 impl Queue {
-    pub fn insert(&mut self, place: Place, class: usize, worth: f64) {
-        self.tree.insert(place, Held { class, worth });
+    /// Adds a request of this class and priority.
+    pub fn insert(&mut self, position: QueuePosition, class: usize, priority: f64) {
+        self.requests.insert(position, QueuedRequest { class, priority });
     }
 
-    pub fn remove(&mut self, place: Place) {
-        self.tree.remove(&place);
+    /// Removes the request at this position, if there is one.
+    pub fn remove(&mut self, position: QueuePosition) {
+        self.requests.remove(&position);
     }
 
-    pub fn first(&self) -> Option<Place> {
-        self.tree.first().map(|(place, _)| place)
+    /// The request that is due first.
+    pub fn first(&self) -> Option<QueuePosition> {
+        self.requests.first().map(|(position, _)| position)
     }
 
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.tree.len()
+        self.requests.len()
     }
 
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.tree.is_empty()
+        self.requests.is_empty()
     }
 
-    /// What all of it takes, `run` for each.
-    pub fn cost(&self, run: impl Fn(usize) -> f64) -> f64 {
-        self.tree.root().map_or(0.0, |node| node.sum().cost(&run))
+    /// Seconds that the runs of all queued requests take, by the seconds of a run of each class.
+    pub fn total_run_seconds(&self, run_seconds: impl Fn(usize) -> f64) -> f64 {
+        self.requests.root().map_or(0.0, |node| node.summary().run_seconds(&run_seconds))
     }
 
-    /// The least worth among those up to this place, the earliest of equals.
-    pub fn least_to(&self, place: Place) -> Option<Place> {
-        let (mut at, mut least): (Option<Node>, Option<(f64, Place)>) = (self.tree.root(), None);
-        while let Some(node) = at {
-            if *node.key() > place {
-                at = node.left();
+    /// The request of the lowest priority up to and including this position; the first of equal ones.
+    pub fn lowest_priority_until(&self, position: QueuePosition) -> Option<QueuePosition> {
+        let (mut next, mut lowest): (Option<Node>, Option<LowestPriority>) = (self.requests.root(), None);
+        while let Some(node) = next {
+            if *node.key() > position {
+                next = node.left();
                 continue;
             }
-            let below = node.left().and_then(|n| n.sum().least);
-            let own = Some((node.value().worth, *node.key()));
-            least = [least, below, own].into_iter().flatten().min_by(|a, b| a.0.total_cmp(&b.0));
-            at = node.right();
+            let in_left = node.left().and_then(|left| left.summary().lowest);
+            let own = Some(LowestPriority { priority: node.value().priority, position: *node.key() });
+            lowest =
+                [lowest, in_left, own].into_iter().flatten().min_by(|a, b| a.priority.total_cmp(&b.priority));
+            next = node.right();
         }
-        least.map(|(_, place)| place)
+        lowest.map(|lowest| lowest.position)
     }
 
-    /// The first place behind `after` that the test finds, with its product. The test hears what those ahead
-    /// of a place take, its due time and its product; once true it stays so for more ahead or an earlier due
-    /// time, which is what lets whole stretches be passed over.
-    pub fn find(
+    /// The first request behind `after` for which `is_late` holds. `is_late` is given the seconds that the requests
+    /// ahead take, the due time and the class. Where it holds it must also hold for more seconds ahead and for an
+    /// earlier due time: the search passes over ranges on that condition.
+    pub fn find_late(
         &self,
-        after: Option<Place>,
-        run: impl Fn(usize) -> f64,
-        test: impl Fn(f64, Duration, usize) -> bool,
-    ) -> Option<(Place, usize)> {
-        let mut ahead = 0.0;
-        seek(self.tree.root(), after, &mut ahead, &run, &test)
+        after: Option<QueuePosition>,
+        run_seconds: impl Fn(usize) -> f64,
+        is_late: impl Fn(f64, Duration, usize) -> bool,
+    ) -> Option<FoundRequest> {
+        Search { after, seconds_ahead: 0.0, run_seconds, is_late }.find_in(self.requests.root())
     }
 }
 
-/// `ahead` grows by what is passed over.
-fn seek(
-    node: Option<Node>,
-    after: Option<Place>,
-    ahead: &mut f64,
-    run: &impl Fn(usize) -> f64,
-    test: &impl Fn(f64, Duration, usize) -> bool,
-) -> Option<(Place, usize)> {
-    let node = node?;
-    let (place, held) = (*node.key(), node.value());
-    let passed = after.is_some_and(|after| place <= after);
-    if passed {
-        *ahead += node.left().map_or(0.0, |n| n.sum().cost(run)) + run(held.class);
-        return seek(node.right(), after, ahead, run, test);
-    }
-    // Where even the earliest of each product would bear all that stands here, nobody is found.
-    let all = *ahead + node.sum().cost(run);
-    let mut earliest = node.sum().of_class.iter().enumerate().filter(|(_, (n, _))| *n > 0);
-    if !earliest.any(|(class, (_, due))| test(all, *due, class)) {
-        *ahead = all;
-        return None;
-    }
-    if let Some(found) = seek(node.left(), after, ahead, run, test) {
-        return Some(found);
+/// A search for a late request, in the order of the queue.
+struct Search<R, L> {
+    after: Option<QueuePosition>,
+    /// Seconds that the requests passed over so far take.
+    seconds_ahead: f64,
+    run_seconds: R,
+    is_late: L,
+}
+
+impl<R: Fn(usize) -> f64, L: Fn(f64, Duration, usize) -> bool> Search<R, L> {
+    fn find_in(&mut self, node: Option<Node>) -> Option<FoundRequest> {
+        let node = node?;
+        let (position, class) = (*node.key(), node.value().class);
+        if self.after.is_some_and(|after| position <= after) {
+            self.seconds_ahead +=
+                node.left().map_or(0.0, |left| left.summary().run_seconds(&self.run_seconds))
+                    + (self.run_seconds)(class);
+            return self.find_in(node.right());
+        }
+        if self.passes_over(node) {
+            return None;
+        }
+        if let Some(found) = self.find_in(node.left()) {
+            return Some(found);
+        }
+        if (self.is_late)(self.seconds_ahead, position.due_at, class) {
+            return Some(FoundRequest { position, class });
+        }
+        self.seconds_ahead += (self.run_seconds)(class);
+        self.find_in(node.right())
     }
-    if test(*ahead, place.0, held.class) {
-        return Some((place, held.class));
+
+    /// Passes over a subtree where even the earliest request of each class is in time behind all others of it.
+    fn passes_over(&mut self, node: Node) -> bool {
+        let seconds_after = self.seconds_ahead + node.summary().run_seconds(&self.run_seconds);
+        let mut classes = node.summary().classes.iter().enumerate().filter(|(_, class)| class.count > 0);
+        if classes.any(|(class, summary)| (self.is_late)(seconds_after, summary.earliest_due, class)) {
+            return false;
+        }
+        self.seconds_ahead = seconds_after;
+        true
     }
-    *ahead += run(held.class);
-    seek(node.right(), after, ahead, run, test)
 }
--- a/src/recent_callers.rs
+++ b/src/recent_callers.rs
@@ -1,33 +1,51 @@
-//! Whose txns were read of late, and how long their callers would wait. No decision lives here.
+//! The callers of the last requests and how long each of them would still wait for an answer.
 
 use crate::types::CallerId;
 use std::collections::VecDeque;
 
-/// Txns whose callers and waits are compared.
-pub const COMPARED: usize = 100;
+/// Requests that a new one is compared with.
+pub(crate) const COMPARED_REQUESTS: usize = 100;
 
+/// How the remaining wait of a request compares with those of the requests before it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct WaitComparison {
+    /// Share of the earlier requests whose remaining wait is about the same; 1 if there are none.
+    pub(crate) similar_share: f64,
+    /// The same caller has sent a request with this remaining wait before.
+    pub(crate) seen_from_caller: bool,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct RecentRequest {
+    caller: CallerId,
+    wait_bucket: usize,
+}
+
+/// The last requests, the newest first.
 #[derive(Debug, Default)]
-pub struct RecentCallers {
-    last: VecDeque<(CallerId, usize)>,
-    same: f64,
+pub(crate) struct RecentCallers {
+    requests: VecDeque<RecentRequest>,
+    same_caller_share: f64,
 }
 
 impl RecentCallers {
-    /// How often two of them came from one caller.
-    pub fn same(&self) -> f64 {
-        self.same
+    /// Smoothed probability that two of the recent requests came from one caller.
+    pub(crate) fn same_caller_share(&self) -> f64 {
+        self.same_caller_share
     }
 
-    /// One of this caller's, with a wait in this part of the whole. Gives the share of those before it that had
-    /// about the same wait, and whether its caller had just this one.
-    pub fn came(&mut self, caller: CallerId, part: usize) -> (f64, bool) {
-        let n = self.last.len() as f64;
-        let near = self.last.iter().filter(|h| h.1.abs_diff(part) <= 1).count() as f64;
-        let known = self.last.contains(&(caller, part));
-        let same = self.last.iter().filter(|h| h.0 == caller).count() as f64;
-        self.same += (same / n.max(1.0) - self.same) / (n + 1.0);
-        self.last.push_front((caller, part));
-        self.last.truncate(COMPARED);
-        (if n > 0.0 { near / n } else { 1.0 }, known)
+    /// Records a request whose remaining wait falls into this bucket, and compares it with the ones before.
+    pub(crate) fn record(&mut self, caller: CallerId, wait_bucket: usize) -> WaitComparison {
+        let count = self.requests.len() as f64;
+        let similar =
+            self.requests.iter().filter(|r| r.wait_bucket.abs_diff(wait_bucket) <= 1).count() as f64;
+        let request = RecentRequest { caller, wait_bucket };
+        let seen_from_caller = self.requests.contains(&request);
+        let same_caller = self.requests.iter().filter(|r| r.caller == caller).count() as f64;
+        self.same_caller_share += (same_caller / count.max(1.0) - self.same_caller_share) / (count + 1.0);
+        self.requests.push_front(request);
+        self.requests.truncate(COMPARED_REQUESTS);
+        let similar_share = if count > 0.0 { similar / count } else { 1.0 };
+        WaitComparison { similar_share, seen_from_caller }
     }
 }
--- a/src/recent_runs.rs
+++ b/src/recent_runs.rs
@@ -1,33 +1,42 @@
-//! Runs of late, as ratios of what they took to their product's SLA time. No decision lives here.
+//! The runs of the last seconds, each as the ratio of its run time to the latency target of its class.
 
 use std::time::Duration;
 
+#[derive(Debug)]
+struct RecentRun {
+    ended_at: Duration,
+    class: usize,
+    latency_ratio: f64,
+}
+
+/// Completed runs within the sampled time span.
 #[derive(Debug, Default)]
-pub struct Recent {
-    runs: Vec<(Duration, usize, f64)>,
-    /// Used again at each look.
+pub(crate) struct RecentRuns {
+    runs: Vec<RecentRun>,
+    /// Buffer of `p99`, kept so that it is not allocated at each call.
     ratios: Vec<f64>,
 }
 
-impl Recent {
-    pub fn ended(&mut self, now: Duration, class: usize, ratio: f64) {
-        self.runs.push((now, class, ratio));
+impl RecentRuns {
+    pub(crate) fn record(&mut self, now: Duration, class: usize, latency_ratio: f64) {
+        self.runs.push(RecentRun { ended_at: now, class, latency_ratio });
     }
 
-    /// The 99th percentile of the runs of this span; 0 of none. Older ones go.
-    pub fn p99(&mut self, now: Duration, span: Duration) -> f64 {
-        self.runs.retain(|(at, _, _)| *at + span >= now);
+    /// The 99th percentile of the latency ratios within `span` before `now`; 0 if there were no runs. Drops older
+    /// runs.
+    pub(crate) fn p99(&mut self, now: Duration, span: Duration) -> f64 {
+        self.runs.retain(|run| run.ended_at + span >= now);
         self.ratios.clear();
-        self.ratios.extend(self.runs.iter().map(|(_, _, r)| *r));
-        let place = self.ratios.len() * 99 / 100;
-        if place >= self.ratios.len() {
+        self.ratios.extend(self.runs.iter().map(|run| run.latency_ratio));
+        let index = self.ratios.len() * 99 / 100;
+        if index >= self.ratios.len() {
             return 0.0;
         }
-        *self.ratios.select_nth_unstable_by(place, f64::total_cmp).1
+        *self.ratios.select_nth_unstable_by(index, f64::total_cmp).1
     }
 
-    /// Whether a run of this product has ended since then.
-    pub fn any(&self, class: usize, since: Duration) -> bool {
-        self.runs.iter().any(|(at, p, _)| *p == class && *at > since)
+    /// Whether a run of this class has ended after `since`.
+    pub(crate) fn has_ended_since(&self, class: usize, since: Duration) -> bool {
+        self.runs.iter().any(|run| run.class == class && run.ended_at > since)
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,16 +1,20 @@
-//! Settings: a plain map of dotted names to values. No default or tuned value lives here.
+//! Settings as a plain map of dotted names to values.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// The value of a setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
+    /// A number.
     Num(f64),
+    /// A text.
     Text(String),
+    /// True or false.
     Flag(bool),
 }
 
-/// What the module reads and has a default for, as numbers, texts and flags; then for each product.
+/// Settings that admission control reads and has a default for, by kind.
 const NUMBERS: [&str; 15] = [
     "family_info.cores",
     "family_info.memory_kb",
@@ -30,88 +34,99 @@
 ];
 const TEXTS: [&str; 3] = ["family_info.halt", "family_info.advert", "family_info.meters.0"];
 const FLAGS: [&str; 2] = ["family_info.cold", "limits.retry_after"];
-const CLASS_SETTINGS: [&str; 4] = ["give_up", "goal_time", "points", "window"];
+/// Numbers of each request class.
+const CLASS_NUMBERS: [&str; 4] = ["give_up", "goal_time", "points", "window"];
 
-/// Lists count in their names: `profiles.0.name`, `profiles.1.name`.
+/// Settings by dotted name. List items are numbered in the name: `profiles.0.name`, `profiles.1.name`.
 #[derive(Clone, Debug, Default)]
 pub struct Settings(pub BTreeMap<String, Value>);
 
 impl Settings {
+    /// Sets a value, in place of an earlier one.
     pub fn set(&mut self, name: &str, value: Value) {
         self.0.insert(name.to_string(), value);
     }
 
-    /// The names of settings that the module has to do without.
+    /// The names of settings that are missing or invalid, so that a default holds.
     pub fn missing(&self) -> Vec<String> {
         let mut names: Vec<String> = Vec::new();
-        names.extend(NUMBERS.iter().filter(|n| self.num(n).is_none()).map(|n| n.to_string()));
-        names.extend(TEXTS.iter().filter(|n| self.text(n).is_none()).map(|n| n.to_string()));
-        names.extend(FLAGS.iter().filter(|n| self.flag(n).is_none()).map(|n| n.to_string()));
-        let classes = (0..).take_while(|i| self.text(&format!("profiles.{i}.name")).is_some()).count();
-        for i in 0..classes {
-            let of = CLASS_SETTINGS.iter().map(|field| format!("profiles.{i}.{field}"));
-            names.extend(of.filter(|name| self.num(name).is_none()));
-            let effect = format!("profiles.{i}.effect");
-            names.extend(Some(effect).filter(|name| self.text(name).is_none()));
+        names.extend(NUMBERS.iter().filter(|name| self.num(name).is_none()).map(ToString::to_string));
+        names.extend(TEXTS.iter().filter(|name| self.text(name).is_none()).map(ToString::to_string));
+        names.extend(FLAGS.iter().filter(|name| self.flag(name).is_none()).map(ToString::to_string));
+        for i in 0..self.class_count() {
+            names.extend(class_numbers(i).filter(|name| self.num(name).is_none()));
+            names.extend(Some(class_effect(i)).filter(|name| self.text(name).is_none()));
         }
         names
     }
 
-    /// Those that are there and can't be gone by, each with what it has to be.
+    /// One sentence for each setting that is present and invalid, with what it has to be.
     pub fn senseless(&self) -> Vec<String> {
-        let classes = (0..).take_while(|i| self.text(&format!("profiles.{i}.name")).is_some()).count();
-        let of_classes = (0..classes)
-            .flat_map(|i| CLASS_SETTINGS.iter().map(move |field| format!("profiles.{i}.{field}")));
-        let numbers = NUMBERS.iter().map(|name| name.to_string()).chain(of_classes);
-        let effects = (0..classes).map(|i| format!("profiles.{i}.effect"));
-        let texts = TEXTS.iter().map(|name| name.to_string()).chain(effects);
-        let there = |name: &String| self.0.contains_key(name);
-        let numbers = numbers.filter(|name| there(name) && self.num(name).is_none());
-        let texts = texts.filter(|name| there(name) && self.text(name).is_none());
-        let flags = FLAGS.iter().map(|name| name.to_string());
-        let flags = flags.filter(|name| there(name) && self.flag(name).is_none());
-        let mut all: Vec<String> = numbers.map(|name| format!("{name} is no number of 0 or more")).collect();
-        all.extend(texts.map(|name| format!("{name} is no text")));
-        all.extend(flags.map(|name| format!("{name} is neither true nor false")));
-        all.extend(self.named_twice());
-        all
+        let classes = 0..self.class_count();
+        let numbers = NUMBERS.iter().map(ToString::to_string).chain(classes.clone().flat_map(class_numbers));
+        let texts = TEXTS.iter().map(ToString::to_string).chain(classes.map(class_effect));
+        let flags = FLAGS.iter().map(ToString::to_string);
+        let present = |name: &String| self.0.contains_key(name);
+        let numbers = numbers.filter(|name| present(name) && self.num(name).is_none());
+        let texts = texts.filter(|name| present(name) && self.text(name).is_none());
+        let flags = flags.filter(|name| present(name) && self.flag(name).is_none());
+        let mut invalid: Vec<String> =
+            numbers.map(|name| format!("{name} is no number of 0 or more")).collect();
+        invalid.extend(texts.map(|name| format!("{name} is no text")));
+        invalid.extend(flags.map(|name| format!("{name} is neither true nor false")));
+        invalid.extend(self.duplicate_class_names());
+        invalid
     }
 
-    /// Products of one name: nobody could tell which of them a request is of.
-    fn named_twice(&self) -> Vec<String> {
-        let mut first = BTreeMap::new();
+    fn class_count(&self) -> usize {
+        (0..).take_while(|i| self.text(&format!("profiles.{i}.name")).is_some()).count()
+    }
+
+    /// Classes of one name cannot be told apart in a request.
+    fn duplicate_class_names(&self) -> Vec<String> {
+        let mut first_index = BTreeMap::new();
         let names = (0..).map_while(|i| self.text(&format!("profiles.{i}.name")).map(|name| (i, name)));
-        let twice = names.filter_map(|(i, name): (usize, &str)| {
-            let before = *first.entry(name).or_insert(i);
-            (before != i).then(|| format!("profiles.{i}.name is that of profiles.{before}: {name}"))
+        let duplicates = names.filter_map(|(i, name): (usize, &str)| {
+            let first = *first_index.entry(name).or_insert(i);
+            (first != i).then(|| format!("profiles.{i}.name is that of profiles.{first}: {name}"))
         });
-        twice.collect()
+        duplicates.collect()
     }
 
-    /// A number that is finite and not negative.
+    /// A number, if it is finite and not negative.
     pub fn num(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
-            Some(Value::Num(n)) if n.is_finite() && *n >= 0.0 => Some(*n),
+            Some(Value::Num(number)) if number.is_finite() && *number >= 0.0 => Some(*number),
             _ => None,
         }
     }
 
-    /// A span, written in microseconds; capped where a clock would overflow.
+    /// A time span, written in microseconds; at most 10^15, which no clock overflows at.
     pub fn span(&self, name: &str) -> Option<Duration> {
-        self.num(name).map(|us| Duration::from_micros(us.min(1e15) as u64))
+        self.num(name).map(|micros| Duration::from_micros(micros.min(1e15) as u64))
     }
 
+    /// A text.
     pub fn text(&self, name: &str) -> Option<&str> {
         match self.0.get(name) {
-            Some(Value::Text(t)) => Some(t),
+            Some(Value::Text(text)) => Some(text),
             _ => None,
         }
     }
 
+    /// True or false.
     pub fn flag(&self, name: &str) -> Option<bool> {
         match self.0.get(name) {
-            Some(Value::Flag(b)) => Some(*b),
+            Some(Value::Flag(flag)) => Some(*flag),
             _ => None,
         }
     }
 }
+
+fn class_numbers(class: usize) -> impl Iterator<Item = String> {
+    CLASS_NUMBERS.iter().map(move |field| format!("profiles.{class}.{field}"))
+}
+
+fn class_effect(class: usize) -> String {
+    format!("profiles.{class}.effect")
+}
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,37 +1,38 @@
-//! Ids, products and outcomes. No decision lives here.
+//! Ids, request classes, permissions and outcomes.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, DefaultHasher};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A txn as the server knows it; carries no meaning beyond identity.
+/// Identifies a request within one server from its arrival until its last trace is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// A map whose order never shows, and that is the same at each start; it allocates nothing once it has been as
-/// full before.
+/// A hash map without a random seed: its iteration order is the same at each start. It allocates nothing once it has
+/// held as many entries before.
 pub type DeterministicMap<K, V> = HashMap<K, V, BuildHasherDefault<DefaultHasher>>;
+/// A deterministic map by request.
 pub type RequestMap<V> = DeterministicMap<RequestId, V>;
 
-/// Who sent a txn.
+/// Identifies the sender of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
-/// May a txn of a product run again?
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// It may.
+    /// It may run again.
     #[default]
     Idempotent,
-    /// A repeat is known by its mark; it runs once within the window.
+    /// It carries an idempotency key and runs once within the deduplication window.
     Keyed,
-    /// Never.
+    /// It must not run again.
     Unsafe,
 }
 
 impl Effect {
-    /// By the settings' name for it; what is unknown is not repeated.
+    /// Maps the name in the settings. An unknown name is taken for [`Effect::Unsafe`].
     pub fn named(name: &str) -> Effect {
         match name {
             "retryable" => Effect::Idempotent,
@@ -41,39 +42,45 @@
     }
 }
 
-/// A kind of txn, as the settings describe it.
+/// A request class as the settings describe it.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
+    /// Its name, as requests carry it.
     pub name: Rc<str>,
+    /// Whether its requests may run more than once.
     pub effect: Effect,
-    /// An answer within this time earns full value.
+    /// An answer within this time earns the full weight.
     pub latency_target: Duration,
-    /// How long a client waits across all its tries.
+    /// How long a caller waits over all its attempts.
     pub deadline: Duration,
-    pub value: f64,
-    /// Share of the value earned after the SLA time.
-    pub late: f64,
-    /// How long a repeat may come after the first.
+    /// What an answer in time is worth, relative to other classes.
+    pub priority_weight: f64,
+    /// Share of the weight that an answer after the latency target earns.
+    pub late_share: f64,
+    /// How long after the first attempt a repeat may arrive.
     pub window: Duration,
-    /// Share of the value kept when a call is left out.
-    pub without: f64,
-    /// Whether it calls below at all.
-    pub calls: bool,
-    /// Whether it is offered at all.
+    /// Share of the weight that an answer without the upstream call earns; 0 if the call is required.
+    pub share_without_call: f64,
+    /// Whether its requests make upstream calls.
+    pub makes_calls: bool,
+    /// Whether this server offers it at present.
     pub offered: bool,
 }
 
-/// What a server may take, by what it knows of the rules in force.
+/// What a server is allowed to run, by what it knows of the configuration in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Permission {
+    /// All requests.
     #[default]
     Everything,
-    /// What may run again.
+    /// Idempotent requests only.
     Idempotent,
+    /// No requests.
     Nothing,
 }
 
 impl Permission {
+    /// Whether a request with this effect may be run.
     pub fn permits(self, effect: Effect) -> bool {
         match self {
             Permission::Everything => true,
@@ -83,50 +90,59 @@
     }
 }
 
-/// How a run or a call ended.
+/// How a run or an upstream call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// With a result.
     Completed,
+    /// With an error.
     Failed,
-    /// Turned away unexamined.
+    /// Rejected before it started.
     Rejected,
-    /// Abandoned; may have had its effect.
+    /// No answer in time; it may have had its effect.
     TimedOut,
-    /// What lies below could not be reached.
+    /// The connection could not be made.
     Unreachable,
-    /// Cut off part way; may have had its effect.
+    /// The connection was lost before the answer; it may have had its effect.
     ConnectionLost,
-    /// The run was stopped, or had nobody left to answer.
+    /// The run was stopped, or its caller had gone.
     Cancelled,
-    /// Nothing started: the txn was already over.
+    /// Nothing was started, because the request was already over.
     NeverStarted,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that nothing was done.
+    /// Whether this outcome proves that nothing ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverStarted)
     }
 }
 
-/// What a txn says of itself when it has been read.
+/// What is known of a request when it has been read.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IncomingRequest<'a> {
+    /// Name of its class.
     pub class: &'a str,
+    /// Name of its tenant.
     pub tenant: Option<&'a str>,
+    /// What it is about, such as a user or an account.
     pub subject: Option<&'a str>,
-    /// When its caller gives up, on the instance's clock.
+    /// When its caller gives up, since the start of the server.
     pub deadline: Option<Duration>,
-    /// Estimated work on a core of standard speed.
+    /// Estimated run time on a core of standard speed.
     pub work: Option<Duration>,
+    /// Memory that it takes before it runs, in KB.
     pub memory_kb: f64,
-    /// Position by value from 0 up to 1: one band a product, users spread within it.
+    /// Its priority from 0 up to 1: one band a class, users spread within the band.
     pub rank: f64,
+    /// It is not the first attempt.
     pub retry: bool,
+    /// It changes stored data.
     pub write: bool,
+    /// Its sender.
     pub caller: CallerId,
-    /// How long it lay unread.
+    /// How long it waited in the socket buffer before it was read.
     pub unread_for: Duration,
-    /// The kept txn that this one repeats.
+    /// The remembered request that it repeats.
     pub repeats: Option<RequestId>,
 }
--- a/tests/suite/reset.rs
+++ b/tests/suite/changes_in_service.rs
@@ -1,7 +1,7 @@
 //! Settings that change while txns are in hand, and what may be taken by a server that does not know the rules in
 //! force.
 
-use crate::common::{settings, At, Play, MS};
+use crate::model::{settings, At, Play, MS};
 use aldercrank::{Outcome, Permission, RequestId, Settings, Value};
 use std::time::Duration;
 
--- a/tests/suite/mechanism.rs
+++ b/tests/suite/decisions.rs
@@ -1,6 +1,6 @@
 //! The window, the breaker, the queue, the calls and each failure met so far, one small test each.
 
-use crate::common::{settings, At, Play, MS};
+use crate::model::{settings, At, Play, MS};
 use aldercrank::{Outcome, RequestId, Settings, Value};
 use std::time::Duration;
 
--- a/tests/suite/rules.rs
+++ b/tests/suite/generated_inputs.rs
@@ -1,6 +1,6 @@
 //! The module beside the plain model of the four rules, on generated inputs with a fixed seed.
 
-use crate::common::{settings, At, Play, MS};
+use crate::model::{settings, At, Play, MS};
 use aldercrank::Outcome::{Completed, ConnectionLost, Failed, Rejected, TimedOut};
 use aldercrank::{Permission, RequestId, Value};
 use quickcheck::{Gen, QuickCheck, TestResult};
--- a/tests/suite/golden.rs
+++ b/tests/suite/golden.rs
@@ -2,7 +2,7 @@
 //! `tests/golden/admission.txt`. The events are drawn from fixed seeds and from the actions before them, so the
 //! first difference shows where a decision changed. The words of log lines are not part of the record.
 
-use crate::common::settings;
+use crate::model::settings;
 use aldercrank::{
     Admission, CallerId, Host, IncomingRequest, Outcome, Permission, RequestId, Settings, Value,
 };
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! All tests of the module; `common` is their one file of helpers.
+//! Tests of admission control; `model` is their one file of support code.
 
 // Support code is shared by the modules of this test alone; a scenario may be long.
 #![allow(
@@ -9,9 +9,9 @@
     clippy::too_many_lines
 )]
 
-mod common;
+mod changes_in_service;
+mod decisions;
+mod generated_inputs;
 mod golden;
-mod held;
-mod mechanism;
-mod reset;
-mod rules;
+mod model;
+mod running_sums;
