--- a/crates/aldercrank-server/src/core/mod.rs
+++ b/crates/aldercrank-server/src/core/mod.rs
@@ -214,7 +214,7 @@
             unmade: VecDeque::new(),
             ended: VecDeque::new(),
         };
-        let mut core = Core { admission: Admission::new(settings.clone(), now, state), start: None };
+        let mut core = Core { admission: Admission::new(&settings, now, state), start: None };
         core.admission.host.goes_by(&settings);
         core
     }
--- a/crates/aldercrank-simulator-adapter/src/lib.rs
+++ b/crates/aldercrank-simulator-adapter/src/lib.rs
@@ -113,7 +113,7 @@
         let name = item.get("t").and_then(Json::as_str).unwrap_or_default();
         if name == "PowerOn" {
             let settings = item.get("env").map(aldercrank_json_settings::settings).unwrap_or_default();
-            let admission = Admission::new(settings, Duration::ZERO, Outbox::default());
+            let admission = Admission::new(&settings, Duration::ZERO, Outbox::default());
             self.instances.insert(i, Instance { admission, zero: clock });
             return;
         }
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -95,11 +95,11 @@
 
 impl<H: Host> Admission<H> {
     /// Starts with an empty queue, healthy, and asks the host for the first timer.
-    pub fn new(settings: Settings, now: Duration, mut host: H) -> Self {
+    pub fn new(settings: &Settings, now: Duration, mut host: H) -> Self {
         for name in settings.missing() {
             host.log(&format!("setting {name} is missing or makes no sense: a cautious default holds"));
         }
-        let (parameters, classes) = (Parameters::from_settings(&settings), parameters::classes(&settings));
+        let (parameters, classes) = (Parameters::from_settings(settings), parameters::classes(settings));
         host.set_health(true, true);
         host.set_timer(parameters.tick);
         let run_seconds =
--- a/tests/suite/golden.rs
+++ b/tests/suite/golden.rs
@@ -123,7 +123,7 @@
 
 impl Run {
     fn new(seed: u64, settings: Settings, classes: u64, arrivals: u64) -> Run {
-        let admission = Admission::new(settings.clone(), Duration::ZERO, Recorder::default());
+        let admission = Admission::new(&settings, Duration::ZERO, Recorder::default());
         Run { random: Random(seed), admission, settings, classes, arrivals, next_id: 1, draining: false }
     }
 
--- a/tests/suite/model.rs
+++ b/tests/suite/model.rs
@@ -284,7 +284,7 @@
         let named = (0..).take_while(|i| cfg.text(&format!("profiles.{i}.name")).is_some());
         world.0.borrow_mut().effects = named.map(effect).collect();
         world.0.borrow_mut().cfg = cfg.clone();
-        let admission = Admission::new(cfg, Duration::ZERO, world.clone());
+        let admission = Admission::new(&cfg, Duration::ZERO, world.clone());
         Play { admission, world, next: 1, caller: 0, unread_for: Duration::ZERO, kb: 10.0 }
     }
 
