--- a/src/admission/priority.rs
+++ b/src/admission/priority.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl<H: Host> Admission<H> {
-    /// Time since the first attempt, where it can be told. Most callers still wait a usual part of the deadline of the
+    /// Time since the first attempt, where it can be derived. Most callers still wait a usual part of the deadline of the
     /// class, or as long as they did before; one that waits less has spent the difference on earlier attempts.
     pub(super) fn age_at_arrival(
         &mut self,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -82,7 +82,7 @@
         (0..).take_while(|i| self.text(&format!("profiles.{i}.name")).is_some()).count()
     }
 
-    /// Classes of one name cannot be told apart in a request.
+    /// Classes of one name cannot be distinguished in a request.
     fn duplicate_class_names(&self) -> Vec<String> {
         let mut first_index = BTreeMap::new();
         let names = (0..).map_while(|i| self.text(&format!("profiles.{i}.name")).map(|name| (i, name)));
--- a/src/types.rs
+++ b/src/types.rs
@@ -53,7 +53,7 @@
     pub latency_target: Duration,
     /// How long a caller waits over all its attempts.
     pub deadline: Duration,
-    /// What an answer in time is worth, relative to other classes.
+    /// Weight of an answer in time, relative to other classes.
     pub priority_weight: f64,
     /// Share of the weight that an answer after the latency target earns.
     pub late_share: f64,
--- a/tests/suite/golden.rs
+++ b/tests/suite/golden.rs
@@ -1,6 +1,6 @@
 //! A recorded run of events into the module with every action that came out, compared byte by byte with
-//! `tests/golden/admission.txt`. The events are drawn from fixed seeds and from the actions before them, so the
-//! first difference shows where a decision changed. The words of log lines are not part of the record.
+//! `tests/golden/admission.txt`. The events are generated from fixed seeds and from the actions before them, so the
+//! first difference shows where a decision changed. The texts of log lines are not part of the record.
 
 use crate::model::settings;
 use aldercrank::{
@@ -109,7 +109,7 @@
     }
 }
 
-/// One server's life: its settings, how busy it is, and the events that are drawn for it.
+/// One server: its settings, how busy it is, and the events generated for it.
 struct Run {
     random: Random,
     admission: Admission<Recorder>,
@@ -184,7 +184,7 @@
             repeats = repeats.map(|first| first.0)
         ));
         self.admission.host.queued.insert(id);
-        let read = IncomingRequest {
+        let incoming = IncomingRequest {
             class: &class,
             tenant,
             deadline,
@@ -195,7 +195,7 @@
             repeats,
             ..IncomingRequest::default()
         };
-        self.admission.request_received(now, id, &read);
+        self.admission.request_received(now, id, &incoming);
     }
 
     fn run_ended(&mut self) {
@@ -203,9 +203,9 @@
         let Some(id) = self.pick(&running) else { return };
         let now = self.admission.host.now;
         let (outcome, name) = self.outcome();
-        let began = self.admission.host.running.remove(&id).unwrap_or(now);
+        let started_at = self.admission.host.running.remove(&id).unwrap_or(now);
         self.admission.host.calling.remove(&id);
-        let took = now.saturating_sub(began);
+        let took = now.saturating_sub(started_at);
         self.event(&format!("WoundUp {} result={name} duration={took:?}", id.0));
         self.admission.run_ended(now, id, outcome, took);
     }
@@ -239,13 +239,13 @@
     }
 
     fn permission(&mut self) {
-        let (leave, name) = match self.random.below(4) {
+        let (permission, name) = match self.random.below(4) {
             0 => (Permission::Nothing, "nothing"),
             1 => (Permission::Idempotent, "idempotent"),
             _ => (Permission::Everything, "everything"),
         };
         self.event(&format!("permission {name}"));
-        self.admission.set_permission(self.admission.host.now, leave);
+        self.admission.set_permission(self.admission.host.now, permission);
     }
 
     fn other_settings(&mut self) {
@@ -302,7 +302,7 @@
     settings.set(name, Value::Text(value.to_string()));
 }
 
-/// Calls that may be left out, a shared dependency, a credit told to callers, runs that can be stopped.
+/// Calls that may be left out, a shared dependency, a load hint as a window, runs that can be stopped.
 fn with_calls() -> Settings {
     let mut settings = settings(&["retryable", "dedup", "once"]);
     text(&mut settings, "family_info.halt", "abort");
@@ -331,7 +331,7 @@
     settings
 }
 
-/// One core, an admission threshold told to callers, a caller that nothing is run for, a class that is not offered.
+/// One core, a load hint as the admission threshold, a caller that nothing is run for, a class that is not offered.
 fn small_with_threshold() -> Settings {
     let mut settings = settings(&["retryable", "dedup", "retryable"]);
     number(&mut settings, "family_info.cores", 1.0);
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -10,8 +10,9 @@
 )]
 
 mod changes_in_service;
-mod decisions;
 mod generated_inputs;
 mod golden;
 mod model;
 mod running_sums;
+mod upstream_calls;
+mod window_and_queue;
--- a/tests/suite/model.rs
+++ b/tests/suite/model.rs
@@ -1,4 +1,6 @@
-//! A slow, plain model of a server and of the four rules, which plays host to the module.
+//! A slow, plain model of a server that serves as the host of admission control and checks its four rules: every request
+//! gets one answer in time, runs at most as often as its effect allows, nothing starts late in a drain, and no limit is
+//! exceeded.
 
 use aldercrank::{Admission, CallerId, Effect, Host, IncomingRequest, Outcome, RequestId, Settings, Value};
 use std::cell::RefCell;
@@ -7,233 +9,270 @@
 use std::time::Duration;
 
 pub const MS: Duration = Duration::from_millis(1);
+/// The time that most requests still wait.
+pub const LONG_WAIT_MS: u32 = 2500;
 
+/// Where a request stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum At {
+pub enum Stage {
     #[default]
-    Held,
+    Queued,
     Joined,
     Running,
-    Waiting,
+    AwaitingCall,
     Calling,
-    Over,
+    Ended,
 }
 
+/// A request as the model knows it.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    pub at: At,
+pub struct ModelRequest {
+    pub stage: Stage,
     pub class: usize,
-    pub arrived: Duration,
+    pub arrived_at: Duration,
     pub deadline: Duration,
-    pub began: Duration,
-    pub reference: Option<u8>,
+    pub read_at: Duration,
+    pub key: Option<u8>,
     pub repeats: Option<RequestId>,
-    pub kb: f64,
+    pub memory_kb: f64,
     pub answers: u32,
     pub ran: bool,
-    pub gone: bool,
-    pub called: bool,
+    pub caller_gone: bool,
+    /// A call that may have had its effect has been made.
+    pub call_may_have_run: bool,
+}
+
+/// A deduplication entry.
+#[derive(Clone, Copy, Debug)]
+pub struct Entry {
+    pub holder: RequestId,
+    pub since: Duration,
+    pub until: Duration,
+}
+
+#[derive(Clone, Copy, Debug)]
+pub struct Drain {
+    pub notified_at: Duration,
+    pub stops_at: Duration,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Rejection {
+    pub id: RequestId,
+    pub retry_after: Option<Duration>,
+    pub last: bool,
 }
 
 #[derive(Default)]
-pub struct World {
+pub struct Model {
     pub now: Duration,
-    pub requests: BTreeMap<RequestId, Seen>,
-    pub entries: BTreeMap<u8, (RequestId, Duration, Duration)>,
+    pub requests: BTreeMap<RequestId, ModelRequest>,
+    pub entries: BTreeMap<u8, Entry>,
     pub effects: Vec<Effect>,
-    pub cfg: Settings,
-    pub leaving: Option<(Duration, Duration)>,
-    pub wake: Option<Duration>,
-    pub ending: Vec<(RequestId, Outcome)>,
-    pub broken: Vec<String>,
-    pub said: Vec<f64>,
-    pub idle: Duration,
-    pub calls: Vec<(RequestId, Duration)>,
-    pub rejected: Vec<(RequestId, Option<Duration>, bool)>,
+    pub settings: Settings,
+    pub drain: Option<Drain>,
+    pub timer_at: Option<Duration>,
+    pub ending_runs: Vec<(RequestId, Outcome)>,
+    pub violations: Vec<String>,
+    pub load_hints: Vec<f64>,
+    pub idle_timeout: Duration,
+    /// Timeouts of the upstream calls made.
+    pub call_timeouts: Vec<Duration>,
+    pub rejected: Vec<Rejection>,
 }
 
-impl World {
-    fn breaks(&mut self, what: &str, request: RequestId) {
-        let line = format!("{what}: {request:?} at {:?}, {:?}", self.now, self.requests.get(&request));
-        self.broken.push(line);
+impl Model {
+    fn violation(&mut self, what: &str, id: RequestId) {
+        let line = format!("{what}: {id:?} at {:?}, {:?}", self.now, self.requests.get(&id));
+        self.violations.push(line);
     }
 
-    fn num(&self, name: &str, or: f64) -> f64 {
-        self.cfg.num(name).unwrap_or(or)
+    fn num(&self, name: &str, default: f64) -> f64 {
+        self.settings.num(name).unwrap_or(default)
     }
 
-    pub fn count(&self, at: At) -> usize {
-        self.requests.values().filter(|t| t.at == at).count()
+    pub fn count(&self, stage: Stage) -> usize {
+        self.requests.values().filter(|request| request.stage == stage).count()
     }
 
-    /// Rule 4, checked at every moment and not only in the mean.
-    fn check_limits(&mut self, request: RequestId) {
-        let weight = |t: &Seen| match t.at {
-            At::Over => 0.0,
-            At::Held | At::Joined => t.kb,
-            _ => t.kb * self.num("family_info.run_factor", 8.0),
+    /// Rule 4, checked at every moment and not only on average.
+    fn check_limits(&mut self, id: RequestId) {
+        let memory_kb = |request: &ModelRequest| match request.stage {
+            Stage::Ended => 0.0,
+            Stage::Queued | Stage::Joined => request.memory_kb,
+            _ => request.memory_kb * self.num("family_info.run_factor", 8.0),
         };
-        let keys = self.entries.values().filter(|(_, _, until)| *until > self.now).count() as f64;
-        let used: f64 =
-            self.requests.values().map(weight).sum::<f64>() + keys * self.num("family_info.key_kb", 0.0);
-        let cold = self.cfg.flag("family_info.cold") == Some(true);
-        let warm = self.now.as_secs_f64() / (self.num("rules.warm_after", 0.0) / 1e6);
-        let speed = if cold { 0.2 + 0.8 * warm.min(1.0) } else { 1.0 };
+        let entries = self.entries.values().filter(|entry| entry.until > self.now).count() as f64;
+        let used: f64 = self.requests.values().map(memory_kb).sum::<f64>()
+            + entries * self.num("family_info.key_kb", 0.0);
+        let cold = self.settings.flag("family_info.cold") == Some(true);
+        let warmth = self.now.as_secs_f64() / (self.num("rules.warm_after", 0.0) / 1e6);
+        let speed = if cold { 0.2 + 0.8 * warmth.min(1.0) } else { 1.0 };
         let cores = self.num("family_info.cores", 1.0).max(1.0);
         let limit = cores * (1.0 + (self.num("rules.fall_multiple", 2.0) - 1.0) * speed);
         if used > self.num("family_info.memory_kb", f64::MAX) {
-            self.breaks("memory", request);
+            self.violation("memory", id);
         }
-        if self.count(At::Running) as f64 > limit {
-            self.breaks("crowd", request);
+        if self.count(Stage::Running) as f64 > limit {
+            self.violation("too many runs", id);
         }
     }
 
     fn answer(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
-            return self.breaks("answer to a stranger", id);
+            return self.violation("answer to an unknown request", id);
         };
         request.answers += 1;
-        let (twice, at) = (request.answers > 1, request.at);
-        match at {
-            At::Held | At::Joined => request.at = At::Over,
-            At::Waiting | At::Calling => self.ending.push((id, Outcome::Cancelled)),
+        let (twice, stage) = (request.answers > 1, request.stage);
+        match stage {
+            Stage::Queued | Stage::Joined => request.stage = Stage::Ended,
+            Stage::AwaitingCall | Stage::Calling => self.ending_runs.push((id, Outcome::Cancelled)),
             _ => {}
         }
         if twice {
-            self.breaks("answered twice", id);
+            self.violation("answered twice", id);
         }
     }
 
     /// Rule 1, and at the stop rule 3.
-    pub fn check_lost(&mut self) {
+    pub fn check_answered(&mut self) {
         let slack = Duration::from_micros(self.num("rules.answer_slack", 40_000.0) as u64);
-        let stop = self.leaving.map_or(Duration::MAX, |(_, stop)| stop);
-        let open = |t: &Seen| t.answers == 0 && !t.gone;
-        let late =
-            |t: &Seen| self.now > t.deadline.max(t.began) + slack || self.now >= stop.max(t.began + slack);
-        let lost = self.requests.iter().find(|(_, t)| open(t) && late(t)).map(|(id, _)| *id);
-        if let Some(id) = lost {
-            self.breaks("lost", id);
+        let stop = self.drain.map_or(Duration::MAX, |drain| drain.stops_at);
+        let is_open = |request: &ModelRequest| request.answers == 0 && !request.caller_gone;
+        let is_late = |request: &ModelRequest| {
+            self.now > request.deadline.max(request.read_at) + slack
+                || self.now >= stop.max(request.read_at + slack)
+        };
+        let unanswered = self.requests.iter().find(|(_, r)| is_open(r) && is_late(r)).map(|(id, _)| *id);
+        if let Some(id) = unanswered {
+            self.violation("not answered in time", id);
         }
     }
 }
 
 #[derive(Clone, Default)]
-pub struct Shared(pub Rc<RefCell<World>>);
+pub struct SharedModel(pub Rc<RefCell<Model>>);
 
-impl Host for Shared {
+impl Host for SharedModel {
     fn start_run(&mut self, id: RequestId) {
-        let mut w = self.0.borrow_mut();
-        let Some(request) = w.requests.get(&id).cloned() else { return w.breaks("start of a stranger", id) };
-        if request.at != At::Held || request.gone {
-            return w.breaks("start of what is not held", id);
+        let mut model = self.0.borrow_mut();
+        let Some(request) = model.requests.get(&id).cloned() else {
+            return model.violation("start of an unknown request", id);
+        };
+        if request.stage != Stage::Queued || request.caller_gone {
+            return model.violation("start of a request that is not queued", id);
         }
-        let window = w.num(&format!("profiles.{}.window", request.class), 0.0) as u64;
-        let (effect, grace) = (w.effects[request.class], w.num("rules.stop_sending_within", 0.0) as u64);
-        let twin = |t: &Seen| {
-            let near = request.arrived.saturating_sub(t.arrived) <= Duration::from_micros(window);
-            t.ran && near && t.reference == request.reference && effect == Effect::Keyed
+        let window = model.num(&format!("profiles.{}.window", request.class), 0.0) as u64;
+        let effect = model.effects[request.class];
+        let senders_stop_within = Duration::from_micros(model.num("rules.stop_sending_within", 0.0) as u64);
+        let is_original_that_ran = |other: &ModelRequest| {
+            let in_window =
+                request.arrived_at.saturating_sub(other.arrived_at) <= Duration::from_micros(window);
+            other.ran && in_window && other.key == request.key && effect == Effect::Keyed
         };
-        if w.requests.values().any(twin) {
-            w.breaks("ran twice", id);
+        if model.requests.values().any(is_original_that_ran) {
+            model.violation("ran twice", id);
         }
-        if w.leaving.is_some_and(|(told, _)| request.arrived > told + Duration::from_micros(grace)) {
-            w.breaks("run after the grace", id);
+        if model.drain.is_some_and(|drain| request.arrived_at > drain.notified_at + senders_stop_within) {
+            model.violation("run of a request that arrived late in a drain", id);
         }
-        let request = w.requests.get_mut(&id).unwrap();
-        (request.at, request.ran) = (At::Running, true);
-        w.check_limits(id);
+        let request = model.requests.get_mut(&id).unwrap();
+        (request.stage, request.ran) = (Stage::Running, true);
+        model.check_limits(id);
     }
     fn stop_run(&mut self, id: RequestId) {
-        let mut w = self.0.borrow_mut();
-        let request = w.requests[&id].clone();
-        if w.cfg.text("family_info.halt").unwrap_or("none") == "none"
-            || w.effects[request.class] != Effect::Idempotent
+        let mut model = self.0.borrow_mut();
+        let request = model.requests[&id].clone();
+        if model.settings.text("family_info.halt").unwrap_or("none") == "none"
+            || model.effects[request.class] != Effect::Idempotent
         {
-            w.breaks("stopped", id);
+            model.violation("stopped", id);
         }
-        if request.at == At::Running {
-            w.ending.push((id, Outcome::Cancelled));
+        if request.stage == Stage::Running {
+            model.ending_runs.push((id, Outcome::Cancelled));
         }
     }
     fn reject(&mut self, id: RequestId, retry_after: Option<Duration>, last: bool) {
-        let mut w = self.0.borrow_mut();
-        let request = w.requests.get(&id).cloned().unwrap_or_default();
-        let ran = |t: &Seen| request.reference.is_some() && t.reference == request.reference && t.ran;
-        if request.ran || request.repeats.and_then(|r| w.requests.get(&r)).is_some_and(ran) {
-            w.breaks("declined after it ran", id);
+        let mut model = self.0.borrow_mut();
+        let request = model.requests.get(&id).cloned().unwrap_or_default();
+        let original_ran =
+            |original: &ModelRequest| request.key.is_some() && original.key == request.key && original.ran;
+        let original = request.repeats.and_then(|original| model.requests.get(&original));
+        if request.ran || original.is_some_and(original_ran) {
+            model.violation("rejected after it ran", id);
         }
-        w.rejected.push((id, retry_after, last));
-        w.answer(id);
+        model.rejected.push(Rejection { id, retry_after, last });
+        model.answer(id);
     }
     fn fail(&mut self, id: RequestId) {
         self.0.borrow_mut().answer(id);
     }
     fn remember(&mut self, id: RequestId, span: Duration) {
-        let mut w = self.0.borrow_mut();
-        if let Some(reference) = w.requests.get(&id).and_then(|t| t.reference) {
-            let now = w.now;
-            let before = w.entries.insert(reference, (id, now, now + span));
-            // One that is kept for longer takes no more room than it did.
-            if before.is_none_or(|(holder, _, _)| holder != id) {
-                w.check_limits(id);
+        let mut model = self.0.borrow_mut();
+        if let Some(key) = model.requests.get(&id).and_then(|request| request.key) {
+            let now = model.now;
+            let before = model.entries.insert(key, Entry { holder: id, since: now, until: now + span });
+            // An entry that is extended takes no more memory than it did.
+            if before.is_none_or(|entry| entry.holder != id) {
+                model.check_limits(id);
             }
         }
     }
     fn forget(&mut self, id: RequestId) {
-        let mut w = self.0.borrow_mut();
-        if w.requests.get(&id).is_some_and(|t| t.ran) {
-            w.breaks("forgot what ran", id);
+        let mut model = self.0.borrow_mut();
+        if model.requests.get(&id).is_some_and(|request| request.ran) {
+            model.violation("forgot a request that ran", id);
         }
-        w.entries.retain(|_, (holder, _, _)| *holder != id);
+        model.entries.retain(|_, entry| entry.holder != id);
     }
     fn join_original(&mut self, id: RequestId) {
-        let mut w = self.0.borrow_mut();
-        if w.requests.get(&id).is_none_or(|t| t.repeats.is_none()) {
-            w.breaks("joined nothing", id);
+        let mut model = self.0.borrow_mut();
+        if model.requests.get(&id).is_none_or(|request| request.repeats.is_none()) {
+            model.violation("joined without an original", id);
         }
-        w.requests.get_mut(&id).unwrap().at = At::Joined;
+        model.requests.get_mut(&id).unwrap().stage = Stage::Joined;
     }
     fn start_call(&mut self, id: RequestId, timeout: Duration) {
-        let mut w = self.0.borrow_mut();
-        w.calls.push((id, timeout));
-        let request = w.requests[&id].clone();
-        if request.at != At::Waiting || (request.called && w.effects[request.class] != Effect::Idempotent) {
-            w.breaks("called again", id);
+        let mut model = self.0.borrow_mut();
+        model.call_timeouts.push(timeout);
+        let request = model.requests[&id].clone();
+        let must_not_repeat = request.call_may_have_run && model.effects[request.class] != Effect::Idempotent;
+        if request.stage != Stage::AwaitingCall || must_not_repeat {
+            model.violation("called again", id);
         }
-        w.requests.get_mut(&id).unwrap().at = At::Calling;
+        model.requests.get_mut(&id).unwrap().stage = Stage::Calling;
     }
     fn skip_call(&mut self, id: RequestId) {
-        let mut w = self.0.borrow_mut();
-        let class = w.requests[&id].class;
-        if w.num(&format!("family_info.worth_without.{class}"), 0.0) <= 0.0 {
-            w.breaks("skipped what earns nothing", id);
+        let mut model = self.0.borrow_mut();
+        let class = model.requests[&id].class;
+        if model.num(&format!("family_info.worth_without.{class}"), 0.0) <= 0.0 {
+            model.violation("skipped a required call", id);
         }
-        w.requests.get_mut(&id).unwrap().at = At::Running;
+        model.requests.get_mut(&id).unwrap().stage = Stage::Running;
     }
     fn set_health(&mut self, _good: bool, _stored: bool) {}
     fn close_idle(&mut self, span: Duration) {
-        self.0.borrow_mut().idle = span;
+        self.0.borrow_mut().idle_timeout = span;
     }
     fn set_load_hint(&mut self, value: f64) {
-        let mut w = self.0.borrow_mut();
-        if !value.is_finite() || value < 0.0 || w.cfg.text("family_info.advert").unwrap_or("none") == "none" {
-            w.breaks("free value", RequestId(0));
+        let mut model = self.0.borrow_mut();
+        let expected = model.settings.text("family_info.advert").unwrap_or("none") != "none";
+        if !value.is_finite() || value < 0.0 || !expected {
+            model.violation("load hint", RequestId(0));
         }
-        w.said.push(value);
+        model.load_hints.push(value);
     }
     fn set_timer(&mut self, after: Duration) {
-        let mut w = self.0.borrow_mut();
-        w.wake = Some(w.now + after);
+        let mut model = self.0.borrow_mut();
+        model.timer_at = Some(model.now + after);
     }
     fn log(&mut self, _line: &str) {}
 }
 
-/// Settings as a deployment would hand them over; spans in microseconds.
+/// Settings as a deployment would hand them over; time spans in microseconds.
 pub fn settings(effects: &[&str]) -> Settings {
-    let mut cfg = Settings::default();
-    for (name, n) in [
+    let mut settings = Settings::default();
+    for (name, number) in [
         ("family_info.cores", 4.0),
         ("family_info.memory_kb", 10_000.0),
         ("family_info.run_factor", 4.0),
@@ -248,129 +287,157 @@
         ("rules.cold_from", 0.2),
         ("limits.max_retry_after", 1_000_000.0),
     ] {
-        cfg.set(name, Value::Num(n));
+        settings.set(name, Value::Num(number));
     }
-    cfg.set("limits.retry_after", Value::Flag(true));
-    cfg.set("family_info.meters.0", Value::Text("runnable".into()));
+    settings.set("limits.retry_after", Value::Flag(true));
+    settings.set("family_info.meters.0", Value::Text("runnable".into()));
     for (i, effect) in effects.iter().enumerate() {
-        cfg.set(&format!("profiles.{i}.name"), Value::Text(format!("p{i}")));
-        cfg.set(&format!("profiles.{i}.effect"), Value::Text(effect.to_string()));
-        cfg.set(&format!("profiles.{i}.goal_time"), Value::Num(1_000_000.0));
-        cfg.set(&format!("profiles.{i}.give_up"), Value::Num(3_000_000.0));
-        cfg.set(&format!("profiles.{i}.points"), Value::Num(1.0 + i as f64));
-        cfg.set(&format!("profiles.{i}.window"), Value::Num(6_000_000.0));
+        settings.set(&format!("profiles.{i}.name"), Value::Text(format!("p{i}")));
+        settings.set(&format!("profiles.{i}.effect"), Value::Text(effect.to_string()));
+        settings.set(&format!("profiles.{i}.goal_time"), Value::Num(1_000_000.0));
+        settings.set(&format!("profiles.{i}.give_up"), Value::Num(3_000_000.0));
+        settings.set(&format!("profiles.{i}.points"), Value::Num(1.0 + i as f64));
+        settings.set(&format!("profiles.{i}.window"), Value::Num(6_000_000.0));
     }
-    cfg
+    settings
 }
 
-pub struct Play {
-    pub admission: Admission<Shared>,
-    pub world: Shared,
-    pub next: u32,
+/// The settings of an idempotent and a keyed class, with one of them changed.
+pub fn settings_with(name: &str, value: f64) -> Settings {
+    let mut settings = settings(&["retryable", "dedup"]);
+    settings.set(name, Value::Num(value));
+    settings
+}
+
+/// Receives so many requests of the first class.
+pub fn offer(scenario: &mut Scenario, count: usize) -> Vec<RequestId> {
+    (0..count).map(|_| scenario.receive(0, MS * LONG_WAIT_MS, None, 0.99)).collect()
+}
+
+/// Admission control with the model as its host, and the events of a test.
+pub struct Scenario {
+    pub admission: Admission<SharedModel>,
+    pub model: SharedModel,
+    pub next_id: u32,
     pub caller: u64,
-    /// How long what is read next lay unread, and its memory.
+    /// How long the next request waited unread, and its memory.
     pub unread_for: Duration,
-    pub kb: f64,
+    pub memory_kb: f64,
 }
 
-impl Play {
-    pub fn new(cfg: Settings) -> Play {
-        let world = Shared::default();
-        let effect = |i: usize| match cfg.text(&format!("profiles.{i}.effect")) {
+impl Scenario {
+    pub fn new(settings: Settings) -> Scenario {
+        let model = SharedModel::default();
+        let effect = |i: usize| match settings.text(&format!("profiles.{i}.effect")) {
             Some("retryable") => Effect::Idempotent,
             Some("dedup") => Effect::Keyed,
             _ => Effect::Unsafe,
         };
-        let named = (0..).take_while(|i| cfg.text(&format!("profiles.{i}.name")).is_some());
-        world.0.borrow_mut().effects = named.map(effect).collect();
-        world.0.borrow_mut().cfg = cfg.clone();
-        let admission = Admission::new(&cfg, Duration::ZERO, world.clone());
-        Play { admission, world, next: 1, caller: 0, unread_for: Duration::ZERO, kb: 10.0 }
+        let classes = (0..).take_while(|i| settings.text(&format!("profiles.{i}.name")).is_some());
+        model.0.borrow_mut().effects = classes.map(effect).collect();
+        model.0.borrow_mut().settings = settings.clone();
+        let admission = Admission::new(&settings, Duration::ZERO, model.clone());
+        Scenario { admission, model, next_id: 1, caller: 0, unread_for: Duration::ZERO, memory_kb: 10.0 }
     }
 
     pub fn now(&self) -> Duration {
-        self.world.0.borrow().now
+        self.model.0.borrow().now
     }
 
-    pub fn at(&self, id: RequestId) -> At {
-        self.world.0.borrow().requests[&id].at
+    pub fn stage(&self, id: RequestId) -> Stage {
+        self.model.0.borrow().requests[&id].stage
     }
 
-    pub fn set(&self, id: RequestId, at: At) {
-        self.world.0.borrow_mut().requests.get_mut(&id).unwrap().at = at;
+    pub fn set_stage(&self, id: RequestId, stage: Stage) {
+        self.model.0.borrow_mut().requests.get_mut(&id).unwrap().stage = stage;
     }
 
-    /// Lets time pass; the timer goes off on the way, with `runnable` on the cores.
-    pub fn pass(&mut self, span: Duration, runnable: f64) {
+    pub fn has_violations(&self) -> bool {
+        !self.model.0.borrow().violations.is_empty()
+    }
+
+    /// Lets time pass; the timer fires on the way, with so many runnable tasks.
+    pub fn advance(&mut self, span: Duration, runnable: f64) {
         let end = self.now() + span;
         while self.now() < end {
-            let wake = self.world.0.borrow().wake.unwrap_or(end).min(end);
-            self.world.0.borrow_mut().now = wake.max(self.now() + MS);
+            let timer_at = self.model.0.borrow().timer_at.unwrap_or(end).min(end);
+            self.model.0.borrow_mut().now = timer_at.max(self.now() + MS);
             let now = self.now();
-            let ending = std::mem::take(&mut self.world.0.borrow_mut().ending);
-            for (id, how) in ending {
-                self.end(id, how);
+            let ending_runs = std::mem::take(&mut self.model.0.borrow_mut().ending_runs);
+            for (id, outcome) in ending_runs {
+                self.end_run(id, outcome);
             }
-            if self.world.0.borrow().wake.is_some_and(|w| w <= now) {
+            if self.model.0.borrow().timer_at.is_some_and(|at| at <= now) {
                 self.admission.timer_fired(now, &[runnable]);
             }
-            self.world.0.borrow_mut().check_lost();
+            self.model.0.borrow_mut().check_answered();
         }
     }
 
-    pub fn read(&mut self, class: usize, left: Duration, reference: Option<u8>, rank: f64) -> RequestId {
-        let (id, now, kb) = (RequestId(self.next), self.now(), self.kb);
-        self.next += 1;
-        let entry = reference.and_then(|r| self.world.0.borrow().entries.get(&r).copied());
+    pub fn receive(&mut self, class: usize, time_left: Duration, key: Option<u8>, rank: f64) -> RequestId {
+        let (id, now, memory_kb) = (RequestId(self.next_id), self.now(), self.memory_kb);
+        self.next_id += 1;
+        let entry = key.and_then(|key| self.model.0.borrow().entries.get(&key).copied());
         let unread_for =
-            self.unread_for.min(entry.map_or(self.unread_for, |(_, since, _)| now.saturating_sub(since)));
-        let arrived = now.saturating_sub(unread_for);
-        let repeats = entry.filter(|(_, _, until)| arrived <= *until).map(|(holder, _, _)| holder);
-        let open = |id: &RequestId| {
-            self.world.0.borrow().requests.get(id).is_some_and(|t| t.ran || t.at == At::Held)
+            self.unread_for.min(entry.map_or(self.unread_for, |entry| now.saturating_sub(entry.since)));
+        let arrived_at = now.saturating_sub(unread_for);
+        let repeats = entry.filter(|entry| arrived_at <= entry.until).map(|entry| entry.holder);
+        let is_open = |id: &RequestId| {
+            let model = self.model.0.borrow();
+            model.requests.get(id).is_some_and(|request| request.ran || request.stage == Stage::Queued)
+        };
+        let repeats = repeats.filter(is_open);
+        // Some come without a deadline; then that of the class holds, from the arrival on.
+        let states_deadline = memory_kb as u64 % 10 != 3;
+        let deadline = if states_deadline { now + time_left } else { arrived_at + MS * 3000 };
+        let request = ModelRequest {
+            class,
+            arrived_at,
+            deadline,
+            read_at: now,
+            key,
+            repeats,
+            memory_kb,
+            ..ModelRequest::default()
         };
-        let repeats = repeats.filter(open);
-        // Some come without their expiry; then the product's stands, from the arrival on.
-        let told = kb as u64 % 10 != 3;
-        let deadline = if told { now + left } else { arrived + MS * 3000 };
-        let seen = Seen { class, arrived, deadline, began: now, reference, repeats, kb, ..Seen::default() };
-        self.world.0.borrow_mut().requests.insert(id, seen);
+        self.model.0.borrow_mut().requests.insert(id, request);
         let class = format!("p{class}");
-        let read = IncomingRequest {
+        let incoming = IncomingRequest {
             class: &class,
-            deadline: told.then_some(deadline),
+            deadline: states_deadline.then_some(deadline),
             tenant: (rank < 0.5).then_some("t0"),
-            memory_kb: kb,
+            memory_kb,
             rank,
             unread_for,
             repeats,
             caller: CallerId(self.caller),
             ..IncomingRequest::default()
         };
-        self.admission.request_received(now, id, &read);
+        self.admission.request_received(now, id, &incoming);
         id
     }
 
-    pub fn end(&mut self, id: RequestId, how: Outcome) {
+    /// Ends a run that has not ended, and with it the requests that have joined it.
+    pub fn end_run(&mut self, id: RequestId, outcome: Outcome) {
         let now = self.now();
-        let began = {
-            let mut w = self.world.0.borrow_mut();
-            let Some(request) = w.requests.get_mut(&id).filter(|t| t.at != At::Over && t.at != At::Held)
-            else {
-                return;
-            };
-            request.at = At::Over;
-            if request.answers == 0 && matches!(how, Outcome::Completed | Outcome::Failed) {
+        let read_at = {
+            let mut model = self.model.0.borrow_mut();
+            let has_started =
+                |request: &&mut ModelRequest| request.stage != Stage::Ended && request.stage != Stage::Queued;
+            let Some(request) = model.requests.get_mut(&id).filter(has_started) else { return };
+            request.stage = Stage::Ended;
+            if request.answers == 0 && matches!(outcome, Outcome::Completed | Outcome::Failed) {
                 request.answers = 1;
             }
-            request.began
+            request.read_at
         };
-        self.admission.run_ended(now, id, how, now.saturating_sub(began));
-        let joined = |t: &Seen| t.at == At::Joined && t.repeats == Some(id);
-        let world = self.world.0.clone();
+        self.admission.run_ended(now, id, outcome, now.saturating_sub(read_at));
+        let has_joined =
+            |request: &ModelRequest| request.stage == Stage::Joined && request.repeats == Some(id);
+        let model = self.model.0.clone();
         let joined: Vec<RequestId> =
-            world.borrow().requests.iter().filter(|(_, t)| joined(t)).map(|(id, _)| *id).collect();
-        let theirs = if how == Outcome::Completed { how } else { Outcome::Failed };
-        joined.into_iter().for_each(|id| self.end(id, theirs));
+            model.borrow().requests.iter().filter(|(_, r)| has_joined(r)).map(|(id, _)| *id).collect();
+        let joined_outcome = if outcome == Outcome::Completed { outcome } else { Outcome::Failed };
+        joined.into_iter().for_each(|id| self.end_run(id, joined_outcome));
     }
 }
--- /dev/null
+++ b/tests/suite/window_and_queue.rs
@@ -0,0 +1,161 @@
+//! The concurrency window, the queue, rejections, the load hint and idle connections.
+
+use crate::model::{offer, settings, settings_with, Rejection, Scenario, Stage, LONG_WAIT_MS, MS};
+use aldercrank::{Outcome, RequestId, Value};
+
+fn running(scenario: &Scenario) -> usize {
+    scenario.model.0.borrow().count(Stage::Running)
+}
+
+fn run_once(scenario: &mut Scenario, millis: u32) {
+    let id = scenario.receive(0, MS * 20_000, None, 0.99);
+    scenario.advance(MS * millis, 9.0);
+    scenario.end_run(id, Outcome::Completed);
+}
+
+#[test]
+fn the_window_grows_on_demand_only_and_not_past_its_limit() {
+    for (demand, most) in [(false, 4), (true, 8)] {
+        let mut scenario = Scenario::new(settings_with("window.per_core", 2.0));
+        for _ in 0..60 {
+            let ids = offer(&mut scenario, if demand { 8 } else { 2 });
+            scenario.advance(MS * 100, 9.0);
+            ids.into_iter().for_each(|id| scenario.end_run(id, Outcome::Completed));
+        }
+        offer(&mut scenario, 12);
+        assert_eq!(running(&scenario), most, "demand {demand}");
+    }
+}
+
+#[test]
+fn idle_cores_beside_a_queue_grow_the_window_at_each_tick_and_a_cold_start_keeps_it_low() {
+    for (cold, most) in [(false, 8), (true, 4)] {
+        let mut settings = settings_with("window.per_core", 2.0);
+        settings.set("family_info.cold", Value::Flag(cold));
+        settings.set("rules.cold_from", Value::Num(0.6));
+        let mut scenario = Scenario::new(settings);
+        offer(&mut scenario, 9);
+        scenario.advance(MS * 40, 3.0);
+        assert_eq!(running(&scenario), most, "cold {cold}");
+    }
+}
+
+#[test]
+fn a_p99_over_the_target_and_the_breaker_cut_the_window_never_below_the_cores() {
+    for (millis, left) in [(1200, 5), (3300, 5), (900, 8)] {
+        let mut scenario = Scenario::new(settings_with("window.per_core", 2.0));
+        offer(&mut scenario, 9);
+        scenario.advance(MS * 40, 3.0);
+        let first = scenario.model.0.borrow().requests.keys().next().copied().unwrap();
+        scenario.advance(MS * 20, 9.0);
+        let now = scenario.now();
+        scenario.set_stage(first, Stage::Ended);
+        scenario.model.0.borrow_mut().requests.get_mut(&first).unwrap().answers = 1;
+        scenario.admission.run_ended(now, first, Outcome::Completed, MS * millis);
+        if millis < 3000 {
+            scenario.advance(MS * 600, 9.0);
+        }
+        let ids: Vec<RequestId> = scenario.model.0.borrow().requests.keys().copied().collect();
+        ids.into_iter().for_each(|id| scenario.end_run(id, Outcome::Cancelled));
+        offer(&mut scenario, 9);
+        assert_eq!(running(&scenario), left, "run of {millis} ms");
+    }
+}
+
+#[test]
+fn a_repeat_replaces_a_queued_original_and_joins_a_started_one() {
+    let mut scenario = Scenario::new(settings(&["retryable", "dedup"]));
+    let started = scenario.receive(1, MS * LONG_WAIT_MS, Some(1), 0.5);
+    let joined = scenario.receive(1, MS * LONG_WAIT_MS, Some(1), 0.5);
+    offer(&mut scenario, 3);
+    let queued = scenario.receive(1, MS * LONG_WAIT_MS, Some(2), 0.5);
+    let repeat = scenario.receive(1, MS * LONG_WAIT_MS, Some(2), 0.5);
+    let stages = [started, joined, queued, repeat].map(|id| scenario.stage(id));
+    assert_eq!(stages, [Stage::Running, Stage::Joined, Stage::Ended, Stage::Queued]);
+}
+
+#[test]
+fn a_request_that_cannot_be_in_time_is_rejected_at_once_with_retry_after() {
+    let mut scenario = Scenario::new(settings(&["retryable"]));
+    offer(&mut scenario, 40);
+    let model = scenario.model.0.borrow();
+    assert!(
+        model.rejected.len() > 10 && model.rejected.iter().any(|rejection| rejection.retry_after.is_some())
+    );
+    assert!(model.count(Stage::Queued) > 0);
+}
+
+/// Otherwise all requests would be rejected for good after one stall.
+#[test]
+fn run_times_learnt_in_a_stall_are_forgotten() {
+    let mut scenario = Scenario::new(settings(&["retryable"]));
+    for _ in 0..60 {
+        run_once(&mut scenario, 1500);
+    }
+    scenario.advance(MS * 6000, 0.0);
+    let id = scenario.receive(0, MS * LONG_WAIT_MS, None, 0.99);
+    assert_eq!(scenario.stage(id), Stage::Running);
+}
+
+/// A cold server never does: the others may be warm.
+#[test]
+fn a_warm_server_that_rejects_most_requests_asks_for_no_further_attempts() {
+    for cold in [false, true] {
+        let mut settings = settings(&["retryable"]);
+        settings.set("family_info.cold", Value::Flag(cold));
+        let mut scenario = Scenario::new(settings);
+        for _ in 0..40 {
+            scenario.advance(MS * 25, 9.0);
+            scenario.unread_for = MS * 990;
+            scenario.receive(0, MS * LONG_WAIT_MS, None, 0.5);
+        }
+        let last = scenario.model.0.borrow().rejected.last().map(|rejection| rejection.last);
+        assert_eq!(last, Some(!cold));
+    }
+}
+
+/// One caller that sends nearly all must not be limited to an even share, and a server that reads slowly is sent less.
+#[test]
+fn the_load_hint_follows_the_senders_and_falls_with_unread_time() {
+    let load_hint = |senders: u64, unread_for: u32| {
+        let mut settings = settings_with("family_info.upstreams", 6.0);
+        settings.set("family_info.advert", Value::Text("window".into()));
+        let mut scenario = Scenario::new(settings);
+        for n in 0..60 {
+            (scenario.caller, scenario.unread_for) = (n % senders, MS * unread_for);
+            run_once(&mut scenario, 100);
+        }
+        let load_hint = *scenario.model.0.borrow().load_hints.last().unwrap();
+        load_hint
+    };
+    assert!(load_hint(1, 0) > 4.0 * load_hint(6, 0) && load_hint(1, 900) < load_hint(1, 0) / 2.0);
+}
+
+/// Connections of callers that seldom return are closed soon, unless a storm of attempts fills the cores.
+#[test]
+fn idle_connections_close_soon_but_not_in_a_reconnect_storm() {
+    let idle_timeout = |callers: f64, runnable: f64| {
+        let mut settings = settings_with("family_info.upstreams", callers);
+        settings.set("family_info.idle", Value::Num(30e6));
+        let mut scenario = Scenario::new(settings);
+        offer(&mut scenario, 3);
+        scenario.advance(MS * 9000, runnable);
+        let idle_timeout = scenario.model.0.borrow().idle_timeout;
+        idle_timeout
+    };
+    assert_eq!((idle_timeout(2.0, 3.0), idle_timeout(5000.0, 12.0)), (MS * 30_000, MS * 30_000));
+    assert!(idle_timeout(5000.0, 3.0) < MS * 2000);
+}
+
+/// A later attempt shows its age by its remaining wait; it can be in time on no server.
+#[test]
+fn an_attempt_past_its_latency_target_is_rejected_as_the_last() {
+    let mut scenario = Scenario::new(settings(&["retryable"]));
+    for n in 0..30 {
+        scenario.caller = n;
+        let id = scenario.receive(0, MS * 2000, None, 0.99);
+        scenario.end_run(id, Outcome::Completed);
+    }
+    let old = scenario.receive(0, MS * 1000, None, 0.99);
+    assert_eq!(scenario.model.0.borrow().rejected, [Rejection { id: old, retry_after: None, last: true }]);
+}
