--- a/crates/aldercrank-json-settings/src/lib.rs
+++ b/crates/aldercrank-json-settings/src/lib.rs
@@ -1,29 +1,28 @@
-//! Settings written as JSON, turned into the plain map that the module reads. Decides nothing.
-
-// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
-#![allow(missing_docs, unreachable_pub)]
-#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+//! Converts settings from JSON into the plain map that admission control reads.
 
 use aldercrank::{Settings, Value};
 use serde_json::Value as Json;
 
-/// Nested settings become dotted names; list items count from 0; what is null is left out.
+/// Joins nested names with dots and numbers list items from 0. A null is left out, an empty list or object too. A number
+/// that a float cannot hold becomes NaN, which no setting accepts.
 pub fn settings(json: &Json) -> Settings {
     let mut settings = Settings::default();
     flatten("", json, &mut settings);
     settings
 }
 
-fn flatten(path: &str, value: &Json, into: &mut Settings) {
+fn flatten(path: &str, value: &Json, settings: &mut Settings) {
     let join = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match value {
-        Json::Object(fields) => fields.iter().for_each(|(k, v)| flatten(&join(k), v, into)),
+        Json::Object(fields) => {
+            fields.iter().for_each(|(name, value)| flatten(&join(name), value, settings));
+        }
         Json::Array(items) => {
-            items.iter().enumerate().for_each(|(k, v)| flatten(&join(&k.to_string()), v, into))
+            items.iter().enumerate().for_each(|(i, value)| flatten(&join(&i.to_string()), value, settings));
         }
-        Json::String(s) => into.set(path, Value::Text(s.clone())),
-        Json::Bool(b) => into.set(path, Value::Flag(*b)),
-        Json::Number(n) => into.set(path, Value::Num(n.as_f64().unwrap_or(f64::NAN))),
+        Json::String(text) => settings.set(path, Value::Text(text.clone())),
+        Json::Bool(flag) => settings.set(path, Value::Flag(*flag)),
+        Json::Number(number) => settings.set(path, Value::Num(number.as_f64().unwrap_or(f64::NAN))),
         Json::Null => {}
     }
 }
--- /dev/null
+++ b/crates/aldercrank-simulator-adapter/src/events.rs
@@ -0,0 +1,90 @@
+//! Decodes the simulator's events. A field that is missing or has another type takes its default.
+
+use aldercrank::{CallerId, IncomingRequest, Outcome, RequestId};
+use serde_json::Value as Json;
+use std::time::Duration;
+
+/// An event of one instance. Times are since its start.
+pub(crate) struct Event<'a> {
+    item: &'a Json,
+    /// The simulator's clock at the start of the instance, in microseconds.
+    started_at_micros: u64,
+}
+
+impl<'a> Event<'a> {
+    pub(crate) fn new(item: &'a Json, started_at_micros: u64) -> Event<'a> {
+        Event { item, started_at_micros }
+    }
+
+    fn text(&self, field: &str) -> Option<&'a str> {
+        self.item.get(field).and_then(Json::as_str)
+    }
+
+    fn integer(&self, field: &str) -> u64 {
+        self.item.get(field).and_then(Json::as_u64).unwrap_or_default()
+    }
+
+    fn number(&self, field: &str) -> f64 {
+        self.item.get(field).and_then(Json::as_f64).unwrap_or_default()
+    }
+
+    /// The time since the start of the instance, where the clock may be before it.
+    pub(crate) fn since_start(&self, clock_micros: u64) -> Duration {
+        Duration::from_micros(clock_micros.saturating_sub(self.started_at_micros))
+    }
+
+    pub(crate) fn request_id(&self) -> Option<RequestId> {
+        let id = self.item.get("request_id").and_then(Json::as_u64)?;
+        u32::try_from(id).ok().map(RequestId)
+    }
+
+    /// How long the run or the call took that has ended.
+    pub(crate) fn duration(&self) -> Duration {
+        Duration::from_micros(self.integer("duration"))
+    }
+
+    /// The deadline of a request, or the time of the stop; 0 stands for none.
+    pub(crate) fn deadline(&self) -> Option<Duration> {
+        Some(self.integer("drop_dead")).filter(|clock| *clock > 0).map(|clock| self.since_start(clock))
+    }
+
+    pub(crate) fn load_metrics(&self) -> Vec<f64> {
+        let metrics = self.item.get("pressure").and_then(Json::as_array);
+        metrics
+            .map(|row| row.iter().map(|metric| metric.as_f64().unwrap_or_default()).collect())
+            .unwrap_or_default()
+    }
+
+    pub(crate) fn incoming_request(&self) -> IncomingRequest<'a> {
+        let flags = self.integer("bitmap");
+        let work = Some(self.integer("estimate")).filter(|micros| *micros > 0 && flags & 1 != 0);
+        let repeats = Some(self.integer("dup_of")).filter(|id| *id > 0);
+        IncomingRequest {
+            class: self.text("cls").unwrap_or_default(),
+            tenant: self.text("user_group"),
+            subject: self.text("name_key"),
+            deadline: self.deadline(),
+            work: work.map(Duration::from_micros),
+            memory_kb: self.number("footprint"),
+            rank: self.number("precedence"),
+            retry: flags & 2 != 0,
+            write: flags & 4 != 0,
+            caller: CallerId(self.integer("by")),
+            unread_for: Duration::from_micros(self.integer("lay")),
+            repeats: repeats.and_then(|id| u32::try_from(id).ok()).map(RequestId),
+        }
+    }
+
+    pub(crate) fn outcome(&self) -> Outcome {
+        match self.text("result").unwrap_or_default() {
+            "completed" => Outcome::Completed,
+            "saturated" => Outcome::Rejected,
+            "overdue" => Outcome::TimedOut,
+            "refused_conn" => Outcome::Unreachable,
+            "severed" => Outcome::ConnectionLost,
+            "recalled" => Outcome::Cancelled,
+            "superseded" => Outcome::NeverStarted,
+            _ => Outcome::Failed,
+        }
+    }
+}
--- a/crates/aldercrank-simulator-adapter/src/main.rs
+++ b/crates/aldercrank-simulator-adapter/src/main.rs
@@ -1,40 +1,38 @@
-//! One batch a line in, one reply a line out; the end of input ends it.
+//! The program `aldercrank-drill`: reads one batch a line from standard input and writes one reply a line to standard
+//! output, until the end of the input.
 
-// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
-#![allow(missing_docs, unreachable_pub)]
-#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
-
-use aldercrank_simulator_adapter::Drill;
+use aldercrank_simulator_adapter::{AdapterError, SimulatorAdapter};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::process::ExitCode;
 
+/// The name of the program, before each error.
+const PROGRAM: &str = "aldercrank-drill";
+/// Batches of a large fleet are long lines.
+const INPUT_BUFFER_BYTES: usize = 1 << 20;
+
 fn main() -> ExitCode {
-    let mut input = BufReader::with_capacity(1 << 20, io::stdin().lock());
+    match answer_batches() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("{PROGRAM}: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn answer_batches() -> Result<(), AdapterError> {
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
-    let mut drill = Drill::default();
+    let mut adapter = SimulatorAdapter::default();
     let mut line = Vec::new();
     loop {
         line.clear();
-        match input.by_ref().read_until(b'\n', &mut line) {
-            Ok(0) => return ExitCode::SUCCESS,
-            Ok(_) => {}
-            Err(e) => return stop(&format!("cannot read: {e}")),
-        }
-        let text = match std::str::from_utf8(&line) {
-            Ok(text) => text,
-            Err(e) => return stop(&format!("not a batch: not UTF-8 (byte {})", e.valid_up_to())),
-        };
-        let reply = match drill.batch(text.trim_end()) {
-            Ok(reply) => reply,
-            Err(why) => return stop(&why),
-        };
-        if let Err(e) = writeln!(output, "{reply}").and_then(|()| output.flush()) {
-            return stop(&format!("cannot write: {e}"));
+        if input.by_ref().read_until(b'\n', &mut line).map_err(AdapterError::Read)? == 0 {
+            return Ok(());
         }
+        let text = std::str::from_utf8(&line)
+            .map_err(|error| AdapterError::NotUtf8 { byte: error.valid_up_to() })?;
+        let reply = adapter.batch(text.trim_end())?;
+        writeln!(output, "{reply}").and_then(|()| output.flush()).map_err(AdapterError::Write)?;
     }
 }
-
-fn stop(why: &str) -> ExitCode {
-    eprintln!("aldercrank-simulator-adapter: {why}");
-    ExitCode::FAILURE
-}
--- a/crates/aldercrank-simulator-adapter/tests/golden/main.rs
+++ b/crates/aldercrank-simulator-adapter/tests/golden/main.rs
@@ -19,7 +19,7 @@
 /// What stands before the text of a log line in a reply.
 const LOG_TEXT: &str = r#""t":"WriteLog","words":""#;
 
-/// A log line's text may be reworded, its place among the actions may not: all texts but those that name a setting
+/// A log line's text may change, its place among the actions may not: all texts but those that name a setting
 /// are left out.
 fn without_log_texts(replies: &str) -> String {
     let mut parts = replies.split(LOG_TEXT);
--- a/crates/aldercrank-simulator-adapter/tests/golden/malformed.rs
+++ b/crates/aldercrank-simulator-adapter/tests/golden/malformed.rs
@@ -1,6 +1,6 @@
-//! Lines that are no batch: what is said of them, and how the program ends.
+//! Malformed lines: the error of each, and how the program ends.
 
-use crate::batches::Talk;
+use crate::batches::Transcript;
 use std::fmt::Write;
 use std::io::Write as _;
 use std::process::{Command, Stdio};
@@ -42,19 +42,19 @@
 ];
 
 pub fn text() -> String {
-    let mut talk = Talk::default();
-    talk.section("lines that are no batch");
-    LINES.iter().for_each(|(title, line)| talk.line(title, line));
+    let mut transcript = Transcript::default();
+    transcript.section("lines that are no batch");
+    LINES.iter().for_each(|(title, line)| transcript.line(title, line));
     let deep = "[".repeat(200);
-    talk.line("lists in lists", &deep);
-    talk.line(
+    transcript.line("lists in lists", &deep);
+    transcript.line(
         "the instance that was started before the bad group",
         r#"{"ts":9,"groups":[{"i":1,"items":[{"t":"Alarm"}]}]}"#,
     );
-    talk.text
+    transcript.text
 }
 
-/// Runs the program on this input; what it says on errors without its own name.
+/// Runs the program on this input. Returns exit code, standard output, and standard error without the program's name.
 fn run(input: &[u8]) -> (Option<i32>, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_aldercrank-drill"))
         .stdin(Stdio::piped())
@@ -64,9 +64,9 @@
         .expect("the program starts");
     child.stdin.take().expect("its input").write_all(input).expect("the input is taken");
     let out = child.wait_with_output().expect("the program ends");
-    let said = String::from_utf8(out.stderr).expect("text");
-    let said = said.split_once(": ").map_or(said.clone(), |(_, rest)| rest.to_string());
-    (out.status.code(), String::from_utf8(out.stdout).expect("text"), said)
+    let errors = String::from_utf8(out.stderr).expect("text");
+    let errors = errors.split_once(": ").map_or(errors.clone(), |(_, rest)| rest.to_string());
+    (out.status.code(), String::from_utf8(out.stdout).expect("text"), errors)
 }
 
 pub fn program_text() -> String {
@@ -83,9 +83,9 @@
     ];
     let mut text = String::new();
     for (title, input) in inputs {
-        let (code, out, said) = run(&input);
+        let (code, out, errors) = run(&input);
         let _ = writeln!(text, "# {title}\ninput: {}\nexit: {code:?}", input.escape_ascii());
-        let _ = writeln!(text, "output: {out:?}\nerrors, after the program's name: {said:?}\n");
+        let _ = writeln!(text, "output: {out:?}\nerrors, after the program's name: {errors:?}\n");
     }
     text
 }
--- a/crates/aldercrank-simulator-adapter/tests/golden/settings.rs
+++ b/crates/aldercrank-simulator-adapter/tests/golden/settings.rs
@@ -1,16 +1,16 @@
-//! Settings in PowerOn: none, of other kinds, and one after another what is told of them and what follows.
+//! Settings in PowerOn: none, of other kinds, and each with the log lines about it and what follows.
 
-use crate::batches::{power_on, Talk};
+use crate::batches::{power_on, Transcript};
 
 const REQUEST: &str =
     r#"{"t":"NewRequest","request_id":1,"cls":"look","user_group":"a","by":17,"footprint":9.0}"#;
 
 /// A server's start with the settings given, a request, and the timer.
-fn life(talk: &mut Talk, title: &str, start: &str) {
-    talk.section(title);
-    talk.items("PowerOn", 1_000_000, start);
-    talk.items("a request", 1_100_000, REQUEST);
-    talk.items("the timer", 2_500_000, r#"{"t":"Alarm","tag":"tick","pressure":[0.62,3]}"#);
+fn instance_start(transcript: &mut Transcript, title: &str, start: &str) {
+    transcript.section(title);
+    transcript.items("PowerOn", 1_000_000, start);
+    transcript.items("a request", 1_100_000, REQUEST);
+    transcript.items("the timer", 2_500_000, r#"{"t":"Alarm","tag":"tick","pressure":[0.62,3]}"#);
 }
 
 fn with_settings(env: &str) -> String {
@@ -52,26 +52,30 @@
 ];
 
 /// One after another with and without a tenant, so that those beyond the tenant's share go first.
-fn tenants(talk: &mut Talk) {
-    talk.section("tenants, under load");
+fn tenants(transcript: &mut Transcript) {
+    transcript.section("tenants, under load");
     let env = r#"{"over_share_worth":0.01,"peers_total":2,"tenants":[{"name":"a","quota_per_s":2}],"family_info":{"cores":1},"profiles":[{"name":"look","effect":"retryable","goal_time":1000000,"give_up":3000000}]}"#;
-    talk.items("PowerOn", 0, &with_settings(env));
+    transcript.items("PowerOn", 0, &with_settings(env));
     for id in 1..12 {
         let tenant = ["", r#","user_group":"a""#, r#","user_group":"b""#][id % 3];
         let item = format!(r#"{{"t":"NewRequest","request_id":{id},"cls":"look","precedence":0.5{tenant}}}"#);
-        talk.items("a request", 100_000, &item);
+        transcript.items("a request", 100_000, &item);
     }
 }
 
 pub fn text() -> String {
-    let mut talk = Talk::default();
-    life(&mut talk, "usual settings", &power_on(""));
-    life(&mut talk, "usual settings, cold", &power_on(r#","cold":true"#));
-    life(&mut talk, "unknown settings beside", &power_on(r#","never_heard_of":[1,{"x":null}]"#));
-    life(&mut talk, "no settings at all", r#"{"t":"PowerOn"}"#);
+    let mut transcript = Transcript::default();
+    instance_start(&mut transcript, "usual settings", &power_on(""));
+    instance_start(&mut transcript, "usual settings, cold", &power_on(r#","cold":true"#));
+    instance_start(
+        &mut transcript,
+        "unknown settings beside",
+        &power_on(r#","never_heard_of":[1,{"x":null}]"#),
+    );
+    instance_start(&mut transcript, "no settings at all", r#"{"t":"PowerOn"}"#);
     for (title, env) in OTHERS {
-        life(&mut talk, title, &with_settings(env));
+        instance_start(&mut transcript, title, &with_settings(env));
     }
-    tenants(&mut talk);
-    talk.text
+    tenants(&mut transcript);
+    transcript.text
 }
