--- a/crates/aldercrank-pacing/src/lib.rs
+++ b/crates/aldercrank-pacing/src/lib.rs
@@ -1,13 +1,11 @@
-//! What a server does when it starts among hundreds, and the pace of what it asks of anything that it shares with
-//! others. What is harmless in one process falls over in three hundred: all of a fleet that starts in the same second
-//! would ask in the same tenth of it, and again together for as long as they live. Nobody here knows the others; what
-//! keeps them apart is drawn, each server's by its own name, and what tells them that they are too many is being refused.
+//! When a server asks again for anything that it shares with others, and how much load it offers after a start.
 //!
-//! No I/O and no clock: times are handed in, the moment of the next try is handed out.
-
-// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
-#![allow(missing_docs, unreachable_pub)]
-#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+//! A fleet that starts in one second would send its requests to a shared service in the same instant, and again at each
+//! interval after it. Servers do not know of each other here: their times are spread by random numbers seeded with the
+//! name of each, and the one sign of overload is that the service rejects requests.
+//!
+//! [`RetryPacer`] gives the time of the next attempt; [`SlowStart`] the share of load during warm-up. Both are state
+//! machines without I/O and without a clock.
 
 mod retry_pacer;
 mod slow_start;
--- a/crates/aldercrank-pacing/src/retry_pacer.rs
+++ b/crates/aldercrank-pacing/src/retry_pacer.rs
@@ -1,154 +1,154 @@
-//! One thing that is asked for again and again, such as a report: when the next try is due.
+//! The times of attempts at one periodic request to a shared service, such as a load report.
 //!
-//! `waiting` for the first try, `steady` while tries are taken, `backing off` while they are not. All transitions
-//! stand in `succeeded`, `rejected` and `failed`.
+//! The pacer waits for the first attempt, is steady while attempts succeed, and backs off while they do not. Transitions
+//! take place in [`RetryPacer::succeeded`], [`RetryPacer::rejected`] and [`RetryPacer::failed`] only.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// How far a steady gap may be from the interval, each way: enough that servers that met by chance part again.
-const LOOSE: f64 = 0.05;
-/// The gap after a try that is taken for the first time, or again: from this many steady ones to one more.
-const PHASE: f64 = 0.7;
-/// The first gap after a try that came to nothing, as a share of the interval; each further one is twice as long.
-const FIRST: f64 = 0.25;
-/// Gaps after a failure lie between this share of their length and the whole.
-const JITTER: f64 = 0.7;
-/// For each other server that is known of, the first try may be so much later, in intervals; one at most.
-const EACH: f64 = 0.02;
-/// As many are taken to be there where nothing is known.
-const UNKNOWN: f64 = 30.0;
-/// Being refused stretches the interval by this, up to what the lapse allows; each try that is taken gives so
-/// much of it back, in intervals.
-const STRETCH: f64 = 3.0;
-const BACK: f64 = 0.005;
-/// A stretched interval leaves this share of the lapse for a try that is lost and the next.
-const OF_LAPSE: f64 = 0.8;
-/// The longest that somebody's `Retry-After` is heeded, in intervals: beyond it the server looks for itself.
-const HEEDED: f64 = 60.0;
-/// All that are told to come back at one moment come within this many such waits after it.
-const AFTER: f64 = 2.0;
-
-/// What the pace goes by.
+// Ratios to the interval, where nothing else is said.
+
+/// Jitter of a steady interval, each way: enough for servers in step to drift apart.
+const STEADY_JITTER: f64 = 0.05;
+/// The interval after the first success, or the first after failures, lies between this and one more: the phase of each
+/// server is chosen anew.
+const FIRST_STEADY_INTERVAL: f64 = 0.7;
+/// Backoff after the first failure; it doubles with each further one.
+const INITIAL_BACKOFF: f64 = 0.25;
+/// Doublings after which the backoff no longer grows, so that the power stays finite.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+/// A backoff lies between this share of its length and the whole.
+const MIN_BACKOFF_SHARE: f64 = 0.7;
+/// The first attempt is spread by this much for each other server, by one interval at most.
+const FIRST_ATTEMPT_SPREAD: f64 = 0.02;
+/// Number of servers that is assumed where it is not known.
+const ASSUMED_SERVERS: f64 = 30.0;
+/// Factor of the steady interval at each rejection, so that an overloaded service receives fewer attempts.
+const REJECTION_STRETCH: f64 = 3.0;
+/// What each success takes off a stretched interval: little, since a full return would overload the service again.
+const STRETCH_RECOVERY: f64 = 0.005;
+/// Longest steady interval as a share of the lapse: it leaves time for one lost attempt and the next.
+const MAX_STRETCH_OF_LAPSE: f64 = 0.8;
+/// The longest `Retry-After` that is heeded: beyond it the server looks for itself.
+const MAX_RETRY_AFTER: f64 = 60.0;
+/// Attempts after a `Retry-After` are spread over this many times its length, as many servers were given the same.
+const RETRY_AFTER_SPREAD: f64 = 2.0;
+
+/// Parameters of a pacer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Between two tries while all is well.
+    /// Time between two attempts while all succeed.
     pub interval: Duration,
-    /// What was taken is forgotten after this, so a try must be taken sooner.
+    /// The service forgets a successful attempt after this time, so the next must succeed sooner.
     pub lapse: Duration,
-    /// The longest gap after tries that came to nothing. Where an entry can lapse meanwhile it has to be well under
-    /// the lapse; where it can't, four intervals have a dead service asked at under a third of the steady rate.
+    /// Longest backoff. Where the service forgets, it has to be well below the lapse; elsewhere, four intervals keep the
+    /// load on a failed service below a third of the steady load.
     pub longest: Duration,
-    /// How many servers ask the same, where that is known.
+    /// Number of servers that send the same request, where it is known.
     pub servers: Option<f64>,
 }
 
-/// Where it stands.
+/// State of a pacer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacerState {
-    /// For the first try.
+    /// The first attempt has not ended yet.
     Waiting,
+    /// The last attempt succeeded.
     Steady,
-    /// So many tries in a row have come to nothing.
+    /// This many attempts in a row did not succeed.
     BackingOff(u32),
 }
 
+/// Gives the times of attempts at one periodic request.
 #[derive(Clone, Debug)]
 pub struct RetryPacer {
     terms: Terms,
-    draw: Pcg64Mcg,
+    random: Pcg64Mcg,
     state: PacerState,
-    /// The steady gap at present: the interval, or longer where the service has refused.
-    gap: Duration,
+    /// The steady interval: the one of the parameters, or a longer one after rejections.
+    steady_interval: Duration,
 }
 
-/// FNV-1a: the same name gives the same number everywhere.
+/// The FNV-1a hash of a text, the same on every machine.
 pub fn digest(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |sum, b| (sum ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 impl RetryPacer {
-    /// `name` sets a server apart from the others even where all start with the same seed, as those of one image
-    /// do; `moment` sets its starts apart from one another.
+    /// Seeds the random numbers: `name` sets a server apart from others with the same `seed`, as those of one image
+    /// have it; `moment` sets its starts apart from one another.
     pub fn new(terms: Terms, seed: &str, name: &str, moment: Duration) -> RetryPacer {
-        let mix = digest(seed) ^ digest(name).rotate_left(21) ^ (moment.as_nanos() as u64).rotate_left(42);
+        let seed = digest(seed) ^ digest(name).rotate_left(21) ^ (moment.as_nanos() as u64).rotate_left(42);
         RetryPacer {
             terms,
-            draw: Pcg64Mcg::seed_from_u64(mix),
+            random: Pcg64Mcg::seed_from_u64(seed),
             state: PacerState::Waiting,
-            gap: terms.interval,
+            steady_interval: terms.interval,
         }
     }
 
+    /// The present state.
     pub fn state(&self) -> PacerState {
         self.state
     }
 
-    /// The steady gap at present.
-    pub fn gap(&self) -> Duration {
-        self.gap
-    }
-
-    /// A draw from 0 up to 1.
+    /// A random number from 0 up to 1.
     fn unit(&mut self) -> f64 {
-        self.draw.random()
+        self.random.random()
     }
 
-    /// A moment of this server's own within a span: for what all of a fleet are told to do at once.
+    /// A random time within a span, for actions that all servers of a fleet are asked to take at once.
     pub fn within(&mut self, span: Duration) -> Duration {
         span.mul_f64(self.unit())
     }
 
-    /// When the first try is due. One server alone waits for nobody.
+    /// The time of the first attempt. A server that is alone does not wait.
     pub fn first(&mut self, now: Duration) -> Duration {
-        let others = (self.terms.servers.unwrap_or(UNKNOWN) - 1.0).max(0.0);
-        let spread = self.terms.interval.mul_f64((others * EACH).min(1.0));
+        let others = (self.terms.servers.unwrap_or(ASSUMED_SERVERS) - 1.0).max(0.0);
+        let spread = self.terms.interval.mul_f64((others * FIRST_ATTEMPT_SPREAD).min(1.0));
         now + spread.mul_f64(self.unit())
     }
 
-    /// A try was taken: when the next is due, counted from when this one was begun.
+    /// An attempt that began at `begun` has succeeded. Returns the time of the next, counted from the begin of this one.
     pub fn succeeded(&mut self, now: Duration, begun: Duration) -> Duration {
-        let back = self.terms.interval.mul_f64(BACK);
-        self.gap = self.gap.saturating_sub(back).max(self.terms.interval);
-        let steady = std::mem::replace(&mut self.state, PacerState::Steady) == PacerState::Steady;
-        // Those that come back together would stay in step for as long as they live: each draws its phase anew.
-        let loose = match steady {
-            true => 1.0 + LOOSE * (2.0 * self.unit() - 1.0),
-            false => PHASE + self.unit(),
+        let recovery = self.terms.interval.mul_f64(STRETCH_RECOVERY);
+        self.steady_interval = self.steady_interval.saturating_sub(recovery).max(self.terms.interval);
+        let before = std::mem::replace(&mut self.state, PacerState::Steady);
+        // Servers that return together would otherwise stay in step.
+        let factor = match before {
+            PacerState::Steady => 1.0 + STEADY_JITTER * (2.0 * self.unit() - 1.0),
+            PacerState::Waiting | PacerState::BackingOff(_) => FIRST_STEADY_INTERVAL + self.unit(),
         };
-        (begun + self.gap.mul_f64(loose).min(self.stretched())).max(now)
+        (begun + self.steady_interval.mul_f64(factor).min(self.longest_steady_interval())).max(now)
     }
 
-    /// The service is there and turned it away, with when to come back, if it said so.
+    /// The service has rejected the attempt, with a `Retry-After` or without. Returns the time of the next.
     pub fn rejected(&mut self, now: Duration, retry_after: Option<Duration>) -> Duration {
-        self.gap = self.gap.mul_f64(STRETCH).min(self.stretched());
-        let own = self.fail(now);
-        let heeded = retry_after.filter(|span| !span.is_zero()).map(|span| {
-            let span = span.min(self.terms.interval.mul_f64(HEEDED));
-            now + span + span.mul_f64(AFTER * self.unit())
+        self.steady_interval =
+            self.steady_interval.mul_f64(REJECTION_STRETCH).min(self.longest_steady_interval());
+        let after_backoff = self.failed(now);
+        let after_retry_after = retry_after.filter(|span| !span.is_zero()).map(|span| {
+            let span = span.min(self.terms.interval.mul_f64(MAX_RETRY_AFTER));
+            now + span + span.mul_f64(RETRY_AFTER_SPREAD * self.unit())
         });
-        own.max(heeded.unwrap_or(own))
+        after_backoff.max(after_retry_after.unwrap_or(after_backoff))
     }
 
-    /// Nothing came of it: no connection, no whole answer, none in its time.
+    /// The attempt has failed: no connection, no complete answer, or none in time. Returns the time of the next.
     pub fn failed(&mut self, now: Duration) -> Duration {
-        self.fail(now)
-    }
-
-    /// The longest steady gap.
-    fn stretched(&self) -> Duration {
-        self.terms.lapse.mul_f64(OF_LAPSE).max(self.terms.interval)
-    }
-
-    fn fail(&mut self, now: Duration) -> Duration {
-        let failed = match self.state {
-            PacerState::BackingOff(times) => times.saturating_add(1),
+        let failures = match self.state {
+            PacerState::BackingOff(failures) => failures.saturating_add(1),
             PacerState::Waiting | PacerState::Steady => 1,
         };
-        self.state = PacerState::BackingOff(failed);
-        let grown = FIRST * 2f64.powi(failed.min(16) as i32 - 1);
-        let span = self.terms.interval.mul_f64(grown).min(self.terms.longest);
-        now + span.mul_f64(JITTER + (1.0 - JITTER) * self.unit())
+        self.state = PacerState::BackingOff(failures);
+        let growth = INITIAL_BACKOFF * 2f64.powi(failures.min(MAX_BACKOFF_DOUBLINGS) as i32 - 1);
+        let backoff = self.terms.interval.mul_f64(growth).min(self.terms.longest);
+        now + backoff.mul_f64(MIN_BACKOFF_SHARE + (1.0 - MIN_BACKOFF_SHARE) * self.unit())
+    }
+
+    fn longest_steady_interval(&self) -> Duration {
+        self.terms.lapse.mul_f64(MAX_STRETCH_OF_LAPSE).max(self.terms.interval)
     }
 }
--- a/crates/aldercrank-pacing/src/slow_start.rs
+++ b/crates/aldercrank-pacing/src/slow_start.rs
@@ -1,31 +1,41 @@
-//! How far a start has come: by what comes back, and not by the clock alone. The settings promise how fast a cold worker
-//! pool gets warm; one that takes longer, or an index with cold caches below it, is seen here.
+//! Slow start: the share of its load that a server offers while its worker pool warms up.
 //!
-//! `linking` without a worker pool, `warming` until something has been settled, `offering` a share, `full`. The share
-//! grows by a step where what was settled since the last look had headroom under its SLA time, and is cut where some of
-//! it had none or the dependency turned calls away: the design's own law. All transitions stand in `to`.
+//! The share follows the runs and not the clock alone, since a pool or a dependency with cold caches can take longer to
+//! warm up than the settings state. It grows by a step where the runs since the last evaluation had headroom below
+//! their latency targets, and is cut where one had none or the dependency rejected a call.
+//!
+//! ```text
+//! Linking --pool is cold--> SlowStart --first runs--> Offering --share reaches 1--> Full
+//!    \-----pool is warm------------------------------------------------------------->/
+//! ```
 
 use std::time::Duration;
 
-/// Added to the share at a look with headroom.
-const STEP: f64 = 0.1;
-/// What the share is cut to, of itself.
-const CUT: f64 = 0.7;
-/// Up to this many SLA times a run has headroom.
-const HEADROOM: f64 = 0.8;
-/// So many times the span that the settings promise, a server counts as whole whatever comes back: a product that is
-/// slow by its nature must not make it a part for ever.
-const PATIENCE: f64 = 4.0;
-
+/// Added to the share at an evaluation with headroom.
+const SHARE_STEP: f64 = 0.1;
+/// Factor of the share at a cut.
+const SHARE_CUT_FACTOR: f64 = 0.7;
+/// Runs up to this many latency targets have headroom.
+const HEADROOM_RATIO: f64 = 0.8;
+/// Slow start ends after this many times the promised warm-up time whatever the runs show: a class that is slow by its
+/// nature must not limit the server for ever.
+const MAX_WARM_UP_RATIO: f64 = 4.0;
+
+/// How far the start of a server has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
+    /// No worker pool yet.
     Linking,
+    /// A cold worker pool, and no run since.
     SlowStart,
+    /// A share of the load that follows the runs.
     Offering,
+    /// The whole load.
     Full,
 }
 
 impl Phase {
+    /// The name in logs and in the status.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Linking => "linking",
@@ -39,19 +49,24 @@
 /// Why the share is what it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlowStartReason {
+    /// There is no worker pool yet.
     NoPool,
+    /// No run has ended since the pool came up.
     NothingSettled,
+    /// Runs had headroom below their latency targets.
     Headroom,
-    /// Something took longer than its SLA time allows for.
+    /// A run had no headroom, or missed its latency target.
     Slow,
-    /// What lies below has turned a call away, or not answered it.
+    /// The dependency has rejected a call, or not answered it.
     Refused,
+    /// The pool was warm from the start.
     Warm,
-    /// It has waited for as long as it may.
+    /// The longest time for a slow start has passed.
     LongEnough,
 }
 
 impl SlowStartReason {
+    /// The text in logs and in the status.
     pub fn name(self) -> &'static str {
         match self {
             SlowStartReason::NoPool => "no worker pool yet",
@@ -65,106 +80,116 @@
     }
 }
 
-/// What warming goes by.
+/// Parameters of a slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartConfig {
-    /// The least speed that a cold pool is promised to have, as a share of a warm one's.
+    /// The least speed of a cold pool, as a share of a warm one's; the share starts there.
     pub least: f64,
-    /// After this the settings promise a warm one.
+    /// Time after which the settings state that the pool is warm.
     pub promised: Duration,
-    /// Between two looks.
+    /// Time between two evaluations.
     pub look: Duration,
 }
 
-/// What a look came to.
+/// Phase and share, with the reason for them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartStatus {
+    /// How far the start has come.
     pub phase: Phase,
+    /// Share of the load to offer, from 0 to 1.
     pub share: f64,
+    /// Why the share is what it is.
     pub why: SlowStartReason,
 }
 
+/// The slow start of one server.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    terms: SlowStartConfig,
-    phase: Phase,
-    share: f64,
-    why: SlowStartReason,
-    since: Duration,
-    looked: Duration,
-    /// Since the last look: the slowest that was settled, in SLA times, and whether calls were turned away.
-    slowest: Option<f64>,
-    refused: bool,
+    config: SlowStartConfig,
+    status: SlowStartStatus,
+    pool_up_at: Duration,
+    evaluated_at: Duration,
+    /// The slowest run since the last evaluation, in latency targets.
+    slowest_run: Option<f64>,
+    /// The dependency has rejected a call since the last evaluation.
+    call_rejected: bool,
 }
 
 impl SlowStart {
-    pub fn linking(terms: SlowStartConfig) -> SlowStart {
-        let least = terms.least.clamp(STEP / 2.0, 1.0);
+    /// Starts without a worker pool.
+    pub fn linking(config: SlowStartConfig) -> SlowStart {
+        let least = config.least.clamp(SHARE_STEP / 2.0, 1.0);
         SlowStart {
-            terms: SlowStartConfig { least, ..terms },
-            phase: Phase::Linking,
-            share: 0.0,
-            why: SlowStartReason::NoPool,
-            since: Duration::ZERO,
-            looked: Duration::ZERO,
-            slowest: None,
-            refused: false,
+            config: SlowStartConfig { least, ..config },
+            status: SlowStartStatus { phase: Phase::Linking, share: 0.0, why: SlowStartReason::NoPool },
+            pool_up_at: Duration::ZERO,
+            evaluated_at: Duration::ZERO,
+            slowest_run: None,
+            call_rejected: false,
         }
     }
 
+    /// The present phase and share.
     pub fn now(&self) -> SlowStartStatus {
-        SlowStartStatus { phase: self.phase, share: self.share, why: self.why }
+        self.status
     }
 
-    fn to(&mut self, phase: Phase, share: f64, why: SlowStartReason) {
-        (self.phase, self.share, self.why) = (phase, share, why);
-    }
-
-    /// The worker pool is up: the first one, or another than before.
+    /// The worker pool has come up, the first one or a new one. A new pool begins a new slow start.
     pub fn bound(&mut self, now: Duration, cold: bool) -> SlowStartStatus {
-        (self.since, self.looked) = (now, now);
-        (self.slowest, self.refused) = (None, false);
-        match cold {
-            true => self.to(Phase::SlowStart, self.terms.least, SlowStartReason::NothingSettled),
-            false => self.to(Phase::Full, 1.0, SlowStartReason::Warm),
+        (self.pool_up_at, self.evaluated_at) = (now, now);
+        (self.slowest_run, self.call_rejected) = (None, false);
+        if cold {
+            self.set_status(Phase::SlowStart, self.config.least, SlowStartReason::NothingSettled);
+        } else {
+            self.set_status(Phase::Full, 1.0, SlowStartReason::Warm);
         }
-        self.now()
+        self.status
     }
 
-    /// A run has come back so many SLA times after it was started, its calls counted in.
-    pub fn completed(&mut self, sla_times: f64) {
-        self.slowest = Some(self.slowest.map_or(sla_times, |slowest| slowest.max(sla_times)));
+    /// A run has ended. `latency_ratio`: its time in latency targets, upstream calls included.
+    pub fn completed(&mut self, latency_ratio: f64) {
+        self.slowest_run = Some(self.slowest_run.map_or(latency_ratio, |slowest| slowest.max(latency_ratio)));
     }
 
-    /// What lies below has turned a call away, or has not answered it.
+    /// The dependency has rejected a call, or not answered it.
     pub fn rejected(&mut self) {
-        self.refused = true;
+        self.call_rejected = true;
     }
 
-    /// Time has passed. Something, where a look was due and brought a change.
+    /// Evaluates the runs where an evaluation is due. Returns the status if it has changed.
     pub fn at(&mut self, now: Duration) -> Option<SlowStartStatus> {
-        let growing = matches!(self.phase, Phase::SlowStart | Phase::Offering);
-        if !growing || now < self.looked + self.terms.look {
+        let is_limited = matches!(self.status.phase, Phase::SlowStart | Phase::Offering);
+        if !is_limited || now < self.evaluated_at + self.config.look {
             return None;
         }
-        self.looked = now;
-        let before = self.now();
-        let (slowest, refused) = (self.slowest.take(), std::mem::take(&mut self.refused));
-        let cut = (self.share * CUT).max(self.terms.least);
-        let grown = (self.share + STEP).min(1.0);
-        match slowest {
-            _ if now >= self.since + self.terms.promised.mul_f64(PATIENCE) => {
-                self.to(Phase::Full, 1.0, SlowStartReason::LongEnough)
-            }
-            _ if refused => self.to(self.phase, cut, SlowStartReason::Refused),
-            Some(slowest) if slowest > 1.0 => self.to(Phase::Offering, cut, SlowStartReason::Slow),
-            Some(slowest) if slowest > HEADROOM => {
-                self.to(Phase::Offering, self.share, SlowStartReason::Slow)
+        self.evaluated_at = now;
+        let before = self.status;
+        self.evaluate(now);
+        Some(self.status).filter(|status| *status != before)
+    }
+
+    fn evaluate(&mut self, now: Duration) {
+        let (slowest_run, call_rejected) = (self.slowest_run.take(), std::mem::take(&mut self.call_rejected));
+        let cut = (self.status.share * SHARE_CUT_FACTOR).max(self.config.least);
+        let grown = (self.status.share + SHARE_STEP).min(1.0);
+        if now >= self.pool_up_at + self.config.promised.mul_f64(MAX_WARM_UP_RATIO) {
+            self.set_status(Phase::Full, 1.0, SlowStartReason::LongEnough);
+        } else if call_rejected {
+            self.set_status(self.status.phase, cut, SlowStartReason::Refused);
+        } else if let Some(slowest) = slowest_run {
+            if slowest > 1.0 {
+                self.set_status(Phase::Offering, cut, SlowStartReason::Slow);
+            } else if slowest > HEADROOM_RATIO {
+                self.set_status(Phase::Offering, self.status.share, SlowStartReason::Slow);
+            } else if grown >= 1.0 {
+                self.set_status(Phase::Full, 1.0, SlowStartReason::Headroom);
+            } else {
+                self.set_status(Phase::Offering, grown, SlowStartReason::Headroom);
             }
-            Some(_) if grown >= 1.0 => self.to(Phase::Full, 1.0, SlowStartReason::Headroom),
-            Some(_) => self.to(Phase::Offering, grown, SlowStartReason::Headroom),
-            None => {}
         }
-        Some(self.now()).filter(|now| *now != before)
+    }
+
+    fn set_status(&mut self, phase: Phase, share: f64, why: SlowStartReason) {
+        self.status = SlowStartStatus { phase, share, why };
     }
 }
