--- a/tests/suite/golden.rs
+++ b/tests/suite/golden.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Writes down what the module asks for, under the names of the simulator's protocol, and what can happen next.
+/// Records the actions of admission control under the names of the simulator's protocol, and what can happen next.
 #[derive(Default)]
 struct Recorder {
     text: String,
