--- a/crates/aldercrank-testbench/src/cost_plot.rs
+++ b/crates/aldercrank-testbench/src/cost_plot.rs
@@ -15,6 +15,8 @@
 
 /// What grew, and the time on a core in microseconds.
 type Point = (f64, f64);
+/// How far a case has grown in one of the sizes.
+type SizeOf = fn(&CostCase) -> usize;
 type Panel<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
 /// The line of one build in a panel.
@@ -39,7 +41,7 @@
 }
 
 /// The points of the cases in which this size grows.
-fn points(rows: &[(CostCase, RequestCost)], size: fn(&CostCase) -> usize) -> Vec<Point> {
+fn points(rows: &[(CostCase, RequestCost)], size: SizeOf) -> Vec<Point> {
     let grown = rows.iter().filter(|(case, _)| size(case) > 0 && case.requests == GROWTH_REQUESTS);
     grown.map(|(case, cost)| (size(case) as f64, cost.cpu_time.as_nanos() as f64 / 1e3)).collect()
 }
@@ -58,7 +60,7 @@
     rows: &[(CostCase, RequestCost)],
     earlier: &[(CostCase, RequestCost)],
 ) -> Result<(), Box<dyn Error>> {
-    let sizes: [(&str, fn(&CostCase) -> usize); 3] = [
+    let sizes: [(&str, SizeOf); 3] = [
         ("requests in flight", |case| case.queued),
         ("connections", |case| case.idle_connections),
         ("dedup entries", |case| case.dedup_entries),
