--- a/crates/aldercrank-testbench/tests/suite/cost_budget.rs
+++ b/crates/aldercrank-testbench/tests/suite/cost_budget.rs
@@ -9,16 +9,16 @@
 }
 
 #[test]
-fn what_is_dearer_is_named_with_both_counts_and_what_is_not_passes() {
+fn costs_over_budget_are_named_with_both_counts() {
     assert!(over(&budget(1.0), &budget(1.0)).is_empty());
     assert!(over(&budget(1.0), &budget(0.5)).is_empty());
     let mut dearer = budget(0.5);
     dearer.insert("rejected".into(), Counts::from([("system calls".to_string(), 1.5)]));
-    assert_eq!(over(&budget(0.5), &dearer), ["rejected: system calls 1.5 a txn, 0.5 before"]);
+    assert_eq!(over(&budget(0.5), &dearer), ["rejected: system calls 1.5 a request, 0.5 before"]);
 }
 
 #[test]
-fn a_budget_written_too_high_does_not_lift_the_bounds_nor_does_a_case_left_out() {
+fn fixed_bounds_hold_whatever_the_budget_says() {
     let high = over(&budget(9.0), &budget(9.0));
     assert_eq!(high.len(), BOUNDS.len());
     let mut fewer = budget(0.5);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_budget_that_makes_no_sense_is_named() {
+fn a_malformed_budget_is_an_error_that_names_the_fault() {
     assert!(read("[]").is_err_and(|why| why.contains("no map") || why.contains("not a map")));
     assert!(read("{\"a\": {\"b\": \"c\"}}").is_err_and(|why| why.contains("a: b is no number")));
     assert_eq!(read("{\"a\": {\"b\": 2}}").unwrap()["a"]["b"], 2.0);
--- a/crates/aldercrank-testbench/tests/suite/fleet.rs
+++ b/crates/aldercrank-testbench/tests/suite/fleet.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_repeat_of_a_buy_that_is_stopped_cut_off_or_killed_runs_once_on_each_life() {
+fn a_retried_keyed_request_runs_once_on_each_incarnation_when_its_server_is_paused_partitioned_or_killed() {
     // Callers that ask again whatever happened: the server holds its own life's part, they have to heed the rest.
     let again = "callers again=#true\nat 0.8 \"stop\" server=\"n1\" for=1\n\
         at 1 \"cut\" server=\"n2\" with=\"edges\" way=\"from\" for=1\nat 1.2 \"kill\" server=\"n3\" for=0.3\n";
@@ -41,14 +41,14 @@
 }
 
 #[test]
-fn a_server_stopped_with_answers_half_written_goes_on_where_it_was() {
+fn a_server_paused_with_half_written_responses_resumes_where_it_was() {
     let steps = "at 1 \"trickle\" server=\"n1\" with=\"edges\" way=\"from\" rate=3000 for=1.5\n\
         at 1.2 \"stop\" server=\"n1\" for=0.8\nat 1 \"unread\" server=\"n2\" with=\"edges\" for=1\n";
     plays("half-written", steps);
 }
 
 #[test]
-fn a_server_is_back_under_its_name_while_edge_nodes_still_have_the_old_connection() {
+fn a_restarted_server_serves_while_edge_nodes_still_have_the_old_connection() {
     let steps = "at 0.8 \"cut\" server=\"n1\" with=\"edges\" way=\"from\" for=1.5\n\
         at 1 \"kill\" server=\"n1\" for=0.1\nat 1.6 \"kill\" server=\"n1\" for=0.1\n";
     let outcome = plays("old-connection", steps);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_old_list_and_a_wrong_one_cost_tries_and_no_txn() {
+fn a_stale_and_a_wrong_endpoint_list_cost_attempts_and_lose_no_request() {
     let steps = "seconds 6\nlist lag-ms=300\nat 0.5 \"list-wrong\" for=2\nat 2.5 \"list-old\" by=10 for=3\n\
         at 3 \"kill\" server=\"n1\" for=2\n";
     let outcome = plays("old-list", steps);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_start_that_fails_and_a_configuration_that_is_bad_leave_the_others_alone() {
+fn a_failed_start_and_a_malformed_configuration_do_not_affect_other_servers() {
     let steps = "at 0.5 \"bad-config\" server=\"n1\"\nat 1 \"bad-start\" server=\"n2\" for=1\n";
     let outcome = plays("bad-start", steps);
     assert_eq!(outcome["starts"], 6, "four, the one that fails, the one after it");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn pools_and_the_index_go_and_come_and_no_rule_is_broken() {
+fn restarts_of_worker_pools_and_the_index_break_no_rule() {
     let steps = "at 0.6 \"pool-gone\" share=0.5 for=0.5\nat 1.4 \"index\" state=\"dead\" for=0.5\n\
         at 2 \"index\" state=\"hung\" for=0.5\nat 2.6 \"err\" share=0.5 share-of-runs=0.8 for=0.6\n\
         at 0.5 \"delay\" with=\"pool\" ms=15 jitter=1 for=3\n";
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_server_that_ignores_the_notice_to_leave_is_named_and_ended() {
+fn a_server_that_ignores_sigterm_is_reported_and_killed() {
     let script = dir("deaf").join("deaf");
     // The shell is told to leave and does not; the program below it ends with the shell.
     let text = format!("#!/bin/sh\ntrap '' TERM\n{LAB} hold $$ {} \"$@\"\n", program().display());
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn what_cannot_be_played_is_refused_before_anything_starts() {
+fn a_scenario_that_cannot_be_played_is_rejected_before_anything_starts() {
     let said = |name: &str, text: &str, program: &Path| {
         let output = command(name, text, program, &[]).output().unwrap();
         let _ = std::fs::remove_dir_all(dir(name));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_rig_without_descriptors_says_so_and_leaves_nothing() {
+fn a_test_cluster_without_descriptors_reports_it_and_leaves_no_process() {
     let lab = command("descriptors", FLEET, &program(), &[]);
     let words: Vec<String> = std::iter::once(lab.get_program())
         .chain(lab.get_args())
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn nothing_is_left_running_when_the_rig_is_killed() {
+fn no_process_is_left_when_the_test_cluster_is_killed() {
     let keep = dir("killed").join("run").to_string_lossy().into_owned();
     let text = format!("{FLEET}at 0.3 \"stop\" server=\"n2\" for=3\n");
     let mut rig =
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn one_txn_is_followed_through_a_kept_run() {
+fn one_request_is_traced_through_a_kept_run() {
     let keep = dir("kept-run");
     let output = fleet("kept", FLEET, &["--json", "--keep", &keep.to_string_lossy()]);
     assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
--- a/crates/aldercrank-testbench/tests/suite/golden_command_line.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_command_line.rs
@@ -51,12 +51,12 @@
         assert_eq!(run(line, "--help").0, Some(0), "{line} --help");
     }
     let list: String = ACCEPTED.iter().map(|line| format!("{line}\n")).collect();
-    compare::check("command-line/testbench-accepts.txt", &list);
+    compare::check("command-line/laboratory-accepts.txt", &list);
 }
 
 /// The way of asking above tells a flag that is not known from one that is.
 #[test]
-fn a_flag_or_subcommand_that_is_not_known_is_not_accepted() {
+fn an_unknown_flag_or_subcommand_is_rejected() {
     for line in
         ["laod", "load --rates 5", "cost --progam FILE", "check --lon live", "fleet --sed 5 S", "coldstarts"]
     {
@@ -67,8 +67,14 @@
 }
 
 #[test]
-fn a_check_that_is_not_known_is_an_error_of_its_own() {
+fn an_unknown_check_is_an_error_of_its_own() {
     let (code, said) = run("check", "no-such-check");
     assert_eq!(code, Some(2), "{said}");
     assert!(said.contains("no-such-check"), "{said}");
 }
+
+#[test]
+fn the_earlier_name_of_the_program_is_still_accepted() {
+    let output = Command::new(env!("CARGO_BIN_EXE_aldercrank-lab")).arg("--help").output().unwrap();
+    assert_eq!(output.status.code(), Some(0));
+}
--- a/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_configuration_that_the_fleet_writes_is_read_as_recorded() {
+fn the_configuration_that_the_test_cluster_writes_is_read_as_recorded() {
     let scenario = Scenario::parse(SCENARIO).unwrap();
     let place = |port: u16| ([127, 0, 0, 1], port).into();
     let places = Places { listen: place(7001), pool: place(9300), index: place(8900), list: place(8761) };
--- a/crates/aldercrank-testbench/tests/suite/rules.rs
+++ b/crates/aldercrank-testbench/tests/suite/rules.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn half_of_the_fleet_is_replaced_while_a_version_is_held_and_not_in_force() {
+fn half_of_the_servers_are_replaced_while_a_version_is_proposed() {
     // One stands stopped and does not say whether it holds it, so the version waits for its time.
     let steps = "at 2 \"stop\" server=\"n6\" for=1.5\nat 2.1 \"rules\" set=\"licence-buy.window-ms=5000\"\n\
         at 2.15 \"kill\" server=\"n4\" for=0.3\nat 2.15 \"kill\" server=\"n5\" for=0.3\n\
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_is_no_book_is_named_and_the_last_one_stands() {
+fn a_malformed_version_is_reported_and_the_last_one_stays_committed() {
     let steps = "at 1 \"rules-broken\" kind=\"cut\"\nat 2.3 \"rules-broken\" kind=\"long\"\n\
         at 3.6 \"rules-broken\" kind=\"field\"\nat 4.9 \"rules-broken\" kind=\"later\"\n\
         at 6 \"rules-old\"\nat 6.3 \"rules\" set=\"licence-buy.points=6\"\n";
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_buy_read_and_not_started_is_given_up_by_a_server_that_was_stopped_for_longer_than_its_lease() {
+fn a_queued_keyed_request_is_rejected_by_a_server_paused_for_longer_than_its_lease() {
     // Few cores and slow runs: txns are held when it is stopped. Versions change their window meanwhile.
     let steps = "fleet cores=1 memory-kb=60000\nproduct \"licence-buy\" share=0.6 work-ms=60 sla-ms=1800 expiry-ms=4000\n\
         callers rate=90 again=#true\nat 1 \"rules\" set=\"licence-buy.window-ms=5000|licence-buy.window-ms=6000\" every=0.8 for=7\n\
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_new_configuration_and_a_new_version_at_one_moment_do_not_disturb_each_other() {
+fn a_reload_and_a_new_version_at_the_same_time_do_not_interfere() {
     let steps = "at 2 \"rules\" set=\"licence-buy.window-ms=5000\"\nat 2 \"bad-config\"\n\
         at 2.005 \"bad-config\" server=\"n1\"\nat 4 \"rules\" set=\"licence-buy.points=4\"\n";
     let outcome = plays("sighup", steps);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_committee_cut_in_two_and_members_that_trickle_or_garble_never_break_the_promise() {
+fn a_partitioned_committee_and_slow_or_corrupting_members_break_no_rule() {
     let steps =
         "at 1 \"rules\" set=\"licence-buy.window-ms=5000|licence-buy.window-ms=6000\" every=0.5 for=7\n\
         at 2 \"cut\" server=\"n1\" with=\"peers\" way=\"from\" for=1.5\n\
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_scenario_that_names_versions_without_a_book_is_refused_before_anything_starts() {
+fn a_scenario_that_publishes_versions_without_a_configuration_is_rejected_before_anything_starts() {
     let output = fleet("no-rules", "seconds 4\nat 1 \"rules\" set=\"licence-buy.points=6\"\n", &[]);
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("there is no rule book"));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn operators_check_propose_withdraw_and_see_what_holds_a_version_up() {
+fn operators_check_propose_withdraw_and_see_what_blocks_a_version() {
     let keep = dir("operators");
     let scenario = keep.join("scenario.kdl");
     std::fs::write(&scenario, format!("{BASE}seconds 60\ncallers rate=50\nstart tell-share=#true\n"))
--- a/crates/aldercrank-testbench/tests/suite/start.rs
+++ b/crates/aldercrank-testbench/tests/suite/start.rs
@@ -20,21 +20,21 @@
 }
 
 #[test]
-fn a_fleet_of_one_pauses_for_nobody() {
+fn a_single_server_starts_without_spreading_its_first_report() {
     let outcome = starts("one", "fleet servers=1 zones=1\ncallers rate=10\nlist lag-ms=0 learn-ms=50\n");
     assert!(listed(&outcome) < 0.5, "{}", listed(&outcome));
     assert!(number(&outcome, "value") > 0.9, "{}", outcome["value"]);
 }
 
 #[test]
-fn an_index_that_turns_every_call_away_at_first_costs_answers_and_no_rule() {
+fn an_index_that_rejects_all_calls_at_first_breaks_no_rule() {
     let outcome = starts("shedding", "at 0 \"index\" state=\"shedding\" for=2.5\n");
     assert!(number(&outcome, "steady_s") <= 4.0, "{}", outcome["steady_s"]);
     assert_eq!(outcome["index_collapses"], 0);
 }
 
 #[test]
-fn once_only_work_alone_at_first_is_run_once_and_the_start_goes_on() {
+fn unsafe_requests_alone_at_first_run_once_and_the_start_proceeds() {
     let steps =
         "product \"map-extract\" share=0\nproduct \"licence-buy\" effect=\"once-only\" share=1 calls=0.5\n\
         at 0 \"index-cold\"\n";
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn pools_that_come_up_die_and_come_up_again_are_followed() {
+fn worker_pools_that_restart_during_a_start_are_followed() {
     let steps = "at 0 \"pool-late\" share=0.5 by=0.8\nat 1.2 \"pool-gone\" share=0.5 for=0.4\n\
         at 2.2 \"pool-gone\" share=0.5 for=0.4\n";
     let outcome = starts("pools", steps);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn told_to_leave_in_each_state_of_a_start_a_server_ends_cleanly_and_starts_again() {
+fn a_server_drained_in_each_state_of_a_start_ends_cleanly_and_starts_again() {
     // Before its pool is up, as it is listed, and while it serves; each is told once more when it is back.
     let steps = "at 0 \"pool-late\" server=\"n1\" by=3\nat 0.3 \"leave\" server=\"n1\"\n\
         at 0.02 \"leave\" server=\"n2\"\nat 0.5 \"leave\" server=\"n3\"\nat 1.5 \"leave\" server=\"n4\"\n\
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_list_service_that_takes_reports_and_says_nothing_keeps_nobody_from_serving() {
+fn a_membership_service_that_never_responds_keeps_no_server_from_serving() {
     let outcome = starts("silent", "at 0 \"list\" state=\"silent\" for=2.5\n");
     let reports = outcome["list"]["connections"].as_f64().unwrap();
     // Ten servers in seven seconds: one outstanding each, backing off while nothing is said.
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_configuration_that_makes_no_sense_in_mid_start_changes_nothing() {
+fn a_malformed_configuration_during_a_start_changes_nothing() {
     let outcome = starts("sighup", "at 0.3 \"bad-config\" share=0.5\nat 0.6 \"bad-config\"\n");
     assert!(listed(&outcome) < 2.5 && number(&outcome, "value") > 0.7, "{outcome}");
 }
@@ -78,7 +78,7 @@
 const LATE_WARM: &str = "fleet cores=2 warm-ms=1500 warms-times=5\ncallers rate=220\nat 0 \"index-cold\"\n";
 
 #[test]
-fn a_server_whose_pool_warms_later_than_promised_says_how_far_it_has_come() {
+fn a_server_whose_pool_warms_up_late_reports_its_progress() {
     let steps = format!("{LATE_WARM}start tell-share=#true\n");
     let outcome = starts("late-warm", &steps);
     let parts = outcome["list"]["parts"].as_u64().unwrap();
@@ -91,14 +91,14 @@
 }
 
 #[test]
-fn one_server_of_ten_that_is_up_alone_for_seconds_stays_within_its_limits() {
+fn the_first_of_ten_servers_stays_within_its_limits_while_it_is_alone() {
     let steps = "callers rate=150\nat 0 \"pool-late\" by=3\nat 0 \"pool-late\" server=\"n1\" by=0.05\n";
     let outcome = starts("alone", steps);
     assert!(listed(&outcome) < 5.5, "{}", listed(&outcome));
 }
 
 #[test]
-fn a_list_service_that_answers_after_the_next_report_is_due_still_lists_everybody_once() {
+fn a_membership_service_slower_than_the_report_interval_lists_each_server_once() {
     let outcome =
         starts("late-answers", "at 0 \"delay\" with=\"list\" way=\"to\" ms=1400 jitter=0.1 for=6\n");
     assert!(listed(&outcome) < 3.0, "{}", listed(&outcome));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn servers_stopped_while_they_wait_for_their_next_try_go_on_at_their_own_moments() {
+fn servers_paused_in_backoff_resume_at_spread_times() {
     let steps = "at 0 \"list\" state=\"closing\" for=3\nat 1 \"stop\" share=0.5 for=1.5\n";
     let outcome = starts("stopped", steps);
     assert!(listed(&outcome) < 5.5, "{}", listed(&outcome));
@@ -118,7 +118,7 @@
 /// What one server may do alone, thirty together must be able to: of what they share each takes its part, and more
 /// than that only as often as chance brings it about.
 #[test]
-fn thirty_cold_servers_keep_within_what_the_index_and_their_cores_bear() {
+fn thirty_cold_servers_stay_within_the_capacity_of_the_index_and_their_cores() {
     let budget = 24.0_f64;
     let steps = format!(
         "seconds 9\nfleet servers=30 zones=3\ncallers rate=900 edges=6\nlist capacity=45\n\
