--- a/crates/aldercrank-testbench/src/cold_start.rs
+++ b/crates/aldercrank-testbench/src/cold_start.rs
@@ -130,7 +130,7 @@
     (scenario.callers.rate, scenario.span) = (rate, scenario.span.mul_f64(1.5));
     (scenario.index.slots, scenario.index.limit) =
         (scenario.index.slots * times, scenario.index.limit * times);
-    // The rig itself takes a moment for each process: hundreds in one turn would be its own pause.
+    // The test cluster itself takes a moment for each process: hundreds in one turn would delay it.
     for step in scenario.timeline.iter_mut().filter(|s| matches!(s.fault, Fault::Kill | Fault::Leave)) {
         step.each = step.each.max(Duration::from_millis(4));
     }
--- a/crates/aldercrank-testbench/src/request_cost.rs
+++ b/crates/aldercrank-testbench/src/request_cost.rs
@@ -258,12 +258,12 @@
     }
 }
 
-fn smaller(so_far: Option<HeapUse>, round: HeapUse) -> HeapUse {
-    let Some(so_far) = so_far else { return round };
+fn smaller(smallest: Option<HeapUse>, round: HeapUse) -> HeapUse {
+    let Some(smallest) = smallest else { return round };
     HeapUse {
-        allocations: so_far.allocations.min(round.allocations),
-        bytes: so_far.bytes.min(round.bytes),
-        copied: so_far.copied.min(round.copied),
+        allocations: smallest.allocations.min(round.allocations),
+        bytes: smallest.bytes.min(round.bytes),
+        copied: smallest.copied.min(round.copied),
     }
 }
 
--- a/crates/aldercrank-testbench/tests/suite/fleet.rs
+++ b/crates/aldercrank-testbench/tests/suite/cluster.rs
@@ -1,14 +1,13 @@
-//! Several processes of the program with faults between them: the cases that are hard, each as a small scenario; and
-//! the rig itself, when it is refused, killed, or meets a program that does not behave.
+//! Several server processes with faults between them, each case as a small scenario; and
+//! the test cluster itself, when it is refused, killed, or meets a program that does not behave.
 
+use crate::common::{command, dir, fleet, program, unbroken, LAB};
 use serde_json::Value;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use crate::common::{command, dir, fleet, program, unbroken, LAB};
-
 const FLEET: &str = "seconds 4\nfleet servers=4 zones=2 cores=4\ncallers rate=80 edges=3\n";
 
 /// Plays it; no rule may be broken. Gives its outcome.
@@ -97,21 +96,21 @@
 
 #[test]
 fn a_scenario_that_cannot_be_played_is_rejected_before_anything_starts() {
-    let said = |name: &str, text: &str, program: &Path| {
+    let output_text = |name: &str, text: &str, program: &Path| {
         let output = command(name, text, program, &[]).output().unwrap();
         let _ = std::fs::remove_dir_all(dir(name));
         assert_eq!(output.status.code(), Some(2));
         String::from_utf8_lossy(&output.stderr).into_owned()
     };
     let program = program();
-    let faults = said("faults", "fleet servers=0\nat 1 \"kil\"\n", &program);
+    let faults = output_text("faults", "fleet servers=0\nat 1 \"kil\"\n", &program);
     assert!(faults.contains("scenario.kdl:1:7: servers takes a number"), "{faults}");
     assert!(faults.contains("scenario.kdl:2:6: kil is not known; did you mean kill?"), "{faults}");
-    let absent = said("absent", "include \"nothing.kdl\"\n", &program);
+    let absent = output_text("absent", "include \"nothing.kdl\"\n", &program);
     assert!(absent.contains("nothing.kdl: No such file"), "{absent}");
-    let round = said("round", "include \"scenario.kdl\"\n", &program);
+    let round = output_text("round", "include \"scenario.kdl\"\n", &program);
     assert!(round.contains("more than 8 deep"), "{round}");
-    let none = said("none", FLEET, Path::new("/nowhere/aldercrank"));
+    let none = output_text("none", FLEET, Path::new("/nowhere/aldercrank"));
     assert!(none.contains("no such program"), "{none}");
 }
 
@@ -125,16 +124,16 @@
     let script = format!("ulimit -n 64; exec {}", words.join(" "));
     let output = Command::new("/bin/sh").arg("-c").arg(script).output().unwrap();
     let _ = std::fs::remove_dir_all(dir("descriptors"));
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains("descriptors, and 64 are allowed"), "{said}");
+    let output_text = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(2), "{output_text}");
+    assert!(output_text.contains("descriptors, and 64 are allowed"), "{output_text}");
 }
 
 #[test]
 fn no_process_is_left_when_the_test_cluster_is_killed() {
     let keep = dir("killed").join("run").to_string_lossy().into_owned();
     let text = format!("{FLEET}at 0.3 \"stop\" server=\"n2\" for=3\n");
-    let mut rig =
+    let mut cluster =
         command("killed", &text, &program(), &["--keep", &keep]).stderr(Stdio::null()).spawn().unwrap();
     let until = Instant::now() + Duration::from_secs(20);
     let servers = || running(&format!("{keep}/n"));
@@ -143,8 +142,8 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     std::thread::sleep(Duration::from_millis(2000));
-    rig.kill().unwrap();
-    rig.wait().unwrap();
+    cluster.kill().unwrap();
+    cluster.wait().unwrap();
     let until = Instant::now() + Duration::from_secs(5);
     while servers() > 0 {
         assert!(Instant::now() < until, "{} servers are left, one of them stopped", servers());
--- a/crates/aldercrank-testbench/tests/suite/start.rs
+++ b/crates/aldercrank-testbench/tests/suite/cold_start.rs
@@ -1,4 +1,4 @@
-//! Starts that are hard, each with several processes that begin in one moment.
+//! Cold starts of several processes at once, under faults.
 
 use crate::common::unbroken;
 use serde_json::Value;
--- a/crates/aldercrank-testbench/tests/suite/common.rs
+++ b/crates/aldercrank-testbench/tests/suite/common.rs
@@ -1,4 +1,4 @@
-//! What the testbench's tests share: the program, a directory of each test's own, a fleet that is played.
+//! What the testbench's tests share: the program, a directory of each test's own, a cluster that is played.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -41,8 +41,8 @@
 /// Plays it to its end; no rule may be broken. Gives its outcome.
 pub fn unbroken(name: &str, text: &str) -> Value {
     let output = fleet(name, text, &["--json"]);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    let all: Value = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{e}: {said}"));
+    let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
+    let all: Value = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{e}: {output_text}"));
     let outcome = all["outcome"].clone();
     assert_eq!(outcome["counts"]["broken"], 0, "{}", outcome["broken"]);
     outcome
--- a/crates/aldercrank-testbench/tests/suite/golden_command_line.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_command_line.rs
@@ -45,9 +45,9 @@
 #[test]
 fn the_recorded_flags_and_subcommands_are_accepted() {
     for line in ACCEPTED {
-        let (code, said) = run(line, UNKNOWN);
-        assert_eq!(code, Some(1), "{line}: {said}");
-        assert!(said.contains(UNKNOWN), "{line}: not accepted: {said}");
+        let (code, output_text) = run(line, UNKNOWN);
+        assert_eq!(code, Some(1), "{line}: {output_text}");
+        assert!(output_text.contains(UNKNOWN), "{line}: not accepted: {output_text}");
         assert_eq!(run(line, "--help").0, Some(0), "{line} --help");
     }
     let list: String = ACCEPTED.iter().map(|line| format!("{line}\n")).collect();
@@ -60,17 +60,17 @@
     for line in
         ["laod", "load --rates 5", "cost --progam FILE", "check --lon live", "fleet --sed 5 S", "coldstarts"]
     {
-        let (code, said) = run(line, UNKNOWN);
-        assert_eq!(code, Some(1), "{line}: {said}");
-        assert!(!said.contains(UNKNOWN), "{line}: {said}");
+        let (code, output_text) = run(line, UNKNOWN);
+        assert_eq!(code, Some(1), "{line}: {output_text}");
+        assert!(!output_text.contains(UNKNOWN), "{line}: {output_text}");
     }
 }
 
 #[test]
 fn an_unknown_check_is_an_error_of_its_own() {
-    let (code, said) = run("check", "no-such-check");
-    assert_eq!(code, Some(2), "{said}");
-    assert!(said.contains("no-such-check"), "{said}");
+    let (code, output_text) = run("check", "no-such-check");
+    assert_eq!(code, Some(2), "{output_text}");
+    assert!(output_text.contains("no-such-check"), "{output_text}");
 }
 
 #[test]
--- a/crates/aldercrank-testbench/tests/suite/known_red.rs
+++ b/crates/aldercrank-testbench/tests/suite/known_red.rs
@@ -94,10 +94,10 @@
         ("many", entry("test red").repeat(4), "3 at most"),
         ("short", "test red\n".to_string(), "what fails | command and seed | what was seen | issue"),
     ];
-    for (name, list, says) in cases {
+    for (name, list, expected) in cases {
         let output = Checkout::with(name, Some(&list)).run_tests();
         assert!(!output.status.success(), "{name}");
-        assert!(printed(&output).contains(says), "{name}: {output:?}");
+        assert!(printed(&output).contains(expected), "{name}: {output:?}");
     }
 }
 
@@ -132,9 +132,9 @@
         ("check-lost", entry("check agree lost"), "could not be run: exit code 2"),
         ("check-alone", entry("check agree green with red"), "hangs on red, which is not listed"),
     ];
-    for (name, list, says) in cases {
+    for (name, list, expected) in cases {
         let output = Checkout::with(name, Some(&list)).run_check();
         assert!(!output.status.success(), "{name}");
-        assert!(printed(&output).contains(says), "{name}: {output:?}");
+        assert!(printed(&output).contains(expected), "{name}: {output:?}");
     }
 }
--- a/crates/aldercrank-testbench/tests/suite/main.rs
+++ b/crates/aldercrank-testbench/tests/suite/main.rs
@@ -9,14 +9,14 @@
     clippy::too_many_lines
 )]
 
+mod cluster;
+mod cold_start;
 mod common;
 mod cost_budget;
-mod fleet;
 mod golden_command_line;
 mod golden_written_config;
 mod known_red;
-mod rules;
-mod start;
+mod versions;
 
 #[path = "../../../../tests/golden/compare.rs"]
 mod compare;
--- a/crates/aldercrank-testbench/tests/suite/rules.rs
+++ b/crates/aldercrank-testbench/tests/suite/versions.rs
@@ -1,4 +1,4 @@
-//! The rule book's hard cases with several processes and faults between them; and what operators do with it.
+//! Versions of the configuration on a cluster of several processes with faults between them, and the operators' commands.
 
 use crate::common::{dir, fleet, program, unbroken, LAB};
 use serde_json::Value;
@@ -10,7 +10,7 @@
     product \"map-extract\" share=0.7 work-ms=10\nproduct \"licence-buy\" share=0.3 work-ms=15\n\
     callers rate=250 edges=4 choose=\"two-choices\"\nlist capacity=800 lag-ms=300\n";
 
-/// Plays it; no rule may be broken, the book's promise among them. Gives its outcome.
+/// Plays it; no rule may be broken, that on conflicting versions among them. Gives its outcome.
 fn plays(name: &str, steps: &str) -> Value {
     let outcome = unbroken(name, &format!("{BASE}{steps}"));
     assert!(outcome["counts"]["completed"].as_u64() > Some(500), "{outcome}");
@@ -46,14 +46,14 @@
     let outcome = &all["outcome"];
     assert_eq!(outcome["counts"]["broken"], 0, "{}", outcome["broken"]);
     assert!(value(outcome) > 0.95, "nobody is the worse for it: {}", value(outcome));
-    let said = std::fs::read_to_string(keep.join("n1.1.log")).unwrap();
-    assert!(said.contains("the list service has a rule book that can't be read"), "{said}");
+    let output_text = std::fs::read_to_string(keep.join("n1.1.log")).unwrap();
+    assert!(output_text.contains("the list service has a rule book that can't be read"), "{output_text}");
     let _ = std::fs::remove_dir_all(keep);
 }
 
 #[test]
 fn a_queued_keyed_request_is_rejected_by_a_server_paused_for_longer_than_its_lease() {
-    // Few cores and slow runs: txns are held when it is stopped. Versions change their window meanwhile.
+    // Few cores and slow runs: requests are held when it is stopped. Versions change their window meanwhile.
     let steps = "fleet cores=1 memory-kb=60000\nproduct \"licence-buy\" share=0.6 work-ms=60 sla-ms=1800 expiry-ms=4000\n\
         callers rate=90 again=#true\nat 1 \"rules\" set=\"licence-buy.window-ms=5000|licence-buy.window-ms=6000\" every=0.8 for=7\n\
         at 2 \"stop\" share=0.4 for=1.8\nat 5 \"stop\" share=0.4 for=1.5\n";
@@ -89,7 +89,7 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("there is no rule book"));
 }
 
-/// A fleet that runs beside a test, and ends with it.
+/// A cluster that runs beside a test and ends with it.
 struct Running(Child);
 
 impl Drop for Running {
@@ -190,11 +190,11 @@
     let after = rules(&["propose", &fifth, "--to", &list, "--at", &at]);
     assert_eq!((after.status.code(), out(&after).trim()), (Some(0), "version 5 is in force"));
     let json: Value = serde_json::from_slice(&rules(&["status", "--json", "--at", &at]).stdout).unwrap();
-    let standing = &json[0]["status"]["committee"]["standing"];
-    assert_eq!((&standing["version"], &standing["last"]), (&5.into(), &5.into()));
+    let committed = &json[0]["status"]["committee"]["standing"];
+    assert_eq!((&committed["version"], &committed["last"]), (&5.into(), &5.into()));
     // Its pool was warm, so its start is over.
     assert_eq!(json[0]["status"]["start"]["phase"], "full", "{}", json[0]["status"]["start"]);
-    // Nobody there, and a server that never heard of rule books.
+    // Nobody listens there, and a server without a versioned configuration.
     assert_eq!(rules(&["status", "--at", "127.0.0.1:1"]).status.code(), Some(2));
     drop(_running);
     let _ = std::fs::remove_dir_all(keep);
--- a/tests/suite/upstream_calls.rs
+++ b/tests/suite/upstream_calls.rs
@@ -198,7 +198,7 @@
 
 /// Calls at four times their best are the sign that the calls of all servers overload the dependency.
 #[test]
-fn calls_far_slower_than_at_best_cut_the_call_window_though_no_target_is_missed() {
+fn calls_much_slower_than_at_best_cut_the_call_window_though_no_target_is_missed() {
     let mut settings = settings_with("family_info.calls_out", 10.0);
     settings.set("profiles.0.goal_time", Value::Num(4e6));
     settings.set("family_info.cores", Value::Num(20.0));
