--- a/crates/aldercrank-consensus/src/follower.rs
+++ b/crates/aldercrank-consensus/src/follower.rs
@@ -1,403 +1,496 @@
-//! A server's side: what it knows of the version in force, until when it may act on it, and whom it asks next.
+//! A lease holder: which committed version a server knows, until when it may use it, and which member it asks next.
 //!
-//! It asks any one member of the committee, the same one while that answers. A lease counts from when the question
-//! was sent: an answer that was long on its way is worth less, and one that comes after its lease is worth nothing.
+//! It asks any one member of the committee, the same one while that responds. A lease counts from the sending of the
+//! request: the longer the response takes, the less of the lease is left, and one that arrives after the end of its
+//! lease grants nothing.
 
+use crate::error::ProposalError;
 use crate::messages::{
-    CommittedState, ConfigVersion, CorrelationId, PeerRequest, PeerResponse, ServerName, VersionId,
-    VersionSummary,
+    CommittedState, ConfigVersion, CorrelationId, Evaluation, PeerRequest, PeerResponse, ServerName,
+    VersionId, VersionSummary,
 };
 use crate::timing::{InjectedFault, Terms};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// After all members were asked in vain, the next round of them comes after so many waits for an answer, doubled
-/// each time, up to the span between two renewals.
-const AGAIN: f64 = 1.0;
-/// How much sooner than at the latest a renewal may come, as a share of the span between two; and the one after news.
-const LOOSE: f64 = 0.1;
-const TOLD: f64 = 0.6;
+pub use FollowerEnvironment as Ports;
 
-/// How much a server may do.
+/// Backoff after the first pass over all members without a lease, as a multiple of the response timeout. It doubles
+/// with every further pass, up to the renewal interval.
+const FIRST_BACKOFF_OF_RESPONSE_TIMEOUT: f64 = 1.0;
+/// Most doublings of the backoff.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+/// Jitter of a renewal, as a fraction of the renewal interval by which it may come earlier.
+const RENEWAL_JITTER: f64 = 0.1;
+/// The same for the first renewal after a notification, which reaches many followers at one moment.
+const JITTER_AFTER_NOTIFICATION: f64 = 0.6;
+
+/// What a server may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PermissionLevel {
-    /// Nothing: it has never known the version in force, or has been out of touch for too long.
+    /// Nothing: it has never known the committed version, or its lease ended too long ago.
     Mute,
-    /// What may run again: it is out of touch, or starts from memory.
+    /// Repeatable requests alone: it has no lease, or has restarted with a version from disk.
     Alone,
-    /// Everything, by the version that it knows.
+    /// Everything that its version allows.
     Full,
 }
 
-/// What a follower does to its server.
-pub trait Ports {
-    /// Asks a member; the answer carries the ticket, or `request_lost` is called with it.
+/// Until when a server may act, on the clock of its follower. `Duration::MAX` is without end.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PermissionBounds {
+    /// End of [`PermissionLevel::Full`]: of the lease.
+    pub full_until: Duration,
+    /// End of [`PermissionLevel::Alone`].
+    pub alone_until: Duration,
+}
+
+/// What a follower needs from the server that it runs in.
+pub trait FollowerEnvironment {
+    /// Sends a request to a member. [`Follower::handle_response`] or [`Follower::request_lost`] follows with the same
+    /// correlation id.
     fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest);
-    /// Reads a text and checks it against its stamp, against the one that it would follow, and against what this
-    /// server can do. `None`: it is not what its stamp says, or can't be read.
+    /// Parses a text and compares it with its version id, with the version before it, and with what this server
+    /// supports. `None` where the text does not match its version id or can't be parsed.
     fn read(
         &mut self,
         version_id: &VersionId,
         text: &str,
         before: Option<&ConfigVersion>,
     ) -> Option<VersionSummary>;
-    /// From here on this is the version that the server goes by. It has stood for so long at least.
-    fn version_committed(&mut self, version: &ConfigVersion, read: &VersionSummary, stood: Duration);
+    /// From now on the server uses this version, which has been committed for `committed_for` at least.
+    fn version_committed(
+        &mut self,
+        version: &ConfigVersion,
+        summary: &VersionSummary,
+        committed_for: Duration,
+    );
+}
+
+/// A committed state as a response reported it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct ReportedState {
+    committed: CommittedState,
+    /// How long its version has been committed at least.
+    committed_for: Duration,
+    /// End of the lease granted with it, if one was.
+    lease_until: Option<Duration>,
 }
 
+/// Why a request was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum What {
+enum Purpose {
     Renew,
-    /// The text of what is in force since the renewal that was sent then, with what it told.
-    Force {
-        committed: CommittedState,
-        until: Option<Duration>,
-        stood: Duration,
-    },
-    /// The text of a draft.
-    Draft(VersionId),
+    /// Text of a committed version that is new to this server.
+    FetchCommitted(ReportedState),
+    /// Text of a proposed version.
+    FetchProposed(VersionId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Out {
+struct OutstandingRequest {
     correlation_id: CorrelationId,
-    to: ServerName,
-    sent: Duration,
-    what: What,
+    sent_at: Duration,
+    purpose: Purpose,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Known {
+struct KnownVersion {
     committed: CommittedState,
     version: ConfigVersion,
-    /// Why this server can't go by it, where it can't.
-    misfit: Option<String>,
+    /// Why this server can't apply it.
+    incompatibility: Option<String>,
+}
+
+/// A proposed version that this server can apply. Its text need not be fetched again once it is committed.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct ReadyProposal {
+    version: ConfigVersion,
+    summary: VersionSummary,
 }
 
-/// The phases, all their transitions in `knows` and `extends`; time alone leads from one to the next lower.
+/// Follower state machine. [`Follower::level`] rises where a version becomes known (`apply`) or a lease is extended
+/// (`extend_lease`); it falls with time alone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Follower {
-    me: ServerName,
-    terms: Terms,
+    name: ServerName,
+    timing: Terms,
     committee: Vec<ServerName>,
-    /// Its place among the committee whom it asks.
-    home: usize,
+    /// Index in `committee` of the member to ask.
+    current_member: usize,
     next_correlation_id: u64,
-    out: Option<Out>,
-    known: Option<Known>,
-    /// The end of its lease.
-    until: Duration,
-    /// Since when it has had none, at the latest; for what may run again.
-    touched: Option<Duration>,
-    due: Duration,
-    /// News have come, to others as well.
-    response: bool,
-    /// Members asked in vain, one after another.
-    vain: u32,
-    weighed: Option<(VersionId, Result<(), String>)>,
-    /// A draft whose text did not come: it is not asked for again before the next renewal is due.
-    put_off: Option<VersionId>,
-    /// The draft that it could go by: it need not be fetched again once it is in force.
-    held: Option<(ConfigVersion, VersionSummary)>,
-    /// What the last look at the clock came to, for one mistake.
-    looked: PermissionLevel,
+    outstanding: Option<OutstandingRequest>,
+    known: Option<KnownVersion>,
+    lease_until: Duration,
+    /// End of the last lease, or the restart from disk: repeatable requests go on for a limited time after it.
+    isolated_since: Option<Duration>,
+    renewal_due: Duration,
+    /// A notification has come since the last renewal.
+    notified: bool,
+    /// Members asked in a row without a lease.
+    failed_attempts: u32,
+    evaluation: Option<Evaluation>,
+    /// A proposed version whose text did not come. It is not fetched again before the next renewal is due.
+    fetch_deferred: Option<VersionId>,
+    ready_proposal: Option<ReadyProposal>,
+    /// Level at the last evaluation, for [`InjectedFault::StaleLevelAfterPause`].
+    last_level: PermissionLevel,
 }
 
 impl Follower {
-    /// `committee` as the service file names it. `spread` is a number of this server's own, so that servers do not
-    /// all ask the same member.
-    pub fn new(me: ServerName, committee: Vec<ServerName>, spread: u64, terms: Terms) -> Follower {
-        let home = (spread % committee.len().max(1) as u64) as usize;
+    /// A follower without a known version. `committee` is the initial one. `spread` differs between servers, so that
+    /// they do not all begin with the same member.
+    pub fn new(name: ServerName, committee: Vec<ServerName>, spread: u64, timing: Terms) -> Follower {
+        let current_member = (spread % committee.len().max(1) as u64) as usize;
         Follower {
-            me,
-            terms,
+            name,
+            timing,
             committee,
-            home,
+            current_member,
             next_correlation_id: 1,
-            out: None,
+            outstanding: None,
             known: None,
-            until: Duration::ZERO,
-            touched: None,
-            due: Duration::ZERO,
-            response: true,
-            vain: 0,
-            weighed: None,
-            put_off: None,
-            held: None,
-            looked: PermissionLevel::Mute,
+            lease_until: Duration::ZERO,
+            isolated_since: None,
+            renewal_due: Duration::ZERO,
+            notified: true,
+            failed_attempts: 0,
+            evaluation: None,
+            fetch_deferred: None,
+            ready_proposal: None,
+            last_level: PermissionLevel::Mute,
         }
     }
 
-    /// A version remembered from an earlier life: good for what may run again, and not to be asked for anew.
+    /// Restores the version that an earlier incarnation stored. It allows repeatable requests without a lease, and its
+    /// text need not be fetched. Called once, before anything else; without effect where the text can't be parsed.
     pub fn restore(
         &mut self,
         now: Duration,
         committed: CommittedState,
         version: ConfigVersion,
-        ports: &mut impl Ports,
+        environment: &mut impl FollowerEnvironment,
     ) {
-        let Some(read) = ports.read(&version.version_id, &version.text, None) else { return };
+        let Some(summary) = environment.read(&version.version_id, &version.text, None) else { return };
         if version.version_id == committed.book {
-            self.touched = Some(now);
-            self.knows((committed, Duration::ZERO), version, read, ports);
+            self.isolated_since = Some(now);
+            let state = ReportedState { committed, committed_for: Duration::ZERO, lease_until: None };
+            self.apply(&state, version, summary, environment);
         }
     }
 
+    /// The committed state, as this server knows it.
     pub fn committed(&self) -> Option<CommittedState> {
-        self.known.as_ref().map(|k| k.committed)
+        self.known.as_ref().map(|known| known.committed)
     }
 
+    /// The committed version, as this server knows it.
     pub fn version(&self) -> Option<&ConfigVersion> {
-        self.known.as_ref().map(|k| &k.version)
+        self.known.as_ref().map(|known| &known.version)
     }
 
+    /// Why this server can't apply the version that it knows.
     pub fn incompatibility(&self) -> Option<&str> {
-        self.known.as_ref()?.misfit.as_deref()
+        self.known.as_ref()?.incompatibility.as_deref()
     }
 
     /// The member that it asks.
     pub fn current_member(&self) -> Option<&ServerName> {
-        self.committee.get(self.home)
+        self.committee.get(self.current_member)
     }
 
-    /// The end of its lease, as it is known now.
-    pub fn until(&self) -> Duration {
-        self.until
-    }
-
-    /// What it may do at this moment, and when that is next less.
-    pub fn level(&self, now: Duration) -> (PermissionLevel, Option<Duration>) {
-        if self.terms.injected_fault == Some(InjectedFault::WakesUnlooked) {
-            return (self.looked, None);
+    /// What the server may do now.
+    pub fn level(&self, now: Duration) -> PermissionLevel {
+        if self.timing.injected_fault == Some(InjectedFault::StaleLevelAfterPause) {
+            return self.last_level;
         }
-        self.look(now)
+        self.level_at(now)
     }
 
-    /// Until when it may do everything, and until when what may run again.
-    pub fn bounds(&self) -> (Duration, Duration) {
-        let fits = self.known.as_ref().is_some_and(|k| k.misfit.is_none());
-        match (fits, self.touched) {
-            (true, _) if self.terms.injected_fault == Some(InjectedFault::NoFence) => {
-                (Duration::MAX, Duration::MAX)
+    /// Until when the server may do everything, and until when repeatable requests.
+    pub fn bounds(&self) -> PermissionBounds {
+        let compatible = self.known.as_ref().is_some_and(|known| known.incompatibility.is_none());
+        match (compatible, self.isolated_since) {
+            (true, _) if self.timing.injected_fault == Some(InjectedFault::NoFence) => {
+                PermissionBounds { full_until: Duration::MAX, alone_until: Duration::MAX }
             }
-            (true, Some(touched)) => (self.until, touched.max(self.until) + self.terms.alone),
-            _ => (Duration::ZERO, Duration::ZERO),
+            (true, Some(since)) => PermissionBounds {
+                full_until: self.lease_until,
+                alone_until: since.max(self.lease_until) + self.timing.alone,
+            },
+            _ => PermissionBounds::default(),
         }
     }
 
-    fn look(&self, now: Duration) -> (PermissionLevel, Option<Duration>) {
-        let (full, alone) = self.bounds();
-        match () {
-            () if now < full => (PermissionLevel::Full, Some(full)),
-            () if now < alone => (PermissionLevel::Alone, Some(alone)),
-            () => (PermissionLevel::Mute, None),
+    fn level_at(&self, now: Duration) -> PermissionLevel {
+        let PermissionBounds { full_until, alone_until } = self.bounds();
+        if now < full_until {
+            PermissionLevel::Full
+        } else if now < alone_until {
+            PermissionLevel::Alone
+        } else {
+            PermissionLevel::Mute
         }
     }
 
-    /// When something is to be done next.
+    /// When [`Follower::timer_fired`] is to be called next.
     pub fn next(&self) -> Duration {
-        self.out.as_ref().map_or(self.due, |out| out.sent + self.terms.answer())
+        self.outstanding
+            .as_ref()
+            .map_or(self.renewal_due, |request| request.sent_at + self.timing.response_timeout())
     }
 
-    /// The time has come, or may have.
-    pub fn timer_fired(&mut self, now: Duration, ports: &mut impl Ports) {
-        self.looked = self.look(now).0;
-        if let Some(out) = self.out.as_ref().filter(|out| now >= out.sent + self.terms.answer()) {
-            let correlation_id = out.correlation_id;
-            self.request_lost(now, correlation_id, ports);
+    /// Gives up a request without a response and sends the renewal that is due. May be called early.
+    pub fn timer_fired(&mut self, now: Duration, environment: &mut impl FollowerEnvironment) {
+        self.last_level = self.level_at(now);
+        let timeout = self.timing.response_timeout();
+        if let Some(request) = self.outstanding.as_ref().filter(|request| now >= request.sent_at + timeout) {
+            let correlation_id = request.correlation_id;
+            self.request_lost(now, correlation_id, environment);
         }
-        if self.out.is_none() && now >= self.due {
-            self.put_off = None;
-            self.renew(now, ports);
+        if self.outstanding.is_none() && now >= self.renewal_due {
+            self.fetch_deferred = None;
+            self.renew(now, environment);
         }
     }
 
-    /// A member says that there is something to be asked about: a draft to be weighed, or what stands.
-    pub fn notify(&mut self, now: Duration, proposed: Option<VersionId>, ports: &mut impl Ports) {
-        self.response = true;
-        if self.out.is_some() {
-            // What it is asked now may have been answered before the news.
-            self.due = now;
-        } else if !self.weighs(proposed, now, ports) {
-            self.renew(now, ports);
+    /// A member has announced a proposed version to evaluate, or a new committed state.
+    pub fn notify(
+        &mut self,
+        now: Duration,
+        proposed: Option<VersionId>,
+        environment: &mut impl FollowerEnvironment,
+    ) {
+        self.notified = true;
+        if self.outstanding.is_some() {
+            // The response may have been sent before the notification.
+            self.renewal_due = now;
+        } else if !self.fetch_proposed(proposed, now, environment) {
+            self.renew(now, environment);
         }
     }
 
-    /// Asks for the text of a draft that is new to it.
-    fn weighs(&mut self, proposed: Option<VersionId>, now: Duration, ports: &mut impl Ports) -> bool {
-        let known = |proposed: &VersionId| {
-            self.weighed.as_ref().is_some_and(|(version_id, _)| version_id == proposed)
-        };
-        let new = proposed.filter(|proposed| !known(proposed) && self.put_off.as_ref() != Some(proposed));
+    /// Fetches the text of a proposed version unless it was evaluated or deferred. Returns whether it did.
+    fn fetch_proposed(
+        &mut self,
+        proposed: Option<VersionId>,
+        now: Duration,
+        environment: &mut impl FollowerEnvironment,
+    ) -> bool {
+        let evaluated = self.evaluation.as_ref().map(|evaluation| evaluation.version_id);
+        let new = proposed.filter(|_| evaluated != proposed && self.fetch_deferred != proposed);
         if let Some(version_id) = new {
-            self.send(now, What::Draft(version_id), PeerRequest::Fetch { version_id }, ports);
+            let request = PeerRequest::Fetch { version_id };
+            self.send(now, Purpose::FetchProposed(version_id), request, environment);
         }
         new.is_some()
     }
 
-    fn send(&mut self, now: Duration, what: What, request: PeerRequest, ports: &mut impl Ports) {
-        let Some(to) = self.committee.get(self.home).cloned() else { return };
+    fn send(
+        &mut self,
+        now: Duration,
+        purpose: Purpose,
+        request: PeerRequest,
+        environment: &mut impl FollowerEnvironment,
+    ) {
+        let Some(to) = self.committee.get(self.current_member) else { return };
         let correlation_id = CorrelationId(self.next_correlation_id);
         self.next_correlation_id += 1;
-        self.out = Some(Out { correlation_id, to: to.clone(), sent: now, what });
-        ports.send_request(&to, correlation_id, request);
+        self.outstanding = Some(OutstandingRequest { correlation_id, sent_at: now, purpose });
+        environment.send_request(to, correlation_id, request);
     }
 
-    /// Until the next renewal. Those that were told the same news at one moment would come together for as long as
-    /// they live: each comes at a moment of its own, by its name.
-    fn gap(&self) -> Duration {
-        let own = self.me.0.bytes().chain(self.next_correlation_id.to_le_bytes());
-        let sum =
-            own.fold(0xcbf2_9ce4_8422_2325, |d: u64, b| (d ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-        let share = (sum >> 40) as f64 / (1u64 << 24) as f64;
-        let loose = if self.response { TOLD } else { LOOSE };
-        self.terms.renew().mul_f64(1.0 - loose * share)
+    /// Time until the next renewal. The jitter is a hash of the name and the request count: followers that were
+    /// notified at one moment would otherwise renew together from then on.
+    fn renewal_delay(&self) -> Duration {
+        const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+        const FNV_PRIME: u64 = 0x0100_0000_01b3;
+        let key = self.name.0.bytes().chain(self.next_correlation_id.to_le_bytes());
+        let hash = key.fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
+        let fraction = (hash >> 40) as f64 / (1u64 << 24) as f64;
+        let jitter = if self.notified { JITTER_AFTER_NOTIFICATION } else { RENEWAL_JITTER };
+        self.timing.renewal_interval().mul_f64(1.0 - jitter * fraction)
     }
 
-    fn renew(&mut self, now: Duration, ports: &mut impl Ports) {
-        self.due = now + self.gap();
-        self.response = false;
-        let last = self.committed().map_or(0, |s| s.last);
-        let request = PeerRequest::Renew { from: self.me.clone(), last, weighed: self.weighed.clone() };
-        self.send(now, What::Renew, request, ports);
+    fn renew(&mut self, now: Duration, environment: &mut impl FollowerEnvironment) {
+        self.renewal_due = now + self.renewal_delay();
+        self.notified = false;
+        let last = self.committed().map_or(0, |committed| committed.last);
+        let request =
+            PeerRequest::Renew { from: self.name.clone(), last, evaluation: self.evaluation.clone() };
+        self.send(now, Purpose::Renew, request, environment);
     }
 
-    /// There will be no answer to this one: the next member is asked, at once until all were.
-    pub fn request_lost(&mut self, now: Duration, correlation_id: CorrelationId, ports: &mut impl Ports) {
-        if let Some(out) = self.out.take_if(|out| out.correlation_id == correlation_id) {
-            if let What::Draft(version_id) = out.what {
-                self.put_off = Some(version_id);
+    /// There will be no response to this request. The next member is asked, at once until all of them were.
+    pub fn request_lost(
+        &mut self,
+        now: Duration,
+        correlation_id: CorrelationId,
+        environment: &mut impl FollowerEnvironment,
+    ) {
+        if let Some(request) = self.outstanding.take_if(|request| request.correlation_id == correlation_id) {
+            if let Purpose::FetchProposed(version_id) = request.purpose {
+                self.fetch_deferred = Some(version_id);
             }
-            self.elsewhere(now, ports);
+            self.try_next_member(now, environment);
         }
     }
 
-    fn elsewhere(&mut self, now: Duration, ports: &mut impl Ports) {
+    fn try_next_member(&mut self, now: Duration, environment: &mut impl FollowerEnvironment) {
         let members = self.committee.len().max(1);
-        self.home = (self.home + 1) % members;
-        self.vain = self.vain.saturating_add(1);
-        let rounds = self.vain / members as u32;
-        if (self.vain as usize).is_multiple_of(members) {
-            let wait = self.terms.answer().mul_f64(AGAIN * f64::from(1u32 << rounds.min(8)) / 2.0);
-            self.due = now + wait.min(self.terms.renew());
+        self.current_member = (self.current_member + 1) % members;
+        self.failed_attempts = self.failed_attempts.saturating_add(1);
+        let passes = self.failed_attempts / members as u32;
+        if (self.failed_attempts as usize).is_multiple_of(members) {
+            let doubled = f64::from(1u32 << passes.min(MAX_BACKOFF_DOUBLINGS));
+            let backoff =
+                self.timing.response_timeout().mul_f64(FIRST_BACKOFF_OF_RESPONSE_TIMEOUT * doubled / 2.0);
+            self.renewal_due = now + backoff.min(self.timing.renewal_interval());
         } else {
-            self.renew(now, ports);
+            self.renew(now, environment);
         }
     }
 
+    /// Handles the response to a request. One to a request that was given up is ignored.
     pub fn handle_response(
         &mut self,
         now: Duration,
         correlation_id: CorrelationId,
         response: PeerResponse,
-        ports: &mut impl Ports,
+        environment: &mut impl FollowerEnvironment,
     ) {
-        let Some(out) = self.out.take_if(|out| out.correlation_id == correlation_id) else { return };
-        let from = if self.terms.injected_fault == Some(InjectedFault::FromAnswer) { now } else { out.sent };
-        match (out.what, response) {
-            (What::Renew, PeerResponse::Lease { committed, age, stood, proposed }) => {
-                let until = age.and_then(|age| (from + self.terms.lease()).checked_sub(age));
-                self.leased(now, (committed, stood), until, proposed, ports);
+        let Some(request) = self.outstanding.take_if(|request| request.correlation_id == correlation_id)
+        else {
+            return;
+        };
+        let from_response = self.timing.injected_fault == Some(InjectedFault::LeaseFromResponse);
+        let lease_start = if from_response { now } else { request.sent_at };
+        match (request.purpose, response) {
+            (Purpose::Renew, PeerResponse::Lease { committed, age, stood, proposed }) => {
+                let lease_until =
+                    age.and_then(|age| (lease_start + self.timing.lease_duration()).checked_sub(age));
+                let state = ReportedState { committed, committed_for: stood, lease_until };
+                self.lease_received(now, state, proposed, environment);
+            }
+            (Purpose::FetchCommitted(state), PeerResponse::Text { version_id, text })
+                if version_id == state.committed.book =>
+            {
+                self.committed_text_received(now, &state, &text, environment);
             }
-            (What::Force { committed, until, stood }, PeerResponse::Text { version_id, text })
-                if version_id == committed.book =>
+            (Purpose::FetchProposed(proposed), PeerResponse::Text { version_id, text })
+                if version_id == proposed =>
             {
-                match ports.read(&version_id, &text, self.version()) {
-                    Some(read) => {
-                        self.knows(
-                            (committed, stood),
-                            ConfigVersion { version_id, text: Arc::from(text) },
-                            read,
-                            ports,
-                        );
-                        self.extends(now, until, ports);
-                    }
-                    None => self.elsewhere(now, ports),
-                }
+                let version = ConfigVersion { version_id, text: Arc::from(text) };
+                self.evaluate(version, environment);
+                self.renew(now, environment);
             }
-            (What::Draft(proposed), PeerResponse::Text { version_id, text }) if version_id == proposed => {
+            // The version was withdrawn or decided meanwhile.
+            (Purpose::FetchProposed(_), _) => {}
+            _ => self.try_next_member(now, environment),
+        }
+    }
+
+    fn committed_text_received(
+        &mut self,
+        now: Duration,
+        state: &ReportedState,
+        text: &str,
+        environment: &mut impl FollowerEnvironment,
+    ) {
+        let version_id = state.committed.book;
+        match environment.read(&version_id, text, self.version()) {
+            Some(summary) => {
                 let version = ConfigVersion { version_id, text: Arc::from(text) };
-                self.held = None;
-                let verdict = match ports.read(&version_id, &version.text, self.version()) {
-                    Some(VersionSummary { misfit: Some(why), .. }) => Err(why),
-                    Some(read) => {
-                        self.held = Some((version, read));
-                        Ok(())
-                    }
-                    None => Err("its text is not what its digest says, or can't be read".to_string()),
-                };
-                self.weighed = Some((version_id, verdict));
-                self.renew(now, ports);
+                self.apply(state, version, summary, environment);
+                self.extend_lease(now, state.lease_until, environment);
             }
-            // It was withdrawn or decided on meanwhile.
-            (What::Draft(_), _) => {}
-            _ => self.elsewhere(now, ports),
+            None => self.try_next_member(now, environment),
         }
     }
 
-    fn leased(
+    fn evaluate(&mut self, version: ConfigVersion, environment: &mut impl FollowerEnvironment) {
+        self.ready_proposal = None;
+        let version_id = version.version_id;
+        let result = match environment.read(&version_id, &version.text, self.version()) {
+            Some(VersionSummary { misfit: Some(reason), .. }) => Err(reason),
+            Some(summary) => {
+                self.ready_proposal = Some(ReadyProposal { version, summary });
+                Ok(())
+            }
+            None => Err(ProposalError::UnreadableText.to_string()),
+        };
+        self.evaluation = Some(Evaluation { version_id, result });
+    }
+
+    fn lease_received(
         &mut self,
         now: Duration,
-        (committed, stood): (CommittedState, Duration),
-        until: Option<Duration>,
+        state: ReportedState,
         proposed: Option<VersionId>,
-        ports: &mut impl Ports,
+        environment: &mut impl FollowerEnvironment,
     ) {
-        let mine = self.committed();
-        // Versions never go back: one that knows less has nothing to say here.
-        if mine.is_some_and(|mine| mine.last > committed.last) {
-            return self.elsewhere(now, ports);
+        let (own, committed) = (self.committed(), state.committed);
+        // The committed state never goes back: a member that knows less grants no lease.
+        if own.is_some_and(|own| own.last > committed.last) {
+            return self.try_next_member(now, environment);
         }
-        // One number, two contents: whoever is wrong, this server does not follow.
-        if mine.is_some_and(|mine| mine.last == committed.last && mine.book != committed.book) {
-            return self.elsewhere(now, ports);
+        // Two versions with one number: whichever server is wrong, this one does not follow.
+        if own.is_some_and(|own| own.last == committed.last && own.book != committed.book) {
+            return self.try_next_member(now, environment);
         }
-        if let Some((version, read)) = self.held.take_if(|(version, _)| version.version_id == committed.book)
-        {
-            self.knows((committed, stood), version, read, ports);
-        } else if mine.map(|mine| mine.book) != Some(committed.book) {
+        let is_committed = |ready: &mut ReadyProposal| ready.version.version_id == committed.book;
+        if let Some(ready) = self.ready_proposal.take_if(is_committed) {
+            self.apply(&state, ready.version, ready.summary, environment);
+        } else if own.map(|own| own.book) != Some(committed.book) {
             let request = PeerRequest::Fetch { version_id: committed.book };
-            return self.send(now, What::Force { committed, until, stood }, request, ports);
+            return self.send(now, Purpose::FetchCommitted(state), request, environment);
         }
         if let Some(known) = &mut self.known {
             known.committed = committed;
         }
-        self.extends(now, until, ports);
-        if self.out.is_none() {
-            self.weighs(proposed, now, ports);
+        self.extend_lease(now, state.lease_until, environment);
+        if self.outstanding.is_none() {
+            self.fetch_proposed(proposed, now, environment);
         }
     }
 
-    /// From here on this is the version that it knows; a lease of the one before says nothing of it.
-    fn knows(
+    /// From now on this is the known version. A lease on the version before does not cover it.
+    fn apply(
         &mut self,
-        (committed, stood): (CommittedState, Duration),
+        state: &ReportedState,
         version: ConfigVersion,
-        read: VersionSummary,
-        ports: &mut impl Ports,
+        summary: VersionSummary,
+        environment: &mut impl FollowerEnvironment,
     ) {
-        // The member's clock may run ahead of this one.
-        ports.version_committed(&version, &read, stood - stood * 2 * self.terms.drift / 1000);
-        let asked = self.committee.get(self.home).cloned();
-        if !read.committee.is_empty() {
-            self.committee = read.committee;
-            let place = self.committee.iter().position(|name| Some(name) == asked.as_ref());
-            self.home = place.unwrap_or(self.home % self.committee.len());
+        // The member's clock may be fast compared with this server's.
+        let committed_for = state.committed_for - self.timing.drift_over(state.committed_for);
+        environment.version_committed(&version, &summary, committed_for);
+        let asked = self.committee.get(self.current_member).cloned();
+        if !summary.committee.is_empty() {
+            self.committee = summary.committee;
+            let index = self.committee.iter().position(|name| Some(name) == asked.as_ref());
+            self.current_member = index.unwrap_or(self.current_member % self.committee.len());
         }
-        self.known = Some(Known { committed, version, misfit: read.misfit });
-        self.until = Duration::ZERO;
+        self.known =
+            Some(KnownVersion { committed: state.committed, version, incompatibility: summary.misfit });
+        self.lease_until = Duration::ZERO;
     }
 
-    fn extends(&mut self, now: Duration, until: Option<Duration>, ports: &mut impl Ports) {
-        match until.filter(|until| *until > now) {
+    fn extend_lease(
+        &mut self,
+        now: Duration,
+        lease_until: Option<Duration>,
+        environment: &mut impl FollowerEnvironment,
+    ) {
+        match lease_until.filter(|until| *until > now) {
             Some(until) => {
-                self.until = self.until.max(until);
-                self.touched = Some(self.until);
-                self.vain = 0;
+                self.lease_until = self.lease_until.max(until);
+                self.isolated_since = Some(self.lease_until);
+                self.failed_attempts = 0;
             }
-            // It can't vouch for anything: another may.
-            None => self.elsewhere(now, ports),
+            // The member has not confirmed its state; another one may have.
+            None => self.try_next_member(now, environment),
         }
-        self.looked = self.look(now).0;
+        self.last_level = self.level_at(now);
     }
 }
--- a/crates/aldercrank-consensus/src/lib.rs
+++ b/crates/aldercrank-consensus/src/lib.rs
@@ -1,27 +1,25 @@
-//! Which version of the rule book is in force, and until when a server may act on it. No I/O, no clock: times are
-//! handed in, from a clock that only goes forward; nothing here reads the time of day.
+//! Which version of the configuration is committed, and leases on it. No I/O and no clock: the caller passes the time
+//! of a monotonic clock.
 //!
-//! A small committee, named by the book in force, decides on the next version (`member.rs`): a single-decree Paxos
-//! for each decision, with nobody in charge. Every server (`follower.rs`) acts on fenced items by a lease that it
-//! renews at any one member, counted from when it asked; a member vouches for the version in force as of the moment
-//! at which it asked a majority whether anything else was being decided. `handover.rs` is for shares whose sum has a
-//! limit. docs/design-rules.md has the proof's sketch and what is assumed.
-
-// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
-#![allow(missing_docs, unreachable_pub)]
-#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+//! A small committee, named by the committed version, decides on the next one ([`member`]): single-decree Paxos for
+//! each decision, without a leader. Every server ([`follower`]) uses fenced items under a lease, which it renews at
+//! any one member and counts from the sending of its request. A member grants leases only on a state that a majority
+//! has confirmed to be the newest (read index). [`quota_handover`] moves quotas whose sum has a limit.
+//! `docs/design-rules.md` has the assumptions and a sketch of the proof.
 
+mod error;
 pub mod follower;
 pub mod member;
 pub mod messages;
 pub mod quota_handover;
 pub mod timing;
 
-pub use follower::{Follower, PermissionLevel};
-pub use member::CommitteeMember;
+pub use error::ProposalError;
+pub use follower::{Follower, PermissionBounds, PermissionLevel};
+pub use member::{CommitteeMember, MemberIdentity};
 pub use messages::{
-    Ballot, CommittedState, ConfigVersion, CorrelationId, Decision, PeerRequest, PeerResponse, ProposalTally,
-    ServerName, Verdict, VersionId,
+    AcceptedDecision, Ballot, CommittedState, ConfigVersion, CorrelationId, Decision, Evaluation,
+    PeerRequest, PeerResponse, ProposalTally, ServerName, Verdict, VersionId,
 };
-pub use quota_handover::QuotaHandover;
+pub use quota_handover::{AvailableQuota, QuotaHandover};
 pub use timing::{InjectedFault, Terms};
--- /dev/null
+++ b/crates/aldercrank-consensus/src/member/environment.rs
@@ -0,0 +1,24 @@
+//! What a committee member needs from the server that it runs in.
+
+use super::acceptor::AcceptorState;
+use crate::messages::{ConfigVersion, CorrelationId, PeerRequest, ServerName, VersionId, VersionSummary};
+
+/// What a committee member needs from the server that it runs in.
+pub trait MemberEnvironment {
+    /// Sends a request to another member. `CommitteeMember::handle_response` or `CommitteeMember::request_lost`
+    /// follows with the same correlation id.
+    fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest);
+    /// Notifies the followers of this member: of a proposed version to evaluate, or of a new committed state.
+    fn notify(&mut self, proposed: Option<VersionId>);
+    /// Stores the acceptor state durably, where this server has a directory. Called before the response that depends
+    /// on it is returned or sent.
+    fn keep(&mut self, acceptor_state: &AcceptorState);
+    /// Parses a text and compares it with its version id and with the version before it. `None` where the text does
+    /// not match its version id or can't be parsed.
+    fn read(
+        &mut self,
+        version_id: &VersionId,
+        text: &str,
+        before: Option<&ConfigVersion>,
+    ) -> Option<VersionSummary>;
+}
--- /dev/null
+++ b/crates/aldercrank-consensus/src/member/events.rs
@@ -0,0 +1,200 @@
+//! Requests, responses, timers and proposals that reach a committee member.
+
+use super::environment::MemberEnvironment;
+use super::followers::Renewal;
+use super::proposals::Proposal;
+use super::recovery::PeerReport;
+use super::requests::Purpose;
+use super::state::CommitteeMember;
+use crate::error::ProposalError;
+use crate::messages::{ConfigVersion, CorrelationId, PeerRequest, PeerResponse, ServerName, VersionId};
+use std::sync::Arc;
+use std::time::Duration;
+
+impl CommitteeMember {
+    /// Handles a request of a follower or of another member.
+    pub fn handle_request(
+        &mut self,
+        now: Duration,
+        request: PeerRequest,
+        environment: &mut impl MemberEnvironment,
+    ) -> PeerResponse {
+        match request {
+            PeerRequest::Renew { from, last, evaluation } => {
+                let lease_granted = self.confirms(now);
+                let renewal = Renewal { received_at: now, lease_granted, last_decided: last, evaluation };
+                self.handle_renewal(now, from, renewal, environment)
+            }
+            PeerRequest::Fetch { version_id } => self.text_of(&version_id),
+            PeerRequest::Check { from, committed, tally } => {
+                self.peer_state_received(now, &from, committed, tally, environment);
+                PeerResponse::Checked {
+                    committed: self.committed,
+                    active: self.may_vote(),
+                    accepted: self.acceptor.accepted().cloned(),
+                    tally: self.tally(now),
+                }
+            }
+            PeerRequest::Prepare { after, ballot } => self.handle_prepare(after, ballot, environment),
+            PeerRequest::Accept { after, ballot, decision } => {
+                self.handle_accept(now, after, ballot, decision, environment)
+            }
+            PeerRequest::Learn { after, decision } => {
+                if after == self.committed.last {
+                    self.learn(now, decision, environment);
+                }
+                PeerResponse::Acknowledged
+            }
+            // The server answers this one itself.
+            PeerRequest::Status => PeerResponse::Silent,
+        }
+    }
+
+    /// Handles the response to a request. One to a request that was given up is ignored.
+    pub fn handle_response(
+        &mut self,
+        now: Duration,
+        correlation_id: CorrelationId,
+        response: PeerResponse,
+        environment: &mut impl MemberEnvironment,
+    ) {
+        let Some(request) = self.requests.remove(correlation_id) else { return };
+        let (from, current_round) = (request.to, self.proposer.ballot().round);
+        match (request.purpose, response) {
+            (Purpose::Check, PeerResponse::Checked { committed, active, accepted, tally }) => {
+                let nothing_newer = active && accepted.is_none();
+                self.state_checked(now, &from, committed, nothing_newer, environment);
+                let report = PeerReport { active, last_decided: committed.last, accepted };
+                self.recovery.record_report(now, &from, report);
+                self.peer_state_received(now, &from, committed, tally, environment);
+            }
+            (Purpose::Prepare { round }, response @ PeerResponse::Promised { .. })
+                if round == current_round =>
+            {
+                self.promise_received(now, &from, response, environment);
+            }
+            (Purpose::Accept { round }, response @ PeerResponse::Accepted) if round == current_round => {
+                self.acceptance_received(now, &from, &response, environment);
+            }
+            (Purpose::Prepare { .. } | Purpose::Accept { .. }, PeerResponse::BallotSuperseded { ballot }) => {
+                self.proposer.observe_ballot(&ballot);
+            }
+            (
+                Purpose::Prepare { .. } | Purpose::Accept { .. },
+                PeerResponse::DifferentState { committed },
+            ) if committed.last > self.committed.last => {
+                self.fetch(now, &from, committed.book, Purpose::FetchCommitted(committed), environment);
+            }
+            (Purpose::Accept { .. }, PeerResponse::TextMissing { .. }) => self.check(now, environment),
+            (Purpose::FetchCommitted(committed), PeerResponse::Text { version_id, text }) => {
+                self.committed_text_received(now, committed, version_id, &text, environment);
+            }
+            (Purpose::FetchProposed, PeerResponse::Text { version_id, text }) => {
+                let version = ConfigVersion { version_id, text: Arc::from(text) };
+                // A proposal that is not taken was decided or displaced meanwhile.
+                let _ = self.version_proposed(now, version, environment);
+            }
+            _ => {}
+        }
+    }
+
+    /// There will be no response to this request.
+    pub fn request_lost(&mut self, correlation_id: CorrelationId) {
+        self.requests.remove(correlation_id);
+    }
+
+    /// When [`CommitteeMember::timer_fired`] is to be called next.
+    pub fn next(&self) -> Duration {
+        let check_due = self.confirmation.check_due();
+        self.proposer.round_deadline().map_or(check_due, |deadline| deadline.min(check_due))
+    }
+
+    /// Ends a round that has timed out, and does what is due with each check. May be called early.
+    pub fn timer_fired(&mut self, now: Duration, environment: &mut impl MemberEnvironment) {
+        self.proposer.expire_round(now);
+        if now >= self.confirmation.check_due() {
+            self.recover(now);
+            self.check(now, environment);
+            self.finish_undecided(now, environment);
+            self.review_proposal(now, environment);
+            self.followers.remove_inactive(now, &self.timing);
+        }
+    }
+
+    /// A version is proposed: read at the membership service, submitted by an operator, or sent by another member.
+    /// A proposal that is known already is no error.
+    ///
+    /// # Errors
+    /// Why the version is not taken as a proposal.
+    pub fn version_proposed(
+        &mut self,
+        now: Duration,
+        version: ConfigVersion,
+        environment: &mut impl MemberEnvironment,
+    ) -> Result<(), ProposalError> {
+        let version_id = version.version_id;
+        let (number, last) = (version_id.number, self.committed.last);
+        if version_id == self.committed.book || self.proposals.find(&version_id).is_some() {
+            return Ok(());
+        }
+        if number <= last {
+            return Err(ProposalError::AlreadyDecided { number, last });
+        }
+        if let Some(accepted) = self.acceptor.accepted() {
+            let number = accepted.decision.version_id.number;
+            return Err(ProposalError::DecisionInProgress { number });
+        }
+        let summary = environment
+            .read(&version_id, &version.text, Some(&self.version))
+            .ok_or(ProposalError::UnreadableText)?;
+        if let Some(first) = self.proposals.first_id().filter(|first| first.number < number) {
+            return Err(ProposalError::LowerNumberFirst { number: first.number });
+        }
+        if self.proposals.insert(Proposal { version, summary, received_at: now }) {
+            environment.notify(Some(version_id));
+            // The other members fetch it, so that their followers evaluate it at the same time.
+            self.check(now, environment);
+            self.review_proposal(now, environment);
+        }
+        Ok(())
+    }
+
+    /// The publisher has withdrawn the proposal of this number: it is refused unless it has been decided.
+    pub fn proposal_withdrawn(
+        &mut self,
+        now: Duration,
+        number: u64,
+        environment: &mut impl MemberEnvironment,
+    ) {
+        if self.proposals.withdraw(number) {
+            self.review_proposal(now, environment);
+        }
+    }
+
+    fn handle_renewal(
+        &mut self,
+        now: Duration,
+        from: ServerName,
+        renewal: Renewal,
+        environment: &mut impl MemberEnvironment,
+    ) -> PeerResponse {
+        if self.followers.has_capacity_for(&from) {
+            self.followers.record(from, renewal);
+            self.review_proposal(now, environment);
+        }
+        PeerResponse::Lease {
+            committed: self.committed,
+            age: self.confirmation_age(now),
+            stood: now.saturating_sub(self.committed_since),
+            proposed: self.proposals.first_id(),
+        }
+    }
+
+    fn text_of(&self, version_id: &VersionId) -> PeerResponse {
+        let proposed = self.proposals.find(version_id).map(|proposal| &proposal.version);
+        match Some(&self.version).filter(|version| version.version_id == *version_id).or(proposed) {
+            Some(version) => PeerResponse::Text { version_id: *version_id, text: version.text.to_string() },
+            None => PeerResponse::TextUnknown,
+        }
+    }
+}
--- /dev/null
+++ b/crates/aldercrank-consensus/src/member/learning.rs
@@ -0,0 +1,205 @@
+//! A member as learner: checks of the committed state, texts from other members, and commits.
+
+use super::acceptor::Acceptor;
+use super::environment::MemberEnvironment;
+use super::requests::Purpose;
+use super::state::{CommitteeMember, Refusal};
+use super::verdict::ProposalReview;
+use crate::messages::{
+    CommittedState, ConfigVersion, Decision, PeerRequest, ProposalTally, ServerName, Verdict, VersionId,
+    VersionSummary,
+};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Most refusals kept for operators.
+const MAX_REFUSALS: usize = 8;
+
+impl CommitteeMember {
+    pub(super) fn send(
+        &mut self,
+        now: Duration,
+        to: &ServerName,
+        purpose: Purpose,
+        request: PeerRequest,
+        environment: &mut impl MemberEnvironment,
+    ) {
+        let correlation_id = self.requests.insert(now, to, purpose);
+        environment.send_request(to, correlation_id, request);
+    }
+
+    /// Fetches a text from a member, unless the same request to it is outstanding.
+    pub(super) fn fetch(
+        &mut self,
+        now: Duration,
+        from: &ServerName,
+        version_id: VersionId,
+        purpose: Purpose,
+        environment: &mut impl MemberEnvironment,
+    ) {
+        if !self.requests.contains(from, &purpose) {
+            self.send(now, from, purpose, PeerRequest::Fetch { version_id }, environment);
+        }
+    }
+
+    /// Asks all other members whether the committed state is still the newest.
+    pub(super) fn check(&mut self, now: Duration, environment: &mut impl MemberEnvironment) {
+        // A late response to the check before must not count for this one.
+        self.requests.remove_stale(now, self.timing.round_timeout());
+        self.confirmation.begin_check(now, self.timing.check_interval());
+        let tally = self.tally(now);
+        for to in self.other_members() {
+            let request = PeerRequest::Check {
+                from: self.name.clone(),
+                committed: self.committed,
+                tally: tally.clone(),
+            };
+            self.send(now, &to, Purpose::Check, request, environment);
+        }
+        let (name, committed) = (self.name.clone(), self.committed);
+        let nothing_newer = self.is_active() && self.acceptor.accepted().is_none();
+        self.state_checked(now, &name, committed, nothing_newer, environment);
+    }
+
+    /// A member has responded to the present check. Once a majority has confirmed the state, followers that could not
+    /// be granted a lease before are notified.
+    pub(super) fn state_checked(
+        &mut self,
+        now: Duration,
+        from: &ServerName,
+        committed: CommittedState,
+        nothing_newer: bool,
+        environment: &mut impl MemberEnvironment,
+    ) {
+        if committed != self.committed || !nothing_newer {
+            return;
+        }
+        let (confirmed_before, quorum) = (self.confirms(now), self.quorum());
+        if self.confirmation.record(from, quorum) && !confirmed_before && self.confirms(now) {
+            environment.notify(None);
+        }
+    }
+
+    /// Another member has sent its committed state and its tally.
+    pub(super) fn peer_state_received(
+        &mut self,
+        now: Duration,
+        from: &ServerName,
+        committed: CommittedState,
+        tally: ProposalTally,
+        environment: &mut impl MemberEnvironment,
+    ) {
+        if !self.summary.committee.contains(from) {
+            return;
+        }
+        if committed.last > self.committed.last {
+            self.fetch(now, from, committed.book, Purpose::FetchCommitted(committed), environment);
+        }
+        if committed.last == self.committed.last && committed.book != self.committed.book {
+            self.conflicting_members.insert(from.clone(), committed.book);
+        }
+        let is_new = |version_id: &VersionId| {
+            version_id.number > self.committed.last && self.proposals.find(version_id).is_none()
+        };
+        if let Some(version_id) = tally.proposed.filter(is_new) {
+            self.fetch(now, from, version_id, Purpose::FetchProposed, environment);
+        }
+        self.peer_tallies.record(now, from.clone(), tally);
+        self.review_proposal(now, environment);
+    }
+
+    /// Sends the other members a tally that has become complete, and begins a round once there is a verdict.
+    pub(super) fn review_proposal(&mut self, now: Duration, environment: &mut impl MemberEnvironment) {
+        let Some(version_id) = self.proposals.first_id() else { return };
+        let tally = self.tally(now);
+        let ready = tally.objection.is_some() || tally.complete();
+        if ready && self.proposals.announce_once(version_id) {
+            self.check(now, environment);
+        }
+        if self.proposer.is_idle() && self.may_vote() {
+            if let Some(verdict) = self.verdict(now, &tally) {
+                self.propose(now, Decision { version_id, verdict }, environment);
+            }
+        }
+    }
+
+    fn verdict(&self, now: Duration, own_tally: &ProposalTally) -> Option<Verdict> {
+        let review = ProposalReview {
+            proposal: self.proposals.first()?,
+            own_tally,
+            peer_tallies: &self.peer_tallies,
+            own_name: &self.name,
+            committee: &self.summary.committee,
+            rank: self.rank(),
+            servers: self.summary.servers.as_deref(),
+            timing: &self.timing,
+            now,
+        };
+        review.verdict()
+    }
+
+    /// A decision is chosen. A member without the text fetches it after its next check.
+    pub(super) fn learn(
+        &mut self,
+        now: Duration,
+        decision: Decision,
+        environment: &mut impl MemberEnvironment,
+    ) {
+        let committed = decision.after(&self.committed);
+        if committed.book == self.committed.book {
+            if let Verdict::Refused(reason) = decision.verdict {
+                self.refusals.push(Refusal { number: committed.last, reason });
+                let excess = self.refusals.len().saturating_sub(MAX_REFUSALS);
+                self.refusals.drain(..excess);
+            }
+            let (version, summary) = (self.version.clone(), self.summary.clone());
+            self.commit(now, committed, version, summary, environment);
+        } else if let Some(proposal) = self.proposals.find(&committed.book).cloned() {
+            self.commit(now, committed, proposal.version, proposal.summary, environment);
+        }
+    }
+
+    /// The text of a later committed version has come from another member.
+    pub(super) fn committed_text_received(
+        &mut self,
+        now: Duration,
+        committed: CommittedState,
+        version_id: VersionId,
+        text: &str,
+        environment: &mut impl MemberEnvironment,
+    ) {
+        let newer = committed.last > self.committed.last && version_id == committed.book;
+        let summary = environment.read(&version_id, text, Some(&self.version));
+        if let Some(summary) = summary.filter(|_| newer) {
+            let version = ConfigVersion { version_id, text: Arc::from(text) };
+            self.commit(now, committed, version, summary, environment);
+        }
+    }
+
+    /// The one place where the committed state changes.
+    fn commit(
+        &mut self,
+        now: Duration,
+        committed: CommittedState,
+        version: ConfigVersion,
+        summary: VersionSummary,
+        environment: &mut impl MemberEnvironment,
+    ) {
+        if committed.book != self.committed.book {
+            self.committed_since = now;
+        }
+        (self.committed, self.version, self.summary) = (committed, version, summary);
+        self.acceptor = Acceptor::default();
+        self.proposer.abandon_round();
+        self.confirmation.reset();
+        let before = &self.version;
+        self.proposals.rebase(committed.last, |proposed| {
+            environment.read(&proposed.version_id, &proposed.text, Some(before))
+        });
+        self.conflicting_members.clear();
+        self.peer_tallies.clear();
+        self.persist(environment);
+        // Followers are notified once a majority has confirmed the state: no lease can be granted on it before.
+        self.check(now, environment);
+    }
+}
--- /dev/null
+++ b/crates/aldercrank-consensus/src/member/proposer.rs
@@ -0,0 +1,128 @@
+//! The proposer: rounds of the Paxos instance that follows the committed state.
+
+use super::quorum::Quorum;
+use crate::messages::{AcceptedDecision, Ballot, Decision, ServerName};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum Round {
+    Idle,
+    /// Phase 1.
+    Preparing {
+        started_at: Duration,
+        own: Decision,
+        /// The accepted decision with the highest ballot among the promises.
+        highest_accepted: Option<AcceptedDecision>,
+        promised_by: BTreeSet<ServerName>,
+    },
+    /// Phase 2.
+    Accepting {
+        started_at: Duration,
+        decision: Decision,
+        accepted_by: BTreeSet<ServerName>,
+    },
+}
+
+/// At most one round at a time.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Proposer {
+    round: Round,
+    /// Of the present round, or of the last one.
+    ballot: Ballot,
+    round_timeout: Duration,
+}
+
+impl Proposer {
+    pub(super) fn new(name: ServerName, incarnation: u64, round_timeout: Duration) -> Proposer {
+        let ballot = Ballot { round: 0, by: Some(name), life: incarnation };
+        Proposer { round: Round::Idle, ballot, round_timeout }
+    }
+
+    pub(super) fn is_idle(&self) -> bool {
+        self.round == Round::Idle
+    }
+
+    pub(super) fn ballot(&self) -> &Ballot {
+        &self.ballot
+    }
+
+    /// Begins a round above every ballot known here, and returns its ballot.
+    pub(super) fn begin_round(&mut self, now: Duration, own: Decision, promised: &Ballot) -> Ballot {
+        self.ballot.round = self.ballot.round.max(promised.round) + 1;
+        self.round =
+            Round::Preparing { started_at: now, own, highest_accepted: None, promised_by: BTreeSet::new() };
+        self.ballot.clone()
+    }
+
+    /// Another proposer has this ballot. A round above it follows if it decides nothing.
+    pub(super) fn observe_ballot(&mut self, ballot: &Ballot) {
+        self.ballot.round = self.ballot.round.max(ballot.round);
+    }
+
+    pub(super) fn abandon_round(&mut self) {
+        self.round = Round::Idle;
+    }
+
+    /// When the present round ends without a decision.
+    pub(super) fn round_deadline(&self) -> Option<Duration> {
+        match &self.round {
+            Round::Idle => None,
+            Round::Preparing { started_at, .. } | Round::Accepting { started_at, .. } => {
+                Some(*started_at + self.round_timeout)
+            }
+        }
+    }
+
+    /// Ends a round that has reached its deadline.
+    pub(super) fn expire_round(&mut self, now: Duration) {
+        if self.round_deadline().is_some_and(|deadline| now >= deadline) {
+            self.round = Round::Idle;
+        }
+    }
+
+    /// Records a promise. Once a majority has promised, phase 2 begins with the returned decision.
+    pub(super) fn record_promise(
+        &mut self,
+        now: Duration,
+        from: &ServerName,
+        accepted: Option<AcceptedDecision>,
+        quorum: Quorum,
+    ) -> Option<Decision> {
+        let Round::Preparing { highest_accepted, promised_by, own, started_at } = &mut self.round else {
+            return None;
+        };
+        if now >= *started_at + self.round_timeout {
+            return None;
+        }
+        promised_by.insert(from.clone());
+        // A decision that may have been chosen already must be proposed again.
+        if accepted.as_ref().map(|a| &a.ballot) > highest_accepted.as_ref().map(|a| &a.ballot) {
+            *highest_accepted = accepted;
+        }
+        if !quorum.reached_by(promised_by.len()) {
+            return None;
+        }
+        let decision = highest_accepted.as_ref().map_or(&*own, |accepted| &accepted.decision).clone();
+        self.round =
+            Round::Accepting { started_at: now, decision: decision.clone(), accepted_by: BTreeSet::new() };
+        Some(decision)
+    }
+
+    /// Records an acceptance. Returns the decision where a majority has accepted it: it is chosen.
+    pub(super) fn record_acceptance(
+        &mut self,
+        now: Duration,
+        from: &ServerName,
+        quorum: Quorum,
+    ) -> Option<Decision> {
+        let Round::Accepting { decision, accepted_by, started_at } = &mut self.round else { return None };
+        // A member that lost its acceptor state is silent for longer than a round; a later response may come from
+        // before that.
+        if now >= *started_at + self.round_timeout {
+            return None;
+        }
+        accepted_by.insert(from.clone());
+        quorum.reached_by(accepted_by.len()).then(|| decision.clone())
+    }
+}
--- a/crates/aldercrank-consensus/src/messages.rs
+++ b/crates/aldercrank-consensus/src/messages.rs
@@ -1,7 +1,10 @@
-//! What is said between servers: a question, and its one answer. Texts of versions go in answers alone, so that a
-//! question is always small.
+//! Messages between servers: a request and its one response. Texts of versions travel in responses alone, so that a
+//! request is always small.
+//!
+//! The names on the wire and the order of variants and fields are part of the protocol: a name that differs from the
+//! Rust one is pinned with `#[serde(rename)]`.
 
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Serialize, Serializer};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::sync::Arc;
@@ -12,6 +15,7 @@
 pub struct ServerName(pub Arc<str>);
 
 impl ServerName {
+    /// The name as a shared string.
     pub fn new(name: &str) -> ServerName {
         ServerName(name.into())
     }
@@ -23,14 +27,16 @@
     }
 }
 
-/// Marks a question, so that its answer is known again; never given out twice by one process.
+/// Matches a response to its request. A process never uses one twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CorrelationId(pub u64);
 
-/// A version: its number and the digest of its text.
+/// Identifies a version: its number and the digest of its text.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VersionId {
+    /// Version number; a later version has a higher one.
     pub number: u64,
+    /// SHA-256 of the text.
     pub digest: [u8; 32],
 }
 
@@ -43,7 +49,7 @@
 impl fmt::Display for VersionId {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{} (", self.number)?;
-        self.digest[..6].iter().try_for_each(|b| write!(f, "{b:02x}"))?;
+        self.digest[..6].iter().try_for_each(|byte| write!(f, "{byte:02x}"))?;
         f.write_str(")")
     }
 }
@@ -51,213 +57,315 @@
 /// A version with its text.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConfigVersion {
+    /// Number and digest of the text.
     pub version_id: VersionId,
+    /// The text in its canonical form.
     pub text: Arc<str>,
 }
 
-/// What has been decided last: the number that was decided on, and the version that is in force since. They differ
-/// where the last one was refused.
+/// The result of all decisions so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CommittedState {
+    /// The number decided last. It differs from the committed version's where that decision was a refusal.
     pub last: u64,
+    /// The committed version.
     pub book: VersionId,
 }
 
-/// Rounds are numbered, each member's apart from the others', and each of its lives' too: one that has forgotten a
-/// round must not begin another under its name.
+/// A Paxos ballot number. It is unique per member and incarnation: a member that has forgotten a round must not begin
+/// another one with the same ballot. Ordered by round, then member, then incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
+    /// Number of the round.
     pub round: u64,
+    /// The proposer; `None` in the ballot below all others.
     pub by: Option<ServerName>,
+    /// The proposer's incarnation.
     pub life: u64,
 }
 
+/// What a decision does with a proposed version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
+    /// It is committed.
     InForce,
-    /// Its number is used up, and the version before it stands.
+    /// It is refused for this reason: its number is used up, and the version before it stays committed.
     Refused(String),
 }
 
+/// The value on which one Paxos instance agrees.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Decision {
+    /// The proposed version.
     #[serde(rename = "stamp")]
     pub version_id: VersionId,
+    /// Whether it is committed.
     pub verdict: Verdict,
 }
 
 impl Decision {
-    /// What stands after it.
+    /// The committed state after this decision.
     pub fn after(&self, before: &CommittedState) -> CommittedState {
         let book = if self.verdict == Verdict::InForce { self.version_id } else { before.book };
         CommittedState { last: self.version_id.number, book }
     }
 }
 
-/// One bit for each server that the book in force names, in the order of names.
+/// A decision that an acceptor has accepted, which may therefore have been chosen. A pair on the wire.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Deserialize)]
+#[serde(from = "(Ballot, Decision)")]
+pub struct AcceptedDecision {
+    /// The ballot under which it was accepted.
+    pub ballot: Ballot,
+    /// The accepted value.
+    pub decision: Decision,
+}
+
+impl From<(Ballot, Decision)> for AcceptedDecision {
+    fn from((ballot, decision): (Ballot, Decision)) -> AcceptedDecision {
+        AcceptedDecision { ballot, decision }
+    }
+}
+
+impl Serialize for AcceptedDecision {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (&self.ballot, &self.decision).serialize(serializer)
+    }
+}
+
+/// Whether a server can apply a proposed version. A pair on the wire.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Deserialize)]
+#[serde(from = "(VersionId, Result<(), String>)")]
+pub struct Evaluation {
+    /// The proposed version.
+    pub version_id: VersionId,
+    /// Why the server can't apply it, as text for operators.
+    pub result: Result<(), String>,
+}
+
+impl From<(VersionId, Result<(), String>)> for Evaluation {
+    fn from((version_id, result): (VersionId, Result<(), String>)) -> Evaluation {
+        Evaluation { version_id, result }
+    }
+}
+
+impl Serialize for Evaluation {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (&self.version_id, &self.result).serialize(serializer)
+    }
+}
+
+/// A bit set of servers: bit `n` is server `n` of those that the committed version names, in the order of names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ServerSet(Vec<u8>);
 
 impl ServerSet {
-    pub fn set(&mut self, at: usize) {
-        if self.0.len() <= at / 8 {
-            self.0.resize(at / 8 + 1, 0);
+    /// Adds the server at this index.
+    pub fn insert(&mut self, index: usize) {
+        if self.0.len() <= index / 8 {
+            self.0.resize(index / 8 + 1, 0);
         }
-        self.0[at / 8] |= 1 << (at % 8);
+        self.0[index / 8] |= 1 << (index % 8);
     }
 
-    pub fn has(&self, at: usize) -> bool {
-        self.0.get(at / 8).is_some_and(|byte| byte & (1 << (at % 8)) != 0)
+    /// Whether the server at this index is in the set.
+    pub fn contains(&self, index: usize) -> bool {
+        self.0.get(index / 8).is_some_and(|byte| byte & (1 << (index % 8)) != 0)
     }
 }
 
-/// The longest reason that is handed on, in characters.
-const MOST_WORDS: usize = 240;
+/// The longest objection that a tally carries, in characters.
+const MAX_OBJECTION_CHARS: usize = 240;
 
-/// What a member has heard from the servers that ask it, about one draft.
+/// What a member knows from its followers about one proposed version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ProposalTally {
+    /// The proposed version; `None` where the member knows of none.
     #[serde(rename = "draft")]
     pub proposed: Option<VersionId>,
-    /// Servers in touch with it, and how many of them hold the draft.
+    /// Number of followers in contact with the member.
     #[serde(rename = "attached")]
     pub followers: u32,
-    pub hold: u32,
-    /// One that can't go by it, and why; or why the draft itself can't be.
-    pub refuses: Option<String>,
-    /// Of the servers that the book names: those that hold it, and those that may be acting by the book in force
-    /// as far as this member knows.
-    pub holders: ServerSet,
-    pub loud: ServerSet,
+    /// Number of those that have fetched the version and can apply it.
+    #[serde(rename = "hold")]
+    pub ready_followers: u32,
+    /// Why a follower, or the version itself, rules the proposal out.
+    #[serde(rename = "refuses")]
+    pub objection: Option<String>,
+    /// Servers named by the committed version that can apply the proposed one.
+    #[serde(rename = "holders")]
+    pub ready_servers: ServerSet,
+    /// Servers named by the committed version that may still be using it, as far as the member knows.
+    #[serde(rename = "loud")]
+    pub possibly_active_servers: ServerSet,
 }
 
 impl ProposalTally {
-    /// Why it is refused, short enough to go in any question.
-    pub(crate) fn refused(&mut self, why: String) {
-        self.refuses = Some(why.chars().take(MOST_WORDS).collect());
+    /// Records an objection, cut so that it fits into any request.
+    pub(crate) fn object(&mut self, objection: &str) {
+        self.objection = Some(objection.chars().take(MAX_OBJECTION_CHARS).collect());
     }
 
+    /// Whether every follower in contact can apply the proposed version.
     pub fn complete(&self) -> bool {
-        self.hold >= self.followers
+        self.ready_followers >= self.followers
     }
 }
 
+/// A request to a committee member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// A server asks whether what it knows still stands; and says what it makes of a draft.
+    /// A server asks for a lease.
     Renew {
+        /// The server.
         from: ServerName,
+        /// The number decided last, as the server knows it.
         last: u64,
-        weighed: Option<(VersionId, Result<(), String>)>,
+        /// Its evaluation of the proposed version.
+        #[serde(rename = "weighed")]
+        evaluation: Option<Evaluation>,
     },
+    /// Asks for the text of a version.
     Fetch {
+        /// The version.
         #[serde(rename = "stamp")]
         version_id: VersionId,
     },
-    /// A member asks whether anything has been decided, or may be.
+    /// A member asks whether its committed state is still the newest.
     Check {
+        /// The member.
         from: ServerName,
+        /// Its committed state.
         #[serde(rename = "standing")]
         committed: CommittedState,
+        /// Its followers' evaluations of the proposed version.
         tally: ProposalTally,
     },
-    /// The decision on what follows `after`.
+    /// Paxos phase 1.
     Prepare {
+        /// The decision that precedes this one.
         after: u64,
+        /// The proposer's ballot.
         ballot: Ballot,
     },
+    /// Paxos phase 2.
     Accept {
+        /// The decision that precedes this one.
         after: u64,
+        /// The proposer's ballot.
         ballot: Ballot,
+        /// The value to accept.
         decision: Decision,
     },
+    /// Tells a learner the chosen value.
     Learn {
+        /// The decision that precedes this one.
         after: u64,
+        /// The chosen value.
         decision: Decision,
     },
-    /// An operator asks how things stand.
+    /// An operator asks for the member's status.
     Status,
 }
 
+/// A committee member's response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// What stands, as of so long ago; no age where that can't be vouched for. For how long it has stood at least; and
-    /// a draft that is to be weighed.
+    /// Answers [`PeerRequest::Renew`].
     Lease {
+        /// The member's committed state.
         #[serde(rename = "standing")]
         committed: CommittedState,
+        /// Time since the state was confirmed to be the newest; `None` where it is not, and no lease is granted.
         age: Option<Duration>,
+        /// How long the version has been committed at least.
         stood: Duration,
+        /// A proposed version to evaluate.
         #[serde(rename = "draft")]
         proposed: Option<VersionId>,
     },
+    /// Answers [`PeerRequest::Fetch`].
     Text {
+        /// The version.
         #[serde(rename = "stamp")]
         version_id: VersionId,
+        /// Its text.
         text: String,
     },
-    /// Such a text is not here.
-    NoText,
-    /// `is_active`: this member remembers all that it has said. What it has accepted may have been decided.
+    /// The member does not have the text.
+    #[serde(rename = "NoText")]
+    TextUnknown,
+    /// Answers [`PeerRequest::Check`].
     Checked {
+        /// The member's committed state.
         #[serde(rename = "standing")]
         committed: CommittedState,
-        sound: bool,
-        accepted: Option<(Ballot, Decision)>,
+        /// The member has its whole acceptor state.
+        #[serde(rename = "sound")]
+        active: bool,
+        /// What it has accepted, which may have been chosen.
+        accepted: Option<AcceptedDecision>,
+        /// Its followers' evaluations of the proposed version.
         tally: ProposalTally,
     },
+    /// Answers [`PeerRequest::Prepare`]: no lower ballot will be accepted.
     Promised {
-        accepted: Option<(Ballot, Decision)>,
+        /// What was accepted before.
+        accepted: Option<AcceptedDecision>,
     },
+    /// Answers [`PeerRequest::Accept`].
     Accepted,
-    /// It has promised itself to a higher one.
-    Outbid {
+    /// The member has promised a higher ballot.
+    #[serde(rename = "Outbid")]
+    BallotSuperseded {
+        /// The promised ballot.
         ballot: Ballot,
     },
-    /// It needs this text first.
-    Lacks {
+    /// The member needs the text of the version before it can accept it.
+    #[serde(rename = "Lacks")]
+    TextMissing {
+        /// The version.
         #[serde(rename = "stamp")]
         version_id: VersionId,
     },
-    /// It knows of another decision as the last.
-    Elsewhere {
+    /// The request is for another decision than the one that follows the member's state.
+    #[serde(rename = "Elsewhere")]
+    DifferentState {
+        /// The member's committed state.
         #[serde(rename = "standing")]
         committed: CommittedState,
     },
-    /// It remembers nothing yet, or is not on the committee.
+    /// The server has not recovered its acceptor state, or is not on the committee.
     Silent,
-    Fine,
-    /// How things stand, as a JSON document.
+    /// Answers [`PeerRequest::Learn`].
+    #[serde(rename = "Fine")]
+    Acknowledged,
+    /// Answers [`PeerRequest::Status`].
     Status {
+        /// The status as a JSON document.
         text: String,
     },
 }
 
-/// What a text says of itself, once it was read by who can.
+/// What the protocol needs to know of a version's text. The caller parses the text.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct VersionSummary {
-    /// Why this very server can't go by it; nothing where it can.
+    /// Why this very server can't apply the version; `None` where it can.
     pub misfit: Option<String>,
-    /// In the order of names.
+    /// The committee that decides on the next version, in the order of names.
     pub committee: Vec<ServerName>,
-    /// Those in service, where the text names them, in the order of names.
+    /// The servers in service, in the order of names; `None` where the text does not name them.
     pub servers: Option<Vec<ServerName>>,
-    /// In words, what servers out of touch would go on doing against it. The text before it is the one in force.
+    /// Changes from the committed version that a server out of contact would violate, as text for operators.
     pub restrictions: Vec<String>,
 }
 
-impl VersionSummary {
-    pub fn place(&self, name: &ServerName) -> Option<usize> {
-        self.servers.as_ref()?.binary_search(name).ok()
-    }
-}
-
-/// Names of a few, for people.
-pub fn abbreviated_list(names: &BTreeSet<&ServerName>) -> String {
-    const FEW: usize = 5;
-    let few: Vec<&str> = names.iter().take(FEW).map(|n| &*n.0).collect();
-    match names.len().checked_sub(FEW).filter(|more| *more > 0) {
-        Some(more) => format!("{} and {more} more", few.join(", ")),
-        None => few.join(", "),
+/// The first few names, and how many more there are.
+pub(crate) fn abbreviated_list(names: &BTreeSet<&ServerName>) -> String {
+    const SHOWN: usize = 5;
+    let shown: Vec<&str> = names.iter().take(SHOWN).map(|name| &*name.0).collect();
+    match names.len().checked_sub(SHOWN).filter(|more| *more > 0) {
+        Some(more) => format!("{} and {more} more", shown.join(", ")),
+        None => shown.join(", "),
     }
 }
--- a/crates/aldercrank-consensus/src/quota_handover.rs
+++ b/crates/aldercrank-consensus/src/quota_handover.rs
@@ -1,57 +1,78 @@
-//! Shares whose sum has a limit, handed from some to others. What shrinks does so at once; what grows does only when
-//! whoever still acts on the version before has shrunk or stopped, and what it had begun by then is over:
-//! `agree-within` after it was heard of, and as long again as one use of a share can take.
+//! Handover of quotas whose sum has a limit. A decrease takes effect at once. An increase waits until every server
+//! that may still use the version before has shrunk or lost its lease, and until the uses begun by then have ended:
+//! the agreement bound after the version was committed, plus the longest use of a quota.
 
 use crate::timing::{InjectedFault, Terms};
 use std::time::Duration;
 
-/// Versions that come faster than that are folded into their least.
-const MOST: usize = 8;
+/// Most quotas kept. Versions that arrive faster are folded into the smaller of the two oldest.
+const MAX_QUOTAS: usize = 8;
 
+/// A quota as one version gives it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct VersionQuota<T> {
+    quota: T,
+    /// Until when it limits the quota in use; `Duration::MAX` for the newest.
+    limits_until: Duration,
+}
+
+/// A quota at one moment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AvailableQuota<T> {
+    /// What may be used.
+    pub quota: T,
+    /// When it may be more, if that is known.
+    pub grows_at: Option<Duration>,
+}
+
+/// The quota of this server over successive versions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaHandover<T> {
-    terms: Terms,
-    /// The longest that one use of a share takes.
-    longest: Duration,
-    /// Shares by versions, the last one last; each but the last counts until then.
-    shares: Vec<(T, Duration)>,
+    timing: Terms,
+    longest_use: Duration,
+    /// Oldest first.
+    quotas: Vec<VersionQuota<T>>,
 }
 
 impl<T: PartialOrd + Copy + Default> QuotaHandover<T> {
-    /// A server that has just come has no share before: whoever had its part may still be acting on it.
-    pub fn new(terms: Terms, longest: Duration) -> QuotaHandover<T> {
-        QuotaHandover { terms, longest, shares: vec![(T::default(), Duration::ZERO)] }
+    /// A server that has just started has an empty quota: another server may still use its part.
+    /// `longest_use` is the longest duration of one use of a quota.
+    pub fn new(timing: Terms, longest_use: Duration) -> QuotaHandover<T> {
+        let empty = VersionQuota { quota: T::default(), limits_until: Duration::ZERO };
+        QuotaHandover { timing, longest_use, quotas: vec![empty] }
     }
 
-    /// A version is in force that gives this share, and has stood for so long at least.
-    pub fn given(&mut self, now: Duration, share: T, stood: Duration) {
-        self.pass(now);
-        let last = self.shares.len() - 1;
-        let wait = if self.terms.injected_fault == Some(InjectedFault::NoWait) {
+    /// A version with this quota is committed, and has been for `committed_for` at least.
+    pub fn given(&mut self, now: Duration, quota: T, committed_for: Duration) {
+        self.remove_expired(now);
+        let wait = if self.timing.injected_fault == Some(InjectedFault::NoHandoverWait) {
             Duration::ZERO
         } else {
-            self.terms.within + self.longest
+            self.timing.within + self.longest_use
         };
-        self.shares[last].1 = now + wait.saturating_sub(stood);
-        self.shares.push((share, Duration::MAX));
-        if self.shares.len() > MOST {
-            let (first, second) = (self.shares[0], self.shares[1]);
-            let least = if first.0 < second.0 { first.0 } else { second.0 };
-            self.shares.splice(..2, [(least, second.1.max(first.1))]);
+        let newest = self.quotas.len() - 1;
+        self.quotas[newest].limits_until = now + wait.saturating_sub(committed_for);
+        self.quotas.push(VersionQuota { quota, limits_until: Duration::MAX });
+        if self.quotas.len() > MAX_QUOTAS {
+            let (first, second) = (self.quotas[0], self.quotas[1]);
+            let smaller = if first.quota < second.quota { first.quota } else { second.quota };
+            let limits_until = second.limits_until.max(first.limits_until);
+            self.quotas.splice(..2, [VersionQuota { quota: smaller, limits_until }]);
         }
     }
 
-    fn pass(&mut self, now: Duration) {
-        let last = self.shares.len() - 1;
-        let over = self.shares[..last].iter().take_while(|(_, until)| *until <= now).count();
-        self.shares.drain(..over);
+    fn remove_expired(&mut self, now: Duration) {
+        let newest = self.quotas.len() - 1;
+        let expired = self.quotas[..newest].iter().take_while(|quota| quota.limits_until <= now).count();
+        self.quotas.drain(..expired);
     }
 
-    /// What may be used now, and when that is next more.
-    pub fn share(&mut self, now: Duration) -> (T, Option<Duration>) {
-        self.pass(now);
-        let least = self.shares.iter().map(|(share, _)| *share).reduce(|a, b| if b < a { b } else { a });
-        let next = self.shares[..self.shares.len() - 1].first().map(|(_, until)| *until);
-        (least.unwrap_or_default(), next)
+    /// The quota that may be used now.
+    pub fn share(&mut self, now: Duration) -> AvailableQuota<T> {
+        self.remove_expired(now);
+        let quotas = self.quotas.iter().map(|quota| quota.quota);
+        let smallest = quotas.reduce(|least, quota| if quota < least { quota } else { least });
+        let next = self.quotas[..self.quotas.len() - 1].first().map(|quota| quota.limits_until);
+        AvailableQuota { quota: smallest.unwrap_or_default(), grows_at: next }
     }
 }
--- a/crates/aldercrank-consensus/src/timing.rs
+++ b/crates/aldercrank-consensus/src/timing.rs
@@ -1,84 +1,106 @@
-//! What both sides go by: all spans are shares of the bound that operators set.
+//! Timing of the protocol. Every interval is a fixed fraction of the agreement bound that operators set.
 
 use std::time::Duration;
 
-/// A lease, as a share of the bound, before clocks are allowed for.
-const RENEW: f64 = 0.6;
-/// How often a member asks the others whether it still knows the latest.
-const CHECK: f64 = 0.125;
-/// How long anybody waits for an answer.
-const ANSWER: f64 = 0.08;
-/// How long servers have to say whether they can go by a draft.
-const GATHER: f64 = 0.25;
-/// A round that has not come to its end by then is over.
-const ROUND: f64 = 0.25;
-/// A member waits so much longer than the one before it in the order of names, before it begins a round.
-const RANK: f64 = 0.08;
-/// A member that remembers nothing keeps silent for so long: a round that an earlier life of it took part in is
-/// over by then, and so is each lease that hung on it.
-const QUARANTINE: f64 = 1.3;
+/// Interval between two lease renewals, as a fraction of the agreement bound.
+const RENEWAL_INTERVAL_OF_BOUND: f64 = 0.6;
+/// Interval between two read confirmations of a committee member, as a fraction of the agreement bound.
+const CHECK_INTERVAL_OF_BOUND: f64 = 0.125;
+/// Longest wait for a response, as a fraction of the agreement bound.
+const RESPONSE_TIMEOUT_OF_BOUND: f64 = 0.08;
+/// Time that followers have to evaluate a proposed version, as a fraction of the agreement bound.
+const GATHER_TIMEOUT_OF_BOUND: f64 = 0.25;
+/// Longest duration of a Paxos round, as a fraction of the agreement bound.
+const ROUND_TIMEOUT_OF_BOUND: f64 = 0.25;
+/// Extra delay per rank before a member begins a round, as a fraction of the agreement bound.
+const RANK_DELAY_OF_BOUND: f64 = 0.08;
+/// Silence of a member without acceptor state, as a fraction of the agreement bound: longer than any round or lease
+/// in which an earlier incarnation took part.
+const QUARANTINE_OF_BOUND: f64 = 1.3;
+/// Default of `Terms::clock_drift_per_mille`.
+const DEFAULT_CLOCK_DRIFT_PER_MILLE: u32 = 10;
 
-/// A way in which an implementation could go wrong, done on purpose so that checks are seen to find it. Nothing in
-/// the program sets one.
+/// A deliberate protocol error, injected so that the invariant checkers can be shown to find it. The program itself
+/// never sets one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedFault {
-    /// The lease is counted from when the answer came.
-    FromAnswer,
-    /// What grows does not wait until what shrinks has shrunk.
-    NoWait,
-    /// After it was stopped, a server acts before it has looked at the clock.
-    WakesUnlooked,
-    /// It acts whether it has a lease or not.
+    /// The lease counts from the arrival of the response instead of the sending of the request.
+    LeaseFromResponse,
+    /// A growing quota takes effect before the shrinking ones have.
+    NoHandoverWait,
+    /// After a pause, the server acts on its permission level from before the pause.
+    StaleLevelAfterPause,
+    /// The server acts without a lease.
     NoFence,
 }
 
+/// Timing parameters, the same on all servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
-    /// For no longer than this may two values of a fenced item be acted on.
+    /// Agreement bound: longest time for which two values of a fenced item may be in use at once.
     pub within: Duration,
-    /// For so long a server out of touch goes on with what may run again.
+    /// How long a server without a lease goes on with repeatable requests.
     pub alone: Duration,
-    /// How far the rates of two clocks may be apart, in thousandths.
-    pub drift: u32,
+    /// Largest difference between the rates of two clocks, in thousandths.
+    pub clock_drift_per_mille: u32,
+    /// The protocol error to make, in tests alone.
     pub injected_fault: Option<InjectedFault>,
 }
 
 impl Terms {
+    /// Parameters with the given agreement bound and isolation limit, the default clock drift and no fault.
     pub fn new(within: Duration, alone: Duration) -> Terms {
-        Terms { within, alone, drift: 10, injected_fault: None }
+        Terms { within, alone, clock_drift_per_mille: DEFAULT_CLOCK_DRIFT_PER_MILLE, injected_fault: None }
     }
 
-    /// How long a lease is good for, from when it was asked for: on a clock that runs late by the drift, and with an
-    /// age told by one that does, it still ends within the bound.
-    pub fn lease(&self) -> Duration {
-        self.within - self.within * 2 * self.drift / 1000
+    /// Duration of a lease, counted from the sending of the renewal. It is shorter than the agreement bound by twice
+    /// the clock drift, since the follower's clock and the clock behind the reported age may both be slow.
+    pub fn lease_duration(&self) -> Duration {
+        self.within - self.drift_over(self.within)
     }
 
-    pub fn renew(&self) -> Duration {
-        self.within.mul_f64(RENEW)
+    /// Largest difference that two clocks can show over a span, with a margin of the same size.
+    pub(crate) fn drift_over(&self, span: Duration) -> Duration {
+        span * 2 * self.clock_drift_per_mille / 1000
     }
 
-    pub fn check(&self) -> Duration {
-        self.within.mul_f64(CHECK)
+    /// A server that was last seen this long ago has stopped using its version, repeatable requests included.
+    pub(crate) fn activity_timeout(&self) -> Duration {
+        self.alone + self.within
     }
 
-    pub fn answer(&self) -> Duration {
-        self.within.mul_f64(ANSWER)
+    /// Interval between two lease renewals.
+    pub fn renewal_interval(&self) -> Duration {
+        self.within.mul_f64(RENEWAL_INTERVAL_OF_BOUND)
     }
 
-    pub fn gather(&self) -> Duration {
-        self.within.mul_f64(GATHER)
+    /// Interval between two read confirmations.
+    pub fn check_interval(&self) -> Duration {
+        self.within.mul_f64(CHECK_INTERVAL_OF_BOUND)
     }
 
-    pub fn round(&self) -> Duration {
-        self.within.mul_f64(ROUND)
+    /// Longest wait for a response.
+    pub fn response_timeout(&self) -> Duration {
+        self.within.mul_f64(RESPONSE_TIMEOUT_OF_BOUND)
     }
 
-    pub fn rank(&self) -> Duration {
-        self.within.mul_f64(RANK)
+    /// Time that followers have to evaluate a proposed version.
+    pub fn gather_timeout(&self) -> Duration {
+        self.within.mul_f64(GATHER_TIMEOUT_OF_BOUND)
     }
 
-    pub fn quarantine(&self) -> Duration {
-        self.within.mul_f64(QUARANTINE)
+    /// Longest duration of a Paxos round.
+    pub fn round_timeout(&self) -> Duration {
+        self.within.mul_f64(ROUND_TIMEOUT_OF_BOUND)
+    }
+
+    /// Extra delay per rank before a member begins a round.
+    pub fn rank_delay(&self) -> Duration {
+        self.within.mul_f64(RANK_DELAY_OF_BOUND)
+    }
+
+    /// Silence of a member that has lost its acceptor state.
+    pub fn recovery_quarantine(&self) -> Duration {
+        self.within.mul_f64(QUARANTINE_OF_BOUND)
     }
 }
--- a/crates/aldercrank-consensus/tests/golden.rs
+++ b/crates/aldercrank-consensus/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of the messages that servers send one another about the rule book: MessagePack bytes, the names that
+//! Golden files of the messages that servers send one another about the versioned configuration: MessagePack bytes, the names that
 //! stand in them, and what the receiver reads. Written only where `RECORD_GOLDEN_FILES` is set.
 
 // Support code is shared by the modules of this test alone; a scenario may be long.
@@ -12,8 +12,8 @@
 
 use aldercrank_consensus::messages::ServerSet;
 use aldercrank_consensus::{
-    Ballot, CommittedState, Decision, PeerRequest, PeerResponse, ProposalTally, ServerName, Verdict,
-    VersionId,
+    AcceptedDecision, Ballot, CommittedState, Decision, Evaluation, PeerRequest, PeerResponse, ProposalTally,
+    ServerName, Verdict, VersionId,
 };
 use serde::Serialize;
 use serde_json::{json, Value as Json};
@@ -66,7 +66,7 @@
 
 fn bits(places: &[usize]) -> ServerSet {
     let mut bits = ServerSet::default();
-    places.iter().for_each(|place| bits.set(*place));
+    places.iter().for_each(|place| bits.insert(*place));
     bits
 }
 
@@ -74,15 +74,19 @@
     ProposalTally {
         proposed: Some(version(9)),
         followers: 70_000,
-        hold: 128,
-        refuses: Some("n7: product.rent: this server has no such product".to_string()),
-        holders: bits(&[0, 7, 8, 21]),
-        loud: bits(&[31]),
+        ready_followers: 128,
+        objection: Some("n7: product.rent: this server has no such product".to_string()),
+        ready_servers: bits(&[0, 7, 8, 21]),
+        possibly_active_servers: bits(&[31]),
     }
 }
 
 fn requests() -> Vec<PeerRequest> {
-    let renew = |last, weighed| PeerRequest::Renew { from: ServerName::new("n1"), last, weighed };
+    let renew = |last, evaluation: Option<(VersionId, Result<(), String>)>| PeerRequest::Renew {
+        from: ServerName::new("n1"),
+        last,
+        evaluation: evaluation.map(Evaluation::from),
+    };
     let check = |committed, tally| PeerRequest::Check { from: ServerName::new("n3"), committed, tally };
     vec![
         renew(0, None),
@@ -91,9 +95,9 @@
         PeerRequest::Renew {
             from: ServerName::new(""),
             last: 127,
-            weighed: Some((version(250), Err(String::new()))),
+            evaluation: Some(Evaluation { version_id: version(250), result: Err(String::new()) }),
         },
-        PeerRequest::Renew { from: ServerName::new(&"n".repeat(64)), last: 128, weighed: None },
+        PeerRequest::Renew { from: ServerName::new(&"n".repeat(64)), last: 128, evaluation: None },
         PeerRequest::Fetch { version_id: version(9) },
         PeerRequest::Fetch { version_id: VersionId { number: 0, digest: [255; 32] } },
         check(committed(8, 8), ProposalTally::default()),
@@ -109,7 +113,7 @@
 }
 
 fn responses() -> Vec<PeerResponse> {
-    let accepted = |decision| Some((ballot(), decision));
+    let accepted = |decision| Some(AcceptedDecision { ballot: ballot(), decision });
     let second = Duration::from_secs(1);
     let span = Duration::new(86_400, 999_999_999);
     vec![
@@ -125,135 +129,142 @@
             text: "rules 8 {\n    limits {\n    }\n}\n".to_string(),
         },
         PeerResponse::Text { version_id: version(8), text: "ä".repeat(200) },
-        PeerResponse::NoText,
+        PeerResponse::TextUnknown,
         PeerResponse::Checked {
             committed: committed(8, 8),
-            sound: false,
+            active: false,
             accepted: None,
             tally: ProposalTally::default(),
         },
         PeerResponse::Checked {
             committed: committed(9, 8),
-            sound: true,
+            active: true,
             accepted: accepted(committed_decision(10)),
             tally: full_tally(),
         },
         PeerResponse::Promised { accepted: None },
         PeerResponse::Promised { accepted: accepted(refused(9, "n7 can't go by it")) },
         PeerResponse::Accepted,
-        PeerResponse::Outbid { ballot: ballot() },
-        PeerResponse::Outbid { ballot: Ballot::default() },
-        PeerResponse::Lacks { version_id: version(9) },
-        PeerResponse::Elsewhere { committed: committed(9, 8) },
+        PeerResponse::BallotSuperseded { ballot: ballot() },
+        PeerResponse::BallotSuperseded { ballot: Ballot::default() },
+        PeerResponse::TextMissing { version_id: version(9) },
+        PeerResponse::DifferentState { committed: committed(9, 8) },
         PeerResponse::Silent,
-        PeerResponse::Fine,
+        PeerResponse::Acknowledged,
         PeerResponse::Status { text: "{\"server\":\"n1\"}".to_string() },
     ]
 }
 
-// ---- what a message means, in the words of the protocol ----
+// ---- the meaning of a message, in the names of the protocol ----
 
-fn say_version(version: &VersionId) -> String {
+fn describe_version(version: &VersionId) -> String {
     format!("{} with digest {}", version.number, hex(&version.digest))
 }
 
-fn say_draft(proposed: &Option<VersionId>) -> String {
-    proposed.as_ref().map_or("none".to_string(), say_version)
+fn describe_proposal(proposed: &Option<VersionId>) -> String {
+    proposed.as_ref().map_or("none".to_string(), describe_version)
 }
 
-fn say_standing(committed: &CommittedState) -> String {
-    format!("last {}, book {}", committed.last, say_version(&committed.book))
+fn describe_committed(committed: &CommittedState) -> String {
+    format!("last {}, book {}", committed.last, describe_version(&committed.book))
 }
 
-fn say_ballot(ballot: &Ballot) -> String {
+fn describe_ballot(ballot: &Ballot) -> String {
     let by = ballot.by.as_ref().map(|name| name.to_string());
     format!("round {}, by {by:?}, life {}", ballot.round, ballot.life)
 }
 
-fn say_decision(decision: &Decision) -> String {
+fn describe_decision(decision: &Decision) -> String {
     let verdict = match &decision.verdict {
         Verdict::InForce => "InForce".to_string(),
         Verdict::Refused(why) => format!("Refused {why:?}"),
     };
-    format!("{verdict} for {}", say_version(&decision.version_id))
+    format!("{verdict} for {}", describe_version(&decision.version_id))
 }
 
-fn say_accepted(accepted: &Option<(Ballot, Decision)>) -> String {
-    let say = |(ballot, decision): &(Ballot, Decision)| {
-        format!("ballot [{}], decision [{}]", say_ballot(ballot), say_decision(decision))
+fn describe_accepted(accepted: &Option<AcceptedDecision>) -> String {
+    let describe = |AcceptedDecision { ballot, decision }: &AcceptedDecision| {
+        format!("ballot [{}], decision [{}]", describe_ballot(ballot), describe_decision(decision))
     };
-    accepted.as_ref().map_or("none".to_string(), say)
+    accepted.as_ref().map_or("none".to_string(), describe)
 }
 
-fn say_bits(bits: &ServerSet) -> String {
-    let places: Vec<usize> = (0..256).filter(|place| bits.has(*place)).collect();
+fn describe_servers(bits: &ServerSet) -> String {
+    let places: Vec<usize> = (0..256).filter(|place| bits.contains(*place)).collect();
     format!("{places:?}")
 }
 
-fn say_tally(tally: &ProposalTally) -> String {
-    let (holders, loud) = (say_bits(&tally.holders), say_bits(&tally.loud));
-    let proposed = say_draft(&tally.proposed);
-    let (followers, hold, refuses) = (tally.followers, tally.hold, &tally.refuses);
+fn describe_tally(tally: &ProposalTally) -> String {
+    let (holders, loud) =
+        (describe_servers(&tally.ready_servers), describe_servers(&tally.possibly_active_servers));
+    let proposed = describe_proposal(&tally.proposed);
+    let (followers, hold, refuses) = (tally.followers, tally.ready_followers, &tally.objection);
     format!("draft {proposed}, attached {followers}, hold {hold}, refuses {refuses:?}, holders {holders}, loud {loud}")
 }
 
-fn say_weighed(weighed: &Option<(VersionId, Result<(), String>)>) -> String {
-    let say = |(version, verdict): &(VersionId, Result<(), String>)| match verdict {
-        Ok(()) => format!("Ok for {}", say_version(version)),
-        Err(why) => format!("Err {why:?} for {}", say_version(version)),
+fn describe_evaluation(evaluation: &Option<Evaluation>) -> String {
+    let describe = |Evaluation { version_id, result }: &Evaluation| match result {
+        Ok(()) => format!("Ok for {}", describe_version(version_id)),
+        Err(why) => format!("Err {why:?} for {}", describe_version(version_id)),
     };
-    weighed.as_ref().map_or("none".to_string(), say)
+    evaluation.as_ref().map_or("none".to_string(), describe)
 }
 
-fn say_request(request: &PeerRequest) -> String {
+fn describe_request(request: &PeerRequest) -> String {
     match request {
-        PeerRequest::Renew { from, last, weighed } => {
-            format!("Renew: from {:?}, last {last}, weighed {}", from.to_string(), say_weighed(weighed))
+        PeerRequest::Renew { from, last, evaluation } => {
+            format!(
+                "Renew: from {:?}, last {last}, weighed {}",
+                from.to_string(),
+                describe_evaluation(evaluation)
+            )
         }
-        PeerRequest::Fetch { version_id } => format!("Fetch: {}", say_version(version_id)),
+        PeerRequest::Fetch { version_id } => format!("Fetch: {}", describe_version(version_id)),
         PeerRequest::Check { from, committed, tally } => {
             format!(
                 "Check: from {from}, standing [{}], tally [{}]",
-                say_standing(committed),
-                say_tally(tally)
+                describe_committed(committed),
+                describe_tally(tally)
             )
         }
         PeerRequest::Prepare { after, ballot } => {
-            format!("Prepare: after {after}, ballot [{}]", say_ballot(ballot))
+            format!("Prepare: after {after}, ballot [{}]", describe_ballot(ballot))
         }
         PeerRequest::Accept { after, ballot, decision } => {
-            let (ballot, decision) = (say_ballot(ballot), say_decision(decision));
+            let (ballot, decision) = (describe_ballot(ballot), describe_decision(decision));
             format!("Accept: after {after}, ballot [{ballot}], decision [{decision}]")
         }
         PeerRequest::Learn { after, decision } => {
-            format!("Learn: after {after}, decision [{}]", say_decision(decision))
+            format!("Learn: after {after}, decision [{}]", describe_decision(decision))
         }
         PeerRequest::Status => "Status".to_string(),
     }
 }
 
-fn say_response(response: &PeerResponse) -> String {
+fn describe_response(response: &PeerResponse) -> String {
     match response {
         PeerResponse::Lease { committed, age, stood, proposed } => {
-            let (committed, proposed) = (say_standing(committed), say_draft(proposed));
+            let (committed, proposed) = (describe_committed(committed), describe_proposal(proposed));
             format!("Lease: standing [{committed}], age {age:?}, stood {stood:?}, draft {proposed}")
         }
         PeerResponse::Text { version_id, text } => {
-            format!("Text: {}, text {text:?}", say_version(version_id))
+            format!("Text: {}, text {text:?}", describe_version(version_id))
         }
-        PeerResponse::NoText => "NoText".to_string(),
-        PeerResponse::Checked { committed, sound, accepted, tally } => {
-            let (committed, tally) = (say_standing(committed), say_tally(tally));
-            let accepted = say_accepted(accepted);
-            format!("Checked: standing [{committed}], sound {sound}, accepted {accepted}, tally [{tally}]")
+        PeerResponse::TextUnknown => "NoText".to_string(),
+        PeerResponse::Checked { committed, active, accepted, tally } => {
+            let (committed, tally) = (describe_committed(committed), describe_tally(tally));
+            let accepted = describe_accepted(accepted);
+            format!("Checked: standing [{committed}], sound {active}, accepted {accepted}, tally [{tally}]")
         }
-        PeerResponse::Promised { accepted } => format!("Promised: accepted {}", say_accepted(accepted)),
+        PeerResponse::Promised { accepted } => format!("Promised: accepted {}", describe_accepted(accepted)),
         PeerResponse::Accepted => "Accepted".to_string(),
-        PeerResponse::Outbid { ballot } => format!("Outbid: ballot [{}]", say_ballot(ballot)),
-        PeerResponse::Lacks { version_id } => format!("Lacks: {}", say_version(version_id)),
-        PeerResponse::Elsewhere { committed } => format!("Elsewhere: standing [{}]", say_standing(committed)),
+        PeerResponse::BallotSuperseded { ballot } => format!("Outbid: ballot [{}]", describe_ballot(ballot)),
+        PeerResponse::TextMissing { version_id } => format!("Lacks: {}", describe_version(version_id)),
+        PeerResponse::DifferentState { committed } => {
+            format!("Elsewhere: standing [{}]", describe_committed(committed))
+        }
         PeerResponse::Silent => "Silent".to_string(),
-        PeerResponse::Fine => "Fine".to_string(),
+        PeerResponse::Acknowledged => "Fine".to_string(),
         PeerResponse::Status { text } => format!("Status: {text:?}"),
     }
 }
@@ -264,17 +275,17 @@
 /// The reader's result; servers pass its error on to nobody, so that only that there is one counts.
 fn read_request(bytes: &[u8]) -> String {
     rmp_serde::from_slice::<PeerRequest>(bytes)
-        .map_or("not readable".to_string(), |request| say_request(&request))
+        .map_or("not readable".to_string(), |request| describe_request(&request))
 }
 
 fn read_response(bytes: &[u8]) -> String {
     rmp_serde::from_slice::<PeerResponse>(bytes)
-        .map_or("not readable".to_string(), |said| say_response(&said))
+        .map_or("not readable".to_string(), |response| describe_response(&response))
 }
 
 fn read_notification(bytes: &[u8]) -> String {
     let read = rmp_serde::from_slice::<Option<VersionId>>(bytes);
-    read.map_or("not readable".to_string(), |proposed| format!("draft {}", say_draft(&proposed)))
+    read.map_or("not readable".to_string(), |proposed| format!("draft {}", describe_proposal(&proposed)))
 }
 
 /// One message: its bytes, the values and names that stand in them, and what the receiver reads; cut short it is not
