--- a/crates/aldercrank-server/src/net/rules.rs
+++ b/crates/aldercrank-server/src/net/rules.rs
@@ -14,8 +14,8 @@
 use aldercrank_consensus::messages::VersionSummary;
 use aldercrank_consensus::{follower, member};
 use aldercrank_consensus::{
-    CommittedState, CommitteeMember, ConfigVersion, CorrelationId, Follower, PeerRequest, PeerResponse,
-    PermissionLevel, QuotaHandover, ServerName, Terms, VersionId,
+    CommittedState, CommitteeMember, ConfigVersion, CorrelationId, Follower, MemberIdentity, PeerRequest,
+    PeerResponse, PermissionBounds, PermissionLevel, QuotaHandover, ServerName, Terms, VersionId,
 };
 use aldercrank_pacing::RetryPacer;
 use aldercrank_pacing::SlowStartStatus;
@@ -80,7 +80,7 @@
     shares: Option<QuotaHandover<f64>>,
     book: Option<Rc<VersionedConfig>>,
     since: Duration,
-    response: (Duration, Duration),
+    response: PermissionBounds,
     level: PermissionLevel,
     attached: BTreeMap<ServerName, ConnId>,
     reading: Option<Reading>,
@@ -235,7 +235,7 @@
             shares: None,
             book: None,
             since: now,
-            response: (Duration::ZERO, Duration::ZERO),
+            response: PermissionBounds::default(),
             level: PermissionLevel::Mute,
             attached: BTreeMap::new(),
             reading,
@@ -249,7 +249,8 @@
         let Some(book) = self.hand.book(&doc.version_id, &doc.text) else { return };
         let on_committee = book.committee().iter().any(|(name, _)| *name == *self.hand.me.0);
         if on_committee && self.member.is_none() {
-            let (id, votes) = ((self.hand.me.clone(), self.life), self.hand.memory.votes());
+            let id = MemberIdentity { name: self.hand.me.clone(), incarnation: self.life };
+            let votes = self.hand.memory.votes();
             let remembers = votes.is_some();
             self.life += 1;
             self.member = CommitteeMember::new(
@@ -317,7 +318,7 @@
     fn settings(&mut self, now: Duration) -> Option<(Settings, Option<f64>)> {
         let book = self.book.as_ref()?;
         let mut settings = book.settings(&self.hand.platform, &self.hand.me.0);
-        let share = self.shares.as_mut().map(|shares| shares.share(now).0);
+        let share = self.shares.as_mut().map(|shares| shares.share(now).quota);
         if let Some(share) = share {
             // For the module none would be no limit; that there is none the core sees to.
             settings.set("family_info.calls_out", aldercrank::Value::Num(share.max(LEAST_SHARE)));
@@ -327,7 +328,7 @@
 
     fn next(&mut self, now: Duration) -> Duration {
         let member = self.member.as_ref().map(CommitteeMember::next);
-        let share = self.shares.as_mut().and_then(|s| s.share(now).1);
+        let share = self.shares.as_mut().and_then(|s| s.share(now).grows_at);
         let list = self.reading.as_ref().filter(|_| self.member.is_some()).map(|r| r.due);
         let others = [member, share, list].into_iter().flatten();
         others.fold(self.follower.next(), Duration::min)
@@ -342,14 +343,14 @@
             serde_json::json!({"last": standing.last, "version": standing.book.number,
                 "digest": format!("{}", aldercrank_versioned_config::Digest(standing.book.digest))})
         };
-        let (full, _) = self.follower.bounds();
+        let full = self.follower.bounds().full_until;
         let committee = self.member.as_ref().map(|m| {
             let servers: Vec<_> = m.servers(now).iter().map(|s| serde_json::json!({
                 "name": &*s.name.0, "last": s.last, "heard_ms": ms(s.heard), "lease_ms": ms(s.lease_left),
-                "weighed": s.weighed.as_ref().map(|(version_id, verdict)| serde_json::json!({
-                    "version": version_id.number, "refuses": verdict.as_ref().err()}))})).collect();
+                "weighed": s.evaluation.as_ref().map(|evaluation| serde_json::json!({
+                    "version": evaluation.version_id.number, "refuses": evaluation.result.as_ref().err()}))})).collect();
             let odds: Vec<String> = m.conflicting_members().iter().map(|(name, version_id)| format!("{name}: {version_id}")).collect();
-            let refused = m.refusals().iter().map(|(n, why)| serde_json::json!({"version": n, "why": why}));
+            let refused = m.refusals().iter().map(|refusal| serde_json::json!({"version": refusal.number, "why": refusal.reason}));
             let refused: Vec<_> = refused.collect();
             serde_json::json!({"standing": version(m.committed()), "sound": m.is_active(), "vouches": m.confirms(now),
                 "draft": m.proposed().map(|d| d.version_id.number), "held_up": m.blocked_by(now), "at_odds": odds,
@@ -441,7 +442,7 @@
     /// Tells the core until when it may act, and the list service when that changes what it hears.
     fn rules_lease(&mut self, rules: &mut Rules, now: Duration) {
         let bounds = rules.follower.bounds();
-        let level = rules.follower.level(now).0;
+        let level = rules.follower.level(now);
         if bounds != rules.response {
             rules.response = bounds;
             self.rules_bounds(rules, now);
@@ -464,7 +465,7 @@
             end => (at + end).saturating_sub(now),
         };
         if let Some(core) = &mut self.core {
-            core.leased(at, there(rules.response.0), there(rules.response.1));
+            core.leased(at, there(rules.response.full_until), there(rules.response.alone_until));
         }
     }
 
@@ -690,7 +691,8 @@
                     tracing::info!(version = number, digest = %book.digest(), "a version to come was read")
                 }
                 Ok(()) => {}
-                Err(why) => {
+                Err(error) => {
+                    let why = error.to_string();
                     tracing::warn!(version = number, why, "a version read off the list service is no draft")
                 }
             }
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -138,8 +138,11 @@
 #[test]
 fn messages_about_the_rule_book_are_framed_as_recorded() {
     let mut out = String::new();
-    let renew =
-        PeerRequest::Renew { from: ServerName::new("n1"), last: 8, weighed: Some((version(9), Ok(()))) };
+    let renew = PeerRequest::Renew {
+        from: ServerName::new("n1"),
+        last: 8,
+        evaluation: Some((version(9), Ok(())).into()),
+    };
     whole(&mut out, "request Status", &request(1, &pack(&PeerRequest::Status)), read_as_server);
     whole(&mut out, "request Renew", &request(128, &pack(&renew)), read_as_server);
     let fetch = request(u32::MAX, &pack(&PeerRequest::Fetch { version_id: version(9) }));
@@ -153,7 +156,7 @@
     };
     let plain = ResponseFields::default();
     let full = ResponseFields { hint: Some("0.85"), rules: Some(8) };
-    whole(&mut out, "response Fine", &response(1, &pack(&PeerResponse::Fine), plain), read_as_caller);
+    whole(&mut out, "response Fine", &response(1, &pack(&PeerResponse::Acknowledged), plain), read_as_caller);
     whole(&mut out, "response Silent", &response(300, &pack(&PeerResponse::Silent), full), read_as_caller);
     whole(&mut out, "response Lease", &response(70_000, &pack(&lease), full), read_as_caller);
     let text = PeerResponse::Text { version_id: version(8), text: "rules 8 {\n}\n".repeat(1000) };
@@ -207,7 +210,7 @@
     as_server("notification where a request is due", &notification(None));
     as_server(
         "response where a request is due",
-        &response(1, &pack(&PeerResponse::Fine), ResponseFields::default()),
+        &response(1, &pack(&PeerResponse::Acknowledged), ResponseFields::default()),
     );
     compare("consensus/framing-odd.txt", &out);
 }
--- a/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
@@ -3,7 +3,9 @@
 
 use super::{compare, golden, hex, recording};
 use aldercrank_consensus::member::AcceptorState;
-use aldercrank_consensus::{Ballot, CommittedState, Decision, ServerName, Verdict, VersionId};
+use aldercrank_consensus::{
+    AcceptedDecision, Ballot, CommittedState, Decision, ServerName, Verdict, VersionId,
+};
 use aldercrank_server::net::memory::Memory;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -108,7 +110,7 @@
         committed: standing(8, 8),
         text: Arc::from("rules 8 {\n}\n"),
         promised: promised.clone(),
-        accepted: accepted.as_ref().map(|(decision, _)| (promised, decision.clone())),
+        accepted: accepted.as_ref().map(|(decision, _)| (promised, decision.clone()).into()),
         accepted_text: accepted.and_then(|(_, text)| text).map(Arc::from),
     }
 }
@@ -151,7 +153,7 @@
     let _ = writeln!(out, "  votes promised {}", say_ballot(&votes.promised));
     match &votes.accepted {
         None => out.push_str("  votes accepted none\n"),
-        Some((ballot, decision)) => {
+        Some(AcceptedDecision { ballot, decision }) => {
             let verdict = match &decision.verdict {
                 Verdict::InForce => "InForce".to_string(),
                 Verdict::Refused(why) => format!("Refused {why:?}"),
