--- a/crates/aldercrank-versioned-config/src/items.rs
+++ b/crates/aldercrank-versioned-config/src/items.rs
@@ -1,123 +1,149 @@
-//! The one table of what a book can say: each item's role, its values, and the setting that it stands for. Nothing
-//! else asks for a list of items by name.
+//! The declarations of all items: consistency, values, and the setting that each stands for. Every other list of items
+//! is derived from these.
 
-/// What a mix of two values in the fleet does.
+/// Whether two values of an item may be in use in the fleet at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Consistency {
-    /// No harm: any mix of versions will do.
+    /// They may: any mix of versions works.
     Free,
-    /// Two values must not be acted on at the same time for longer than `agree-within`.
+    /// Not for longer than the agreement bound.
     Fenced,
-    /// It can't be changed by a version at all.
+    /// A version can't change the item at all.
     Fixed,
 }
 
-/// What an item's value has to be.
+/// A value by its name in the text of a version and by its name in the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
-    /// A number, from and to.
-    Number(f64, f64),
-    /// A span in milliseconds, from and to; settings have it in microseconds.
-    Span(f64, f64),
+pub(crate) struct Choice {
+    pub(crate) name: &'static str,
+    pub(crate) setting: &'static str,
+}
+
+/// The values that an item takes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum ValueKind {
+    Number {
+        min: f64,
+        max: f64,
+    },
+    /// In milliseconds; the setting is in microseconds.
+    TimeSpan {
+        min: f64,
+        max: f64,
+    },
     Flag,
-    /// One of these words, each with the settings' name for it.
-    Word(&'static [(&'static str, &'static str)]),
+    /// One of these.
+    OneOf(&'static [Choice]),
 }
 
+/// Declaration of an item.
 #[derive(Clone, Copy, Debug)]
-pub struct Item {
-    pub name: &'static str,
-    pub role: Consistency,
-    pub kind: Kind,
-    /// The setting, `{}` being the product's place.
-    pub setting: &'static str,
+pub(crate) struct Item {
+    pub(crate) name: &'static str,
+    pub(crate) consistency: Consistency,
+    pub(crate) kind: ValueKind,
+    /// The setting; `{}` stands for the index of the request class.
+    pub(crate) setting: &'static str,
 }
 
-const DAY: f64 = 86_400_000.0;
+const DAY_MILLISECONDS: f64 = 86_400_000.0;
 
-/// By the book's name for it, and by the settings'.
-pub const EFFECTS: &[(&str, &str)] =
-    &[("inquiry-like", "retryable"), ("referenced", "dedup"), ("once-only", "fragile")];
+/// Effects of a request class: repeatable, idempotent with a key, or neither.
+const EFFECTS: &[Choice] = &[
+    Choice { name: "inquiry-like", setting: "retryable" },
+    Choice { name: "referenced", setting: "dedup" },
+    Choice { name: "once-only", setting: "fragile" },
+];
 
-/// Of a product.
-pub const CLASS_SETTINGS: &[Item] = &[
+/// Settings of a request class.
+pub(crate) const CLASS_SETTINGS: &[Item] = &[
     Item {
         name: "sla-ms",
-        role: Consistency::Free,
-        kind: Kind::Span(1.0, DAY),
+        consistency: Consistency::Free,
+        kind: ValueKind::TimeSpan { min: 1.0, max: DAY_MILLISECONDS },
         setting: "profiles.{}.goal_time",
     },
     Item {
         name: "give-up-ms",
-        role: Consistency::Free,
-        kind: Kind::Span(1.0, DAY),
+        consistency: Consistency::Free,
+        kind: ValueKind::TimeSpan { min: 1.0, max: DAY_MILLISECONDS },
         setting: "profiles.{}.give_up",
     },
     Item {
         name: "points",
-        role: Consistency::Free,
-        kind: Kind::Number(0.0, 1e9),
+        consistency: Consistency::Free,
+        kind: ValueKind::Number { min: 0.0, max: 1e9 },
         setting: "profiles.{}.points",
     },
     Item {
         name: "late-worth",
-        role: Consistency::Free,
-        kind: Kind::Number(0.0, 1.0),
+        consistency: Consistency::Free,
+        kind: ValueKind::Number { min: 0.0, max: 1.0 },
         setting: "profiles.{}.late_worth",
     },
     Item {
         name: "without-call",
-        role: Consistency::Free,
-        kind: Kind::Number(0.0, 1.0),
+        consistency: Consistency::Free,
+        kind: ValueKind::Number { min: 0.0, max: 1.0 },
         setting: "family_info.worth_without.{}",
     },
-    Item { name: "calls", role: Consistency::Free, kind: Kind::Flag, setting: "family_info.class_calls.{}" },
+    Item {
+        name: "calls",
+        consistency: Consistency::Free,
+        kind: ValueKind::Flag,
+        setting: "family_info.class_calls.{}",
+    },
     Item {
         name: "window-ms",
-        role: Consistency::Fenced,
-        kind: Kind::Span(0.0, DAY),
+        consistency: Consistency::Fenced,
+        kind: ValueKind::TimeSpan { min: 0.0, max: DAY_MILLISECONDS },
         setting: "profiles.{}.window",
     },
     Item {
         name: "effect",
-        role: Consistency::Fenced,
-        kind: Kind::Word(EFFECTS),
+        consistency: Consistency::Fenced,
+        kind: ValueKind::OneOf(EFFECTS),
         setting: "profiles.{}.effect",
     },
-    Item { name: "offered", role: Consistency::Fenced, kind: Kind::Flag, setting: "profiles.{}.offered" },
+    Item {
+        name: "offered",
+        consistency: Consistency::Fenced,
+        kind: ValueKind::Flag,
+        setting: "profiles.{}.offered",
+    },
 ];
 
-/// Of a server.
-pub const LIMITS: &[Item] = &[
+/// Settings of a server.
+pub(crate) const LIMITS: &[Item] = &[
     Item {
         name: "retry-after-ms",
-        role: Consistency::Free,
-        kind: Kind::Span(0.0, DAY),
+        consistency: Consistency::Free,
+        kind: ValueKind::TimeSpan { min: 0.0, max: DAY_MILLISECONDS },
         setting: "limits.max_retry_after",
     },
     Item {
         name: "memory-kb",
-        role: Consistency::Free,
-        kind: Kind::Number(100.0, 1e12),
+        consistency: Consistency::Free,
+        kind: ValueKind::Number { min: 100.0, max: 1e12 },
         setting: "family_info.memory_kb",
     },
     Item {
         name: "per-core",
-        role: Consistency::Free,
-        kind: Kind::Number(0.1, 64.0),
+        consistency: Consistency::Free,
+        kind: ValueKind::Number { min: 0.1, max: 64.0 },
         setting: "window.per_core",
     },
     Item {
         name: "cold-per-core",
-        role: Consistency::Free,
-        kind: Kind::Number(0.1, 64.0),
+        consistency: Consistency::Free,
+        kind: ValueKind::Number { min: 0.1, max: 64.0 },
         setting: "window.cold_per_core",
     },
 ];
 
-/// The lists: servers in service by zone, shares of the index by zone, callers turned away.
-pub const LISTS: Consistency = Consistency::Fenced;
-/// Who agrees on versions: a version says who decides on the one after it.
-pub const COMMITTEE: Consistency = Consistency::Fenced;
-/// The bound itself.
-pub const WITHIN: Consistency = Consistency::Fixed;
+/// Of the lists: servers in service by zone, quotas by zone, rejected callers.
+pub(crate) const LIST_CONSISTENCY: Consistency = Consistency::Fenced;
+/// Of the committee: a version names the committee that decides on the next one.
+pub(crate) const COMMITTEE_CONSISTENCY: Consistency = Consistency::Fenced;
+/// Of the agreement bound and the isolation limit, by which all servers must go alike.
+pub(crate) const TIMING_CONSISTENCY: Consistency = Consistency::Fixed;
--- a/crates/aldercrank-versioned-config/src/lib.rs
+++ b/crates/aldercrank-versioned-config/src/lib.rs
@@ -1,20 +1,25 @@
-//! The rule book: a numbered version, with a digest, of settings and lists that the servers of a fleet go by. No I/O,
-//! no clock.
+//! The versioned configuration: settings and lists with a version number and a digest, the same on every server of a
+//! fleet. No I/O and no clock.
 //!
-//! A book is read whole or not at all, each fault by line and column. Each item is free (any mix of versions does no
-//! harm) or fenced (two values must not be acted on at the same time); `items.rs` says which, once. `changes` tells
-//! two versions apart, `VersionedConfig::settings` merges one with what the platform says.
+//! A version is parsed as a whole or not at all; each fault has a line and a column. The table in `items` declares of
+//! each item whether versions may mix (free), or whether two values must not be in use at once (fenced). [`changes`]
+//! compares two versions, and [`VersionedConfig::settings`] merges one with the platform's settings.
 
-// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
-#![allow(missing_docs, unreachable_pub)]
-#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
-
-pub mod book;
 mod changes;
-pub mod items;
-mod merge;
+mod incompatibility;
+mod items;
+mod parse_fault;
 mod parser;
+mod path;
+mod platform_settings;
+mod value;
+mod version;
+mod versioned_config;
 
-pub use book::{Digest, Number, Value, VersionedConfig};
 pub use changes::{changes, restrictions, Change};
+pub use incompatibility::Incompatibility;
 pub use items::Consistency;
+pub use path::Path;
+pub use value::Value;
+pub use version::{Digest, Number};
+pub use versioned_config::VersionedConfig;
--- a/crates/aldercrank-versioned-config/src/parser.rs
+++ b/crates/aldercrank-versioned-config/src/parser.rs
@@ -1,190 +1,206 @@
-//! Reads a book's text: whole or not at all, all that is wrong said at once.
+//! Parses the text of a version: as a whole or not at all, with all faults at once.
 
-use crate::book::{self, Number, Path, Value, VersionedConfig, LEAST_WITHIN, LIMIT, LONGEST};
-use crate::items::{self, Item, Kind};
+use crate::items::{self, Item, ValueKind};
+use crate::parse_fault::ParseFault;
+use crate::path::{self, Path};
+use crate::value::Value;
+use crate::version::Number;
+use crate::versioned_config::VersionedConfig;
 use aldercrank_service_config::{kind, Fault, Reader};
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The highest number of a version that every reader of numbers holds exactly.
-const HIGHEST: i128 = 1 << 53;
-const MOST_COMMITTEE: usize = 9;
-const LONGEST_NAME: usize = 64;
+/// The longest text, in bytes: a version travels between servers in one message.
+const MAX_TEXT_BYTES: usize = 12 * 1024;
+/// The highest version or caller number, which every JSON reader holds exactly.
+const MAX_NUMBER: i128 = 1 << 53;
+const MAX_COMMITTEE_MEMBERS: usize = 9;
+const MAX_NAME_BYTES: usize = 64;
+/// Limits of the agreement bound.
+const AGREEMENT_BOUND_MILLISECONDS: (i128, i128) = (500, 60_000);
+/// Limits of the isolation limit.
+const ISOLATION_LIMIT_MILLISECONDS: (i128, i128) = (1000, 86_400_000);
+const MAX_QUOTA: f64 = 1e9;
 const BLOCKS: [&str; 8] = [
-    book::AGREE,
-    book::ALONE_FOR,
-    book::COMMITTEE,
-    book::CLASS,
-    book::LIMITS,
-    book::SERVERS,
-    book::SHARES,
-    book::AWAY,
+    path::AGREEMENT_BOUND,
+    path::ISOLATION_LIMIT,
+    path::COMMITTEE,
+    path::CLASS,
+    path::LIMITS,
+    path::SERVERS,
+    path::QUOTAS,
+    path::REJECTED_CALLERS,
 ];
 
 impl VersionedConfig {
-    /// Reads the text. Faults come in its order, each with line and column.
+    /// Parses a version's text.
+    ///
+    /// # Errors
+    /// All faults in the order of the text, each with line and column.
     pub fn parse(text: &str) -> Result<VersionedConfig, Vec<Fault>> {
         let mut reader = Reader::new(text);
-        if text.len() > LONGEST {
-            let what = format!("{} bytes; a version has {LONGEST} at most", text.len());
-            reader.fault(0, what);
+        if text.len() > MAX_TEXT_BYTES {
+            let fault = ParseFault::TooLong { bytes: text.len(), limit: MAX_TEXT_BYTES };
+            reader.fault(0, fault.to_string());
             return Err(reader.faults());
         }
-        let mut read = Read { reader: &mut reader, items: BTreeMap::new(), places: BTreeMap::new() };
-        let number = read.document();
-        let items = read.items;
+        let mut parser = Parser { reader: &mut reader, items: BTreeMap::new(), offsets: BTreeMap::new() };
+        let number = parser.document();
+        let items = parser.items;
         let faults = reader.faults();
         match number {
             Some(number) if faults.is_empty() => Ok(VersionedConfig { number, items }),
-            _ if faults.is_empty() => Err(vec![Fault { line: 1, column: 1, what: "no book".to_string() }]),
+            _ if faults.is_empty() => {
+                Err(vec![Fault { line: 1, column: 1, what: ParseFault::NoVersion.to_string() }])
+            }
             _ => Err(faults),
         }
     }
 }
 
-struct Read<'r, 't> {
+struct Parser<'r, 't> {
     reader: &'r mut Reader<'t>,
     items: BTreeMap<Path, Value>,
-    /// Where each item stands, for faults that take two of them to see.
-    places: BTreeMap<Path, usize>,
+    /// Where each item stands in the text, for faults that concern more than one.
+    offsets: BTreeMap<Path, usize>,
 }
 
-fn at(node: &KdlNode) -> usize {
+fn offset_of(node: &KdlNode) -> usize {
     node.name().span().offset()
 }
 
-/// A name as settings and reports have it.
-fn plain(name: &str) -> bool {
-    let good = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
-    (1..=LONGEST_NAME).contains(&name.len()) && name.bytes().all(good)
+/// Whether a name has only the characters that settings and reports allow.
+fn is_plain_name(name: &str) -> bool {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(allowed)
 }
 
-impl Read<'_, '_> {
+impl Parser<'_, '_> {
+    fn report(&mut self, offset: usize, fault: &ParseFault) {
+        self.reader.fault(offset, fault.to_string());
+    }
+
     fn document(&mut self) -> Option<Number> {
         let document = self.reader.document()?;
-        let mut number = None;
         self.reader.nodes(&document, &["rules"], |_, _| {});
-        let Some(node) = document.nodes().iter().find(|n| n.name().value() == "rules") else {
-            self.reader.fault(0, "rules NUMBER { ... } is missing".to_string());
+        let Some(node) = document.nodes().iter().find(|node| node.name().value() == "rules") else {
+            self.report(0, &ParseFault::RulesMissing);
             return None;
         };
+        let number = self.version_number(node);
+        if let Some(children) = self.reader.children(node) {
+            let children = children.clone();
+            self.blocks(&children, offset_of(node));
+        }
+        number
+    }
+
+    fn version_number(&mut self, node: &KdlNode) -> Option<Number> {
         match node.entries() {
             [entry] if entry.name().is_none() => match entry.value() {
-                KdlValue::Integer(n) if (1..=HIGHEST).contains(n) => number = Some(Number(*n as u64)),
+                KdlValue::Integer(number) if (1..=MAX_NUMBER).contains(number) => {
+                    return Some(Number(*number as u64));
+                }
                 other => {
-                    let what = format!("rules takes the version's number, 1 or more, found {}", kind(other));
-                    self.reader.fault(entry.span().offset(), what);
+                    let found = kind(other);
+                    self.report(entry.span().offset(), &ParseFault::InvalidNumber { found });
                 }
             },
-            _ => self.reader.fault(at(node), "rules takes the version's number alone".to_string()),
+            _ => self.report(offset_of(node), &ParseFault::NumberExpected),
         }
-        if let Some(children) = self.reader.children(node) {
-            let children = children.clone();
-            self.blocks(&children, at(node));
-        }
-        number
+        None
     }
 
-    fn blocks(&mut self, document: &KdlDocument, place: usize) {
+    fn blocks(&mut self, document: &KdlDocument, rules_offset: usize) {
         let mut seen: BTreeSet<(String, String)> = BTreeSet::new();
         for node in document.nodes() {
             let name = node.name().value();
             if !BLOCKS.contains(&name) {
-                self.reader.unknown(at(node), name, &BLOCKS);
+                self.reader.unknown(offset_of(node), name, &BLOCKS);
                 continue;
             }
-            let of = if name == book::CLASS { self.class_name(node) } else { Some(String::new()) };
+            let of = if name == path::CLASS { self.class_name(node) } else { Some(String::new()) };
             let Some(of) = of else { continue };
             if !seen.insert((name.to_string(), of.clone())) {
-                let what = format!("{name} {of} stands here a second time; it may stand once");
-                self.reader.fault(at(node), what);
+                self.report(offset_of(node), &ParseFault::RepeatedBlock { name: name.to_string(), of });
                 continue;
             }
             match name {
-                book::AGREE => self.span(node, book::AGREE, LEAST_WITHIN.as_millis() as i128, 60_000),
-                book::ALONE_FOR => self.span(node, book::ALONE_FOR, 1000, 86_400_000),
-                book::AWAY => self.away(node),
-                book::CLASS => self.table(node, book::CLASS, &of, items::CLASS_SETTINGS),
-                book::LIMITS => self.table(node, book::LIMITS, "", items::LIMITS),
-                book::COMMITTEE => self.committee(node),
-                book::SERVERS => self.servers(node),
-                _ => self.shares(node),
+                path::AGREEMENT_BOUND => {
+                    self.time_span(node, path::AGREEMENT_BOUND, AGREEMENT_BOUND_MILLISECONDS);
+                }
+                path::ISOLATION_LIMIT => {
+                    self.time_span(node, path::ISOLATION_LIMIT, ISOLATION_LIMIT_MILLISECONDS);
+                }
+                path::REJECTED_CALLERS => self.rejected_callers(node),
+                path::CLASS => self.table(node, path::CLASS, &of, items::CLASS_SETTINGS),
+                path::LIMITS => self.table(node, path::LIMITS, "", items::LIMITS),
+                path::COMMITTEE => self.committee(node),
+                path::SERVERS => self.servers(node),
+                _ => self.quotas(node),
             }
         }
-        self.whole(place);
+        self.check_across_items(rules_offset);
     }
 
-    fn set(&mut self, at: usize, block: &'static str, of: &str, name: &str, value: Value) {
-        let path = Path::new(block, of, name);
+    fn insert(&mut self, offset: usize, path: Path, value: Value) {
         if self.items.insert(path.clone(), value).is_some() {
-            self.reader.fault(at, format!("{path} stands here a second time; it may stand once"));
+            self.report(offset, &ParseFault::RepeatedItem { path: path.clone() });
         }
-        self.places.insert(path, at);
+        self.offsets.insert(path, offset);
     }
 
-    fn span(&mut self, node: &KdlNode, block: &'static str, least: i128, most: i128) {
-        if let Some(ms) = self.reader.whole(node, least, most) {
-            self.set(at(node), block, "", "", Value::Number(ms as f64));
+    fn time_span(&mut self, node: &KdlNode, block: &'static str, (min, max): (i128, i128)) {
+        if let Some(milliseconds) = self.reader.whole(node, min, max) {
+            self.insert(offset_of(node), Path::new(block, "", ""), Value::Number(milliseconds as f64));
         }
     }
 
     fn class_name(&mut self, node: &KdlNode) -> Option<String> {
         match node.entries() {
             [entry] if entry.name().is_none() => match entry.value() {
-                KdlValue::String(name) if plain(name) => return Some(name.clone()),
+                KdlValue::String(name) if is_plain_name(name) => return Some(name.clone()),
                 other => {
-                    let what = format!("product takes a product's name, found {}", kind(other));
-                    self.reader.fault(entry.span().offset(), what);
+                    let found = kind(other);
+                    self.report(entry.span().offset(), &ParseFault::InvalidClassName { found });
                 }
             },
-            _ => self.reader.fault(at(node), "product takes one name, product \"NAME\" { ... }".to_string()),
+            _ => self.report(offset_of(node), &ParseFault::ClassNameExpected),
         }
         None
     }
 
-    /// A block whose items stand in a table.
-    fn table(&mut self, node: &KdlNode, block: &'static str, of: &str, known: &[Item]) {
+    /// A block whose items are declared in a table.
+    fn table(&mut self, node: &KdlNode, block: &'static str, of: &str, table: &[Item]) {
         if of.is_empty() {
             self.reader.no_values(node);
         }
         let Some(children) = self.reader.children(node) else { return };
-        let names: Vec<&str> = known.iter().map(|item| item.name).collect();
+        let names: Vec<&str> = table.iter().map(|item| item.name).collect();
         for child in children.nodes() {
             let name = child.name().value();
-            let Some(item) = known.iter().find(|item| item.name == name) else {
-                self.reader.unknown(at(child), name, &names);
+            let Some(item) = table.iter().find(|item| item.name == name) else {
+                self.reader.unknown(offset_of(child), name, &names);
                 continue;
             };
             if let Some(value) = self.value(child, item.kind) {
-                self.set(at(child), block, of, name, value);
+                self.insert(offset_of(child), Path::new(block, of, name), value);
             }
         }
     }
 
-    fn value(&mut self, node: &KdlNode, wanted: Kind) -> Option<Value> {
-        match wanted {
-            Kind::Flag => self.reader.flag(node).map(Value::Flag),
-            Kind::Number(least, most) | Kind::Span(least, most) => {
-                let expected = format!("{} takes one number from {least} to {most}", node.name().value());
-                let entry = self.one(node, &expected)?;
-                let number = match entry.value() {
-                    KdlValue::Integer(n) => Some(*n as f64),
-                    KdlValue::Float(n) => Some(*n),
-                    _ => None,
-                };
-                let fits = number.filter(|n| (least..=most).contains(n));
-                if fits.is_none() {
-                    let what = format!("{expected}, found {}", kind(entry.value()));
-                    self.reader.fault(entry.span().offset(), what);
-                }
-                fits.map(Value::Number)
+    fn value(&mut self, node: &KdlNode, kind: ValueKind) -> Option<Value> {
+        match kind {
+            ValueKind::Flag => self.reader.flag(node).map(Value::Flag),
+            ValueKind::Number { min, max } | ValueKind::TimeSpan { min, max } => {
+                self.number_in_range(node, min, max).map(Value::Number)
             }
-            Kind::Word(words) => {
-                let names: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
+            ValueKind::OneOf(choices) => {
+                let names: Vec<&str> = choices.iter().map(|choice| choice.name).collect();
                 let text = self.reader.text(node, "a word")?;
                 if !names.contains(&text.as_str()) {
-                    self.reader.unknown(at(node), &text, &names);
+                    self.reader.unknown(offset_of(node), &text, &names);
                     return None;
                 }
                 Some(Value::Word(text))
@@ -192,14 +208,23 @@
         }
     }
 
-    fn one<'n>(&mut self, node: &'n KdlNode, expected: &str) -> Option<&'n KdlEntry> {
-        match node.entries() {
-            [entry] if entry.name().is_none() && node.children().is_none() => Some(entry),
-            _ => {
-                self.reader.fault(at(node), expected.to_string());
-                None
-            }
+    fn number_in_range(&mut self, node: &KdlNode, min: f64, max: f64) -> Option<f64> {
+        let item = node.name().value().to_string();
+        let Some(entry) = single_entry(node) else {
+            self.report(offset_of(node), &ParseFault::NumberInRangeExpected { item, min, max });
+            return None;
+        };
+        let number = match entry.value() {
+            KdlValue::Integer(number) => Some(*number as f64),
+            KdlValue::Float(number) => Some(*number),
+            _ => None,
+        };
+        let in_range = number.filter(|number| (min..=max).contains(number));
+        if in_range.is_none() {
+            let found = kind(entry.value());
+            self.report(entry.span().offset(), &ParseFault::NumberOutOfRange { item, min, max, found });
         }
+        in_range
     }
 
     fn committee(&mut self, node: &KdlNode) {
@@ -207,135 +232,150 @@
         let Some(children) = self.reader.children(node) else { return };
         for child in children.nodes() {
             let name = child.name().value();
-            let Some(place) = self.reader.text(child, "an address with a port") else { continue };
-            if !plain(name) {
-                self.reader.fault(at(child), format!("{name:?} is no plain name of a server"));
-            } else if place.parse::<SocketAddr>().is_err() {
-                self.reader.fault(at(child), format!("{place:?} is no address with a port"));
+            let Some(address) = self.reader.text(child, "an address with a port") else { continue };
+            if !is_plain_name(name) {
+                self.report(offset_of(child), &ParseFault::InvalidMemberName { name: name.to_string() });
+            } else if address.parse::<SocketAddr>().is_err() {
+                self.report(offset_of(child), &ParseFault::InvalidAddress { address });
             } else {
-                self.set(at(child), book::COMMITTEE, "", name, Value::Word(place));
+                self.insert(offset_of(child), Path::new(path::COMMITTEE, "", name), Value::Word(address));
             }
         }
-        let members = self.items.keys().filter(|path| path.block == book::COMMITTEE).count();
-        if members > MOST_COMMITTEE {
-            let what = format!("{members} members; {MOST_COMMITTEE} at most, 3 or 5 do");
-            self.reader.fault(at(node), what);
+        let members = self.items.keys().filter(|path| path.block == path::COMMITTEE).count();
+        if members > MAX_COMMITTEE_MEMBERS {
+            let fault = ParseFault::CommitteeTooLarge { members, limit: MAX_COMMITTEE_MEMBERS };
+            self.report(offset_of(node), &fault);
         }
     }
 
-    /// The names in a list, each once in all zones.
+    /// Zones with their servers. A server is in one zone.
     fn servers(&mut self, node: &KdlNode) {
         self.reader.no_values(node);
         let Some(children) = self.reader.children(node) else { return };
-        let mut all = BTreeSet::new();
+        let mut all_names = BTreeSet::new();
         for child in children.nodes() {
-            let mut names = BTreeSet::new();
-            for entry in child.entries() {
-                let place = entry.span().offset();
-                match entry.value() {
-                    KdlValue::String(name) if plain(name) && entry.name().is_none() => {
-                        if !all.insert(name.clone()) {
-                            let what = format!("{name} stands in the list twice; a server is in one zone");
-                            self.reader.fault(place, what);
-                        }
-                        names.insert(name.clone());
-                    }
-                    other => {
-                        self.reader.fault(place, format!("a server's name, found {}", kind(other)));
+            let zone = child.name().value();
+            let names = self.server_names(child, &mut all_names);
+            if !is_plain_name(zone) || names.is_empty() {
+                self.report(offset_of(child), &ParseFault::ZoneExpected);
+            }
+            self.insert(offset_of(child), Path::new(path::SERVERS, "", zone), Value::Names(names));
+        }
+    }
+
+    fn server_names(&mut self, zone: &KdlNode, all_names: &mut BTreeSet<String>) -> BTreeSet<String> {
+        let mut names = BTreeSet::new();
+        for entry in zone.entries() {
+            let offset = entry.span().offset();
+            match entry.value() {
+                KdlValue::String(name) if is_plain_name(name) && entry.name().is_none() => {
+                    if !all_names.insert(name.clone()) {
+                        self.report(offset, &ParseFault::RepeatedServer { name: name.clone() });
                     }
+                    names.insert(name.clone());
+                }
+                other => {
+                    let found = kind(other);
+                    self.report(offset, &ParseFault::ServerNameExpected { found });
                 }
             }
-            if !plain(child.name().value()) || names.is_empty() {
-                let what = "a zone's name, and the names of its servers behind it";
-                self.reader.fault(at(child), what.to_string());
-            }
-            self.set(at(child), book::SERVERS, "", child.name().value(), Value::Names(names));
         }
+        names
     }
 
-    fn shares(&mut self, node: &KdlNode) {
+    fn quotas(&mut self, node: &KdlNode) {
         self.reader.no_values(node);
         let Some(children) = self.reader.children(node) else { return };
         for child in children.nodes() {
-            if let Some(value) = self.value(child, Kind::Number(0.0, 1e9)) {
-                self.set(at(child), book::SHARES, "", child.name().value(), value);
+            if let Some(quota) = self.number_in_range(child, 0.0, MAX_QUOTA) {
+                let path = Path::new(path::QUOTAS, "", child.name().value());
+                self.insert(offset_of(child), path, Value::Number(quota));
             }
         }
     }
 
-    fn away(&mut self, node: &KdlNode) {
+    fn rejected_callers(&mut self, node: &KdlNode) {
         let mut callers = BTreeSet::new();
         for entry in node.entries() {
             match entry.value() {
-                KdlValue::Integer(n) if (0..=HIGHEST).contains(n) && entry.name().is_none() => {
-                    callers.insert(*n as u64);
+                KdlValue::Integer(number) if (0..=MAX_NUMBER).contains(number) && entry.name().is_none() => {
+                    callers.insert(*number as u64);
                 }
                 other => {
-                    let what = format!("turned-away takes callers' numbers, found {}", kind(other));
-                    self.reader.fault(entry.span().offset(), what);
+                    let found = kind(other);
+                    self.report(entry.span().offset(), &ParseFault::CallerExpected { found });
                 }
             }
         }
-        self.set(at(node), book::AWAY, "", "", Value::Callers(callers));
+        self.insert(offset_of(node), Path::new(path::REJECTED_CALLERS, "", ""), Value::Callers(callers));
     }
 
-    /// What takes more than one item to see.
-    fn whole(&mut self, place: usize) {
-        if !self.items.keys().any(|path| path.block == book::COMMITTEE) {
-            let what =
-                "committee { NAME \"ADDRESS:PORT\" ... } is missing: who is to agree on the next version";
-            self.reader.fault(place, what.to_string());
+    /// Faults that concern more than one item.
+    fn check_across_items(&mut self, rules_offset: usize) {
+        if !self.items.keys().any(|path| path.block == path::COMMITTEE) {
+            self.report(rules_offset, &ParseFault::CommitteeMissing);
         }
-        self.spans_of_classes();
-        self.sum_of_shares();
+        self.check_timeouts();
+        self.check_quotas();
     }
 
     fn number(&self, path: &Path) -> Option<f64> {
         match self.items.get(path) {
-            Some(Value::Number(n)) => Some(*n),
+            Some(Value::Number(number)) => Some(*number),
             _ => None,
         }
     }
 
-    fn spans_of_classes(&mut self) {
-        let classes: BTreeSet<String> =
-            self.items.keys().filter(|p| p.block == book::CLASS).map(|p| p.of.clone()).collect();
-        for of in classes {
-            let path = |name: &str| Path::new(book::CLASS, &of, name);
-            let (latency_target, timeout) = (self.number(&path("sla-ms")), self.number(&path("give-up-ms")));
+    /// A request class's timeout is not below its latency target.
+    fn check_timeouts(&mut self) {
+        let classes = self.items.keys().filter(|path| path.block == path::CLASS);
+        let classes: BTreeSet<String> = classes.map(|path| path.of.clone()).collect();
+        for class in classes {
+            let timeout_path = Path::new(path::CLASS, &class, "give-up-ms");
+            let latency_target = self.number(&Path::new(path::CLASS, &class, "sla-ms"));
+            let timeout = self.number(&timeout_path);
             if let Some((latency_target, timeout)) =
                 latency_target.zip(timeout).filter(|(latency_target, timeout)| timeout < latency_target)
             {
-                let what =
-                    format!("{of}: given up after {timeout} ms, before its SLA time of {latency_target} ms");
-                self.reader.fault(self.places[&path("give-up-ms")], what);
+                let offset = self.offsets[&timeout_path];
+                let fault = ParseFault::TimeoutBeforeLatencyTarget { class, timeout, latency_target };
+                self.report(offset, &fault);
             }
         }
     }
 
-    fn sum_of_shares(&mut self) {
-        let shares: Vec<(Path, f64)> = self
+    /// The quotas have a limit, their sum is within it, and each is of a zone that has servers.
+    fn check_quotas(&mut self) {
+        let quotas: Vec<(Path, f64)> = self
             .items
             .iter()
-            .filter(|(path, _)| path.block == book::SHARES && path.name != LIMIT)
+            .filter(|(path, _)| path.block == path::QUOTAS && path.name != path::QUOTA_LIMIT)
             .filter_map(|(path, _)| Some((path.clone(), self.number(path)?)))
             .collect();
-        let limit = self.number(&Path::new(book::SHARES, "", LIMIT));
-        let Some(first) = shares.first().map(|(path, _)| self.places[path]) else { return };
-        let sum: f64 = shares.iter().map(|(_, n)| n).sum();
+        let limit = self.number(&Path::new(path::QUOTAS, "", path::QUOTA_LIMIT));
+        let Some(first_offset) = quotas.first().map(|(path, _)| self.offsets[path]) else { return };
+        let sum: f64 = quotas.iter().map(|(_, quota)| quota).sum();
         match limit {
             Some(limit) if sum > limit => {
-                self.reader.fault(first, format!("the shares come to {sum}, over their limit of {limit}"));
+                self.report(first_offset, &ParseFault::QuotasOverLimit { sum, limit });
             }
             Some(_) => {}
-            None => self.reader.fault(first, "shares need a limit that their sum stays within".to_string()),
+            None => self.report(first_offset, &ParseFault::QuotaLimitMissing),
         }
-        for (path, _) in shares {
-            let zone = Path::new(book::SERVERS, "", &path.name);
-            if !self.items.contains_key(&zone) {
-                let what = format!("{} is no zone of `servers`, which shares go by", path.name);
-                self.reader.fault(self.places[&path], what);
+        for (path, _) in quotas {
+            let servers = Path::new(path::SERVERS, "", &path.name);
+            if !self.items.contains_key(&servers) {
+                let offset = self.offsets[&path];
+                self.report(offset, &ParseFault::UnknownZone { zone: path.name });
             }
         }
     }
 }
+
+/// The value of a node that has one and nothing else.
+fn single_entry(node: &KdlNode) -> Option<&KdlEntry> {
+    match node.entries() {
+        [entry] if entry.name().is_none() && node.children().is_none() => Some(entry),
+        _ => None,
+    }
+}
--- a/crates/aldercrank-versioned-config/tests/golden.rs
+++ b/crates/aldercrank-versioned-config/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden files of rule books: each `tests/golden/rule-books/*.kdl` with what is read from it beside it. The expected
-//! files are written only where `RECORD_GOLDEN_FILES` is set.
+//! Golden files of the versioned configuration: each `tests/golden/rule-books/*.kdl` with what is parsed from it beside
+//! it. The expected files are written only where `RECORD_GOLDEN_FILES` is set.
 
 // Support code is shared by the modules of this test alone; a scenario may be long.
 #![allow(
@@ -41,8 +41,8 @@
     }
 }
 
-/// All golden books, in the order of their names.
-fn book_names() -> Vec<String> {
+/// All golden versions, in the order of their names.
+fn version_file_names() -> Vec<String> {
     let files = std::fs::read_dir(directory()).unwrap();
     let names = files.map(|file| file.unwrap().file_name().into_string().unwrap());
     let mut names: Vec<String> = names.filter(|name| name.ends_with(".kdl")).collect();
@@ -50,12 +50,12 @@
     names
 }
 
-fn readable(name: &str) -> VersionedConfig {
+fn parse_file(name: &str) -> VersionedConfig {
     VersionedConfig::parse(&input(name)).unwrap_or_else(|faults| panic!("{name}: {faults:?}"))
 }
 
-fn role_name(role: Consistency) -> &'static str {
-    match role {
+fn consistency_name(consistency: Consistency) -> &'static str {
+    match consistency {
         Consistency::Free => "free",
         Consistency::Fenced => "fenced",
         Consistency::Fixed => "fixed",
@@ -66,10 +66,10 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// What one text means: the faults, or the book's content and its canonical text.
+/// What one text means: the faults, or the version's content and its canonical text.
 fn meaning(text: &str) -> String {
     match VersionedConfig::parse(text) {
-        Ok(book) => content(&book),
+        Ok(config) => content(&config),
         Err(faults) => {
             let mut out = "not readable\n".to_string();
             for fault in faults {
@@ -81,15 +81,15 @@
     }
 }
 
-fn content(book: &VersionedConfig) -> String {
-    let mut out = format!("version {}\ndigest {}\n", book.number, hex(&book.digest().0));
-    let _ = writeln!(out, "short digest {}", book.digest());
-    let _ = writeln!(out, "agree within {:?}", book.within());
-    let _ = writeln!(out, "alone for {:?}", book.alone());
-    for (name, address) in book.committee() {
+fn content(config: &VersionedConfig) -> String {
+    let mut out = format!("version {}\ndigest {}\n", config.number, hex(&config.digest().0));
+    let _ = writeln!(out, "short digest {}", config.digest());
+    let _ = writeln!(out, "agree within {:?}", config.within());
+    let _ = writeln!(out, "alone for {:?}", config.alone());
+    for (name, address) in config.committee() {
         let _ = writeln!(out, "committee: {name} at {address}");
     }
-    match book.servers() {
+    match config.servers() {
         None => out.push_str("servers: not named\n"),
         Some(servers) => {
             for (name, zone) in servers {
@@ -98,22 +98,22 @@
         }
     }
     for name in ["n1", "n2", "n3", "n5", "n9"] {
-        let (serves, share) = (book.serves(name), book.share(name));
+        let (serves, share) = (config.serves(name), config.share(name));
         let _ = writeln!(out, "{name}: in service {serves}, share {share:?}");
     }
-    for (path, value) in book.items() {
+    for (path, value) in config.items() {
         let _ = writeln!(out, "item {path} = {value}");
     }
-    let text = book.text();
+    let text = config.text();
     let again = VersionedConfig::parse(&text).expect("the canonical text is readable");
-    assert_eq!((&again, again.text(), again.digest()), (book, text.clone(), book.digest()));
+    assert_eq!((&again, again.text(), again.digest()), (config, text.clone(), config.digest()));
     out + "canonical text:\n" + &text
 }
 
 #[test]
-fn every_golden_book_reads_as_recorded() {
-    let names = book_names();
-    assert!(names.len() >= 25, "only {} books", names.len());
+fn every_golden_version_reads_as_recorded() {
+    let names = version_file_names();
+    assert!(names.len() >= 25, "only {} versions", names.len());
     for name in names {
         assert_eq!(VersionedConfig::parse(&input(&name)).is_err(), name.starts_with("bad-"), "{name}");
         compare(&name.replace(".kdl", ".txt"), &meaning(&input(&name)));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_book_cut_short_or_too_long_has_the_recorded_faults() {
+fn a_truncated_or_too_long_version_has_the_recorded_faults() {
     let text = input("plain.kdl");
     let mut out = String::new();
     for length in (0..text.trim_end().len()).step_by(17) {
@@ -135,34 +135,40 @@
 }
 
 #[test]
-fn changes_between_books_are_as_recorded() {
+fn changes_between_versions_are_as_recorded() {
     let mut out = String::new();
-    let readable_names: Vec<String> = book_names().into_iter().filter(|n| !n.starts_with("bad-")).collect();
+    let readable_names: Vec<String> =
+        version_file_names().into_iter().filter(|n| !n.starts_with("bad-")).collect();
     for old in &readable_names {
         for new in &readable_names {
-            let (before, after) = (readable(old), readable(new));
+            let (before, after) = (parse_file(old), parse_file(new));
             let _ = writeln!(out, "from {old} to {new}");
             for change in changes(&before, &after) {
                 let value = |value: &Option<aldercrank_versioned_config::Value>| {
                     value.as_ref().map(|v| v.to_string())
                 };
                 let (from, to) = (value(&change.from), value(&change.to));
-                let _ = writeln!(out, "  {} {} from {from:?} to {to:?}", role_name(change.role), change.path);
+                let _ = writeln!(
+                    out,
+                    "  {} {} from {from:?} to {to:?}",
+                    consistency_name(change.role),
+                    change.path
+                );
                 let _ = writeln!(out, "    as text: {change}");
             }
-            for tighter in restrictions(&before, &after) {
-                let _ = writeln!(out, "  tightens: {tighter}");
+            for restriction in restrictions(&before, &after) {
+                let _ = writeln!(out, "  tightens: {restriction}");
             }
         }
     }
     compare("changes.txt", &out);
 }
 
-/// A platform's settings with these products, each with its effect, goal time, give-up time and window.
+/// A platform's settings with these request classes, each with its effect, latency target, timeout and window.
 fn platform(classes: &[(&str, &str, f64, f64, f64)]) -> Settings {
     let mut settings = Settings::default();
-    for (place, (name, effect, goal, timeout, window)) in classes.iter().enumerate() {
-        let mut set = |field: &str, value: Setting| settings.set(&format!("profiles.{place}.{field}"), value);
+    for (index, (name, effect, goal, timeout, window)) in classes.iter().enumerate() {
+        let mut set = |field: &str, value: Setting| settings.set(&format!("profiles.{index}.{field}"), value);
         set("name", Setting::Text(name.to_string()));
         set("effect", Setting::Text(effect.to_string()));
         set("goal_time", Setting::Num(*goal));
@@ -191,17 +197,17 @@
 }
 
 #[test]
-fn misfits_and_merged_settings_are_as_recorded() {
+fn incompatibilities_and_merged_settings_are_as_recorded() {
     let mut out = String::new();
-    for name in book_names().iter().filter(|name| !name.starts_with("bad-")) {
-        let book = readable(name);
+    for name in version_file_names().iter().filter(|name| !name.starts_with("bad-")) {
+        let config = parse_file(name);
         for (title, platform) in platforms() {
             for server in ["n1", "n9"] {
                 let _ = writeln!(out, "{name}, products {title}, server {server}");
-                for misfit in book.incompatibilities(&platform, server) {
-                    let _ = writeln!(out, "  misfit: {misfit}");
+                for incompatibility in config.incompatibilities(&platform, server) {
+                    let _ = writeln!(out, "  misfit: {incompatibility}");
                 }
-                for (name, value) in &book.settings(&platform, server).0 {
+                for (name, value) in &config.settings(&platform, server).0 {
                     let _ = match value {
                         Setting::Num(number) => writeln!(out, "  {name} = {number}"),
                         Setting::Text(text) => writeln!(out, "  {name} = {text:?}"),
--- a/crates/aldercrank-versioned-config/tests/book.rs
+++ b/crates/aldercrank-versioned-config/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Books as people write them and as nobody should; what differs between two; what a server makes of one.
+//! Versions as operators write them, valid and faulty; differences between two; a version on a server.
 
 // Support code is shared by the modules of this test alone; a scenario may be long.
 #![allow(
@@ -11,12 +11,12 @@
 
 use aldercrank::{Settings, Value as Setting};
 use aldercrank_versioned_config::{
-    book::Path, changes, restrictions, Consistency, Number, Value, VersionedConfig,
+    changes, restrictions, Consistency, Incompatibility, Number, Path, Value, VersionedConfig,
 };
 use quickcheck::{Gen, QuickCheck};
 use std::time::Duration;
 
-const BOOK: &str = "rules 8 {
+const VERSION_8: &str = "rules 8 {
     agree-within-ms 2000
     committee { n1 \"127.0.0.1:7001\"; n2 \"127.0.0.1:7002\"; n3 \"127.0.0.1:7003\"; }
     product \"licence-buy\" { effect \"referenced\"; window-ms 9000; points 5; sla-ms 1000 }
@@ -28,7 +28,7 @@
 }
 ";
 
-fn book(text: &str) -> VersionedConfig {
+fn parse(text: &str) -> VersionedConfig {
     VersionedConfig::parse(text).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
@@ -36,7 +36,7 @@
     VersionedConfig::parse(text).unwrap_err().iter().map(|fault| fault.to_string()).collect()
 }
 
-fn platform() -> Settings {
+fn platform_settings() -> Settings {
     let mut settings = Settings::default();
     for (i, (name, effect)) in [("map-extract", "retryable"), ("licence-buy", "dedup")].iter().enumerate() {
         settings.set(&format!("profiles.{i}.name"), Setting::Text(name.to_string()));
@@ -49,24 +49,24 @@
 }
 
 #[test]
-fn a_book_written_otherwise_reads_the_same_and_has_the_same_digest() {
-    let first = book(BOOK);
-    let again = book(&first.text());
+fn a_version_written_differently_reads_the_same_and_has_the_same_digest() {
+    let first = parse(VERSION_8);
+    let again = parse(&first.text());
     assert_eq!((&first, first.digest()), (&again, again.digest()));
-    let turned = "rules 8 { turned-away 4 17; shares { b 40; a 60; limit 100 }
+    let reordered = "rules 8 { turned-away 4 17; shares { b 40; a 60; limit 100 }
         servers { b \"n2\"; a \"n3\" \"n1\" }; limits { retry-after-ms 1000.0 }
         product \"map-extract\" { late-worth 0.2; offered #true }
         product \"licence-buy\" { sla-ms 1000; points 5; window-ms 9000; effect \"referenced\" }
         committee { n3 \"127.0.0.1:7003\"; n1 \"127.0.0.1:7001\"; n2 \"127.0.0.1:7002\" }; agree-within-ms 2000 }";
-    assert_eq!(book(turned).digest(), first.digest());
-    let other = book(&BOOK.replace("9000", "9001"));
+    assert_eq!(parse(reordered).digest(), first.digest());
+    let other = parse(&VERSION_8.replace("9000", "9001"));
     assert_ne!(other.digest(), first.digest());
     assert_eq!(first.committee().len(), 3);
     assert_eq!((first.within(), first.alone()), (Duration::from_secs(2), Duration::from_secs(60)));
 }
 
 #[test]
-fn all_that_is_wrong_is_said_at_once_with_its_line_and_column() {
+fn all_faults_are_reported_at_once_with_line_and_column() {
     let text = "rules 8 {
     agree-within-ms 100
     comittee { n1 \"127.0.0.1:7001\" }
@@ -99,20 +99,23 @@
         ["1:7: rules takes the version's number, 1 or more, found 0"]
     );
     assert_eq!(faults("product \"p\" {}").len(), 2, "no rules at all");
-    let long = format!("{BOOK}//{}", "x".repeat(10_000_000));
+    let long = format!("{VERSION_8}//{}", "x".repeat(10_000_000));
     assert_eq!(faults(&long), ["1:1: 10000398 bytes; a version has 12288 at most"]);
-    // Of a later form of the book: what is not known is not passed over.
-    assert!(faults(&BOOK.replace("limits {", "quotas { x 1 }\n limits {"))[0].contains("quotas is not known"));
+    // A later form of the configuration: an unknown block is not ignored.
+    assert!(faults(&VERSION_8.replace("limits {", "quotas { x 1 }\n limits {"))[0]
+        .contains("quotas is not known"));
 }
 
 #[test]
-fn a_book_cut_short_or_wounded_is_never_taken_for_another() {
-    let whole = book(BOOK);
-    for at in 0..BOOK.trim_end().len() {
-        let cut = &BOOK[..at];
+fn a_truncated_or_corrupted_version_is_never_taken_for_another() {
+    let whole = parse(VERSION_8);
+    for at in 0..VERSION_8.trim_end().len() {
+        let cut = &VERSION_8[..at];
         assert!(VersionedConfig::parse(cut).is_err(), "cut at {at}");
-        for wound in ["", "\"", "}", "\u{0}"] {
-            if let Ok(read) = VersionedConfig::parse(&format!("{}{wound}{}", &BOOK[..at], &BOOK[at + 1..])) {
+        for corruption in ["", "\"", "}", "\u{0}"] {
+            if let Ok(read) =
+                VersionedConfig::parse(&format!("{}{corruption}{}", &VERSION_8[..at], &VERSION_8[at + 1..]))
+            {
                 assert!(read == whole || read.digest() != whole.digest());
             }
         }
@@ -120,22 +123,25 @@
 }
 
 #[test]
-fn free_and_fenced_are_told_apart_and_what_tightens_is_named() {
-    let old = book(BOOK);
-    let roles = |to: &str| -> Vec<(String, Consistency)> {
-        changes(&old, &book(to)).iter().map(|c| (c.path.to_string(), c.role)).collect()
+fn changes_have_their_consistency_and_restrictions_are_reported() {
+    let old = parse(VERSION_8);
+    let consistencies = |to: &str| -> Vec<(String, Consistency)> {
+        changes(&old, &parse(to)).iter().map(|c| (c.path.to_string(), c.role)).collect()
     };
     assert_eq!(
-        roles(&BOOK.replace("points 5", "points 6")),
+        consistencies(&VERSION_8.replace("points 5", "points 6")),
         [("product.licence-buy.points".into(), Consistency::Free)]
     );
     assert_eq!(
-        roles(&BOOK.replace("9000", "8000")),
+        consistencies(&VERSION_8.replace("9000", "8000")),
         [("product.licence-buy.window-ms".into(), Consistency::Fenced)]
     );
-    assert_eq!(roles(&BOOK.replace("ms 2000", "ms 3000")), [("agree-within-ms".into(), Consistency::Fixed)]);
-    assert_eq!(roles(&BOOK.replace("a 60", "a 50")), [("shares.a".into(), Consistency::Fenced)]);
-    for (from, to, tighter) in [
+    assert_eq!(
+        consistencies(&VERSION_8.replace("ms 2000", "ms 3000")),
+        [("agree-within-ms".into(), Consistency::Fixed)]
+    );
+    assert_eq!(consistencies(&VERSION_8.replace("a 60", "a 50")), [("shares.a".into(), Consistency::Fenced)]);
+    for (from, to, restricting) in [
         ("points 5", "points 6", 0),
         ("offered #true", "offered #false", 1),
         ("offered #true", "effect \"once-only\"", 1),
@@ -146,42 +152,42 @@
         ("a \"n1\" \"n3\"", "a \"n1\"", 1),
         ("a \"n1\" \"n3\"", "a \"n1\" \"n3\" \"n4\"", 0),
     ] {
-        let new = book(&BOOK.replace(from, to));
-        assert_eq!(restrictions(&old, &new).len(), tighter, "{from} -> {to}");
+        let new = parse(&VERSION_8.replace(from, to));
+        assert_eq!(restrictions(&old, &new).len(), restricting, "{from} -> {to}");
     }
 }
 
 #[test]
-fn a_server_merges_a_book_with_its_platform_or_says_why_it_can_not() {
-    let (book_, platform) = (book(BOOK), platform());
-    assert!(book_.incompatibilities(&platform, "n1").is_empty());
-    let merged = book_.settings(&platform, "n1");
+fn a_server_merges_a_version_with_its_platform_or_reports_why_it_can_not() {
+    let (config, platform) = (parse(VERSION_8), platform_settings());
+    assert!(config.incompatibilities(&platform, "n1").is_empty());
+    let merged = config.settings(&platform, "n1");
     assert_eq!(merged.span("profiles.1.window"), Some(Duration::from_secs(9)));
     assert_eq!(merged.text("profiles.1.effect"), Some("dedup"));
     assert_eq!(merged.num("profiles.1.points"), Some(5.0));
     assert_eq!(merged.num("family_info.calls_out"), Some(30.0), "60 for two servers of zone a");
     assert_eq!(merged.num("rules.turned_away.0"), Some(4.0));
     assert_eq!(merged.flag("rules.in_service"), None);
-    let stranger = book_.settings(&platform, "n9");
+    let stranger = config.settings(&platform, "n9");
     assert_eq!(
         (stranger.flag("rules.in_service"), stranger.num("family_info.calls_out")),
         (Some(false), Some(0.0))
     );
-    let odd = book(&BOOK.replace("\"licence-buy\"", "\"licence-rent\""));
-    assert_eq!(
-        odd.incompatibilities(&platform, "n1"),
-        ["product.licence-rent: this server has no such product"]
-    );
-    let short = book(&BOOK.replace("9000", "2000"));
+    let incompatibilities = |config: &VersionedConfig| -> Vec<String> {
+        config.incompatibilities(&platform, "n1").iter().map(Incompatibility::to_string).collect()
+    };
+    let unknown_class = parse(&VERSION_8.replace("\"licence-buy\"", "\"licence-rent\""));
+    assert_eq!(incompatibilities(&unknown_class), ["product.licence-rent: this server has no such product"]);
+    let short = parse(&VERSION_8.replace("9000", "2000"));
     assert_eq!(
-        short.incompatibilities(&platform, "n1"),
+        incompatibilities(&short),
         ["product.licence-buy.window-ms: shorter than its callers go on trying"]
     );
 }
 
-/// Versions made by setting items at random read back the same, and `changes` names just what was set.
-fn made_from_steps(steps: Vec<(u8, u16)>) -> bool {
-    let old = book(BOOK);
+/// A version with random changes reads back the same, and `changes` returns just these.
+fn random_changes_read_back(steps: Vec<(u8, u16)>) -> bool {
+    let old = parse(VERSION_8);
     let set = steps.iter().map(|(what, value)| {
         let n = Value::Number(f64::from(value % 100));
         match what % 4 {
@@ -192,7 +198,7 @@
         }
     });
     let new = old.next(Number(9), set);
-    let again = book(&new.text());
+    let again = parse(&new.text());
     let named = changes(&old, &again);
     again == new
         && named.iter().all(|c| c.from != c.to)
@@ -200,7 +206,7 @@
 }
 
 #[test]
-fn versions_made_by_steps_read_back_the_same() {
+fn versions_made_by_random_changes_read_back_the_same() {
     let mut tests = QuickCheck::new().tests(300).rng(Gen::from_size_and_seed(12, 8));
-    tests.quickcheck(made_from_steps as fn(Vec<(u8, u16)>) -> bool);
+    tests.quickcheck(random_changes_read_back as fn(Vec<(u8, u16)>) -> bool);
 }
