--- a/crates/aldercrank-server/src/net/rules.rs
+++ b/crates/aldercrank-server/src/net/rules.rs
@@ -113,7 +113,8 @@
     ) -> Option<VersionSummary> {
         let book = self.book(wanted, text)?;
         let before = before.and_then(|doc| self.book(&doc.version_id, &doc.text));
-        let mut incompatibilities = book.incompatibilities(&self.platform, &self.me.0);
+        let incompatibilities = book.incompatibilities(&self.platform, &self.me.0);
+        let mut incompatibilities: Vec<String> = incompatibilities.iter().map(ToString::to_string).collect();
         let mut tighter = Vec::new();
         if let Some(before) = before {
             let fixed = changes(&before, &book).into_iter().filter(|c| c.role == Consistency::Fixed);
@@ -490,7 +491,7 @@
     /// Why these settings of the platform's can't be gone by with the book in force.
     pub(super) fn rules_misfit(&self, settings: &Settings) -> Option<String> {
         let rules = self.rules.as_ref()?;
-        rules.book.as_ref()?.incompatibilities(settings, &rules.hand.me.0).into_iter().next()
+        rules.book.as_ref()?.incompatibilities(settings, &rules.hand.me.0).first().map(ToString::to_string)
     }
 
     /// The platform's settings have changed under the book. Whether there is one.
--- a/crates/aldercrank-server/src/operate.rs
+++ b/crates/aldercrank-server/src/operate.rs
@@ -118,6 +118,7 @@
     if let Some(config) = config {
         let config = crate::config::Config::load(Some(config), None).map_err(|why| Failed(1, why))?;
         let incompatibilities = book.incompatibilities(&config.settings, &config.name);
+        let incompatibilities: Vec<String> = incompatibilities.iter().map(ToString::to_string).collect();
         if !incompatibilities.is_empty() {
             return Err(Failed(
                 1,
--- a/crates/aldercrank-test-cluster/src/cluster/versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/versions.rs
@@ -6,8 +6,7 @@
 use crate::config_store_stub::{self, ConfigStore};
 use crate::scenario::{Published, RuleBook, Spoilt};
 use crate::version_checker::VersionChecker;
-use aldercrank_versioned_config::book::Path as Item;
-use aldercrank_versioned_config::{changes, Consistency, Number, VersionedConfig};
+use aldercrank_versioned_config::{changes, Consistency, Number, Path as Item, VersionedConfig};
 
 /// What a run with a rule book has beside the others.
 pub struct Rules {
