--- a/crates/aldercrank-versioned-config/src/lib.rs
+++ b/crates/aldercrank-versioned-config/src/lib.rs
@@ -2,7 +2,7 @@
 //! fleet. No I/O and no clock.
 //!
 //! A version is parsed as a whole or not at all; each fault has a line and a column. The table in `items` declares of
-//! each item whether versions may mix (free), or whether two values must not be in use at once (fenced). [`changes`]
+//! each item whether versions may mix (free), or whether two values must not be in use at once (fenced). [`changes()`]
 //! compares two versions, and [`VersionedConfig::settings`] merges one with the platform's settings.
 
 mod changes;
@@ -22,4 +22,4 @@
 pub use path::Path;
 pub use value::Value;
 pub use version::{Digest, Number};
-pub use versioned_config::VersionedConfig;
+pub use versioned_config::{MemberAddress, VersionedConfig};
--- a/crates/aldercrank-versioned-config/src/parser.rs
+++ b/crates/aldercrank-versioned-config/src/parser.rs
@@ -10,6 +10,7 @@
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 
 /// The longest text, in bytes: a version travels between servers in one message.
 const MAX_TEXT_BYTES: usize = 12 * 1024;
@@ -18,9 +19,9 @@
 const MAX_COMMITTEE_MEMBERS: usize = 9;
 const MAX_NAME_BYTES: usize = 64;
 /// Limits of the agreement bound.
-const AGREEMENT_BOUND_MILLISECONDS: (i128, i128) = (500, 60_000);
+const AGREEMENT_BOUND_MILLISECONDS: RangeInclusive<i128> = 500..=60_000;
 /// Limits of the isolation limit.
-const ISOLATION_LIMIT_MILLISECONDS: (i128, i128) = (1000, 86_400_000);
+const ISOLATION_LIMIT_MILLISECONDS: RangeInclusive<i128> = 1000..=86_400_000;
 const MAX_QUOTA: f64 = 1e9;
 const BLOCKS: [&str; 8] = [
     path::AGREEMENT_BOUND,
@@ -128,10 +129,10 @@
             }
             match name {
                 path::AGREEMENT_BOUND => {
-                    self.time_span(node, path::AGREEMENT_BOUND, AGREEMENT_BOUND_MILLISECONDS);
+                    self.time_span(node, path::AGREEMENT_BOUND, &AGREEMENT_BOUND_MILLISECONDS);
                 }
                 path::ISOLATION_LIMIT => {
-                    self.time_span(node, path::ISOLATION_LIMIT, ISOLATION_LIMIT_MILLISECONDS);
+                    self.time_span(node, path::ISOLATION_LIMIT, &ISOLATION_LIMIT_MILLISECONDS);
                 }
                 path::REJECTED_CALLERS => self.rejected_callers(node),
                 path::CLASS => self.table(node, path::CLASS, &of, items::CLASS_SETTINGS),
@@ -151,8 +152,8 @@
         self.offsets.insert(path, offset);
     }
 
-    fn time_span(&mut self, node: &KdlNode, block: &'static str, (min, max): (i128, i128)) {
-        if let Some(milliseconds) = self.reader.whole(node, min, max) {
+    fn time_span(&mut self, node: &KdlNode, block: &'static str, limits: &RangeInclusive<i128>) {
+        if let Some(milliseconds) = self.reader.whole(node, *limits.start(), *limits.end()) {
             self.insert(offset_of(node), Path::new(block, "", ""), Value::Number(milliseconds as f64));
         }
     }
--- a/crates/aldercrank-versioned-config/src/versioned_config.rs
+++ b/crates/aldercrank-versioned-config/src/versioned_config.rs
@@ -14,6 +14,15 @@
 /// The isolation limit where a version has none.
 const DEFAULT_ISOLATION_LIMIT: Duration = Duration::from_secs(60);
 
+/// A committee member and where it is reached.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MemberAddress {
+    /// The member's name.
+    pub name: String,
+    /// Where other servers reach it.
+    pub address: SocketAddr,
+}
+
 /// One version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionedConfig {
@@ -50,11 +59,13 @@
         self.time_span(path::ISOLATION_LIMIT).unwrap_or(DEFAULT_ISOLATION_LIMIT)
     }
 
-    /// The committee that decides on the next version, in the order of names, with the members' addresses.
-    pub fn committee(&self) -> Vec<(String, SocketAddr)> {
+    /// The committee that decides on the next version, in the order of names.
+    pub fn committee(&self) -> Vec<MemberAddress> {
         let members = self.items.iter().filter(|(path, _)| path.block == path::COMMITTEE);
         let with_address = |(path, value): (&Path, &Value)| match value {
-            Value::Word(address) => address.parse().ok().map(|address| (path.name.clone(), address)),
+            Value::Word(address) => {
+                address.parse().ok().map(|address| MemberAddress { name: path.name.clone(), address })
+            }
             _ => None,
         };
         members.filter_map(with_address).collect()
--- a/crates/aldercrank-versioned-config/tests/golden.rs
+++ b/crates/aldercrank-versioned-config/tests/golden.rs
@@ -11,7 +11,7 @@
 )]
 
 use aldercrank::{Settings, Value as Setting};
-use aldercrank_versioned_config::{changes, restrictions, Consistency, VersionedConfig};
+use aldercrank_versioned_config::{changes, restrictions, Consistency, MemberAddress, VersionedConfig};
 use std::fmt::Write;
 use std::path::PathBuf;
 
@@ -86,7 +86,7 @@
     let _ = writeln!(out, "short digest {}", config.digest());
     let _ = writeln!(out, "agree within {:?}", config.within());
     let _ = writeln!(out, "alone for {:?}", config.alone());
-    for (name, address) in config.committee() {
+    for MemberAddress { name, address } in config.committee() {
         let _ = writeln!(out, "committee: {name} at {address}");
     }
     match config.servers() {
