--- a/crates/aldercrank-server/src/net/peers.rs
+++ b/crates/aldercrank-server/src/net/peers.rs
@@ -5,6 +5,7 @@
 use super::Server;
 use crate::msgpack_rpc::{self, MessageId, ReceivedFields, RequestFields, ResponseHandler, CONSENSUS_METHOD};
 use aldercrank_consensus::{CorrelationId, PeerRequest, PeerResponse, ServerName, VersionId};
+use aldercrank_versioned_config::MemberAddress;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -87,9 +88,9 @@
     }
 
     /// Where members are, by the book in force.
-    pub fn know(&mut self, committee: Vec<(String, SocketAddr)>) {
-        for (name, at) in committee {
-            self.places.insert(ServerName::new(&name), at);
+    pub fn know(&mut self, committee: Vec<MemberAddress>) {
+        for member in committee {
+            self.places.insert(ServerName::new(&member.name), member.address);
         }
     }
 
--- a/crates/aldercrank-server/src/net/rules.rs
+++ b/crates/aldercrank-server/src/net/rules.rs
@@ -124,7 +124,7 @@
         let servers = book.servers().map(|all| all.into_keys().map(ServerName::new).collect());
         Some(VersionSummary {
             misfit: incompatibilities.into_iter().next(),
-            committee: book.committee().iter().map(|(name, _)| ServerName::new(name)).collect(),
+            committee: book.committee().iter().map(|member| ServerName::new(&member.name)).collect(),
             servers,
             restrictions: tighter,
         })
@@ -184,7 +184,7 @@
         let genesis =
             ConfigVersion { version_id: version_id(&wanted.book), text: Arc::from(wanted.book.text()) };
         let committee = wanted.book.committee();
-        let names: Vec<ServerName> = committee.iter().map(|(name, _)| ServerName::new(name)).collect();
+        let names: Vec<ServerName> = committee.iter().map(|member| ServerName::new(&member.name)).collect();
         let own = names.iter().position(|name| *name == me);
         let mut peers = Peers::new(on_loop, &wanted.reach);
         peers.know(committee);
@@ -248,7 +248,7 @@
     /// Takes its place on the committee, where the book has one for it.
     fn join(&mut self, now: Duration, doc: &ConfigVersion) {
         let Some(book) = self.hand.book(&doc.version_id, &doc.text) else { return };
-        let on_committee = book.committee().iter().any(|(name, _)| *name == *self.hand.me.0);
+        let on_committee = book.committee().iter().any(|member| *member.name == *self.hand.me.0);
         if on_committee && self.member.is_none() {
             let id = MemberIdentity { name: self.hand.me.clone(), incarnation: self.life };
             let votes = self.hand.memory.votes();
