--- a/crates/aldercrank-consensus/src/follower.rs
+++ b/crates/aldercrank-consensus/src/follower.rs
@@ -9,6 +9,7 @@
     CommittedState, ConfigVersion, CorrelationId, Evaluation, PeerRequest, PeerResponse, ServerName,
     VersionId, VersionSummary,
 };
+use crate::permission::{PermissionBounds, PermissionLevel};
 use crate::timing::{InjectedFault, Terms};
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,26 +26,6 @@
 /// The same for the first renewal after a notification, which reaches many followers at one moment.
 const JITTER_AFTER_NOTIFICATION: f64 = 0.6;
 
-/// What a server may do.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum PermissionLevel {
-    /// Nothing: it has never known the committed version, or its lease ended too long ago.
-    Mute,
-    /// Repeatable requests alone: it has no lease, or has restarted with a version from disk.
-    Alone,
-    /// Everything that its version allows.
-    Full,
-}
-
-/// Until when a server may act, on the clock of its follower. `Duration::MAX` is without end.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PermissionBounds {
-    /// End of [`PermissionLevel::Full`]: of the lease.
-    pub full_until: Duration,
-    /// End of [`PermissionLevel::Alone`].
-    pub alone_until: Duration,
-}
-
 /// What a follower needs from the server that it runs in.
 pub trait FollowerEnvironment {
     /// Sends a request to a member. [`Follower::handle_response`] or [`Follower::request_lost`] follows with the same
--- a/crates/aldercrank-consensus/src/lib.rs
+++ b/crates/aldercrank-consensus/src/lib.rs
@@ -11,15 +11,17 @@
 pub mod follower;
 pub mod member;
 pub mod messages;
+mod permission;
 pub mod quota_handover;
 pub mod timing;
 
 pub use error::ProposalError;
-pub use follower::{Follower, PermissionBounds, PermissionLevel};
+pub use follower::Follower;
 pub use member::{CommitteeMember, MemberIdentity};
 pub use messages::{
     AcceptedDecision, Ballot, CommittedState, ConfigVersion, CorrelationId, Decision, Evaluation,
     PeerRequest, PeerResponse, ProposalTally, ServerName, Verdict, VersionId,
 };
+pub use permission::{PermissionBounds, PermissionLevel};
 pub use quota_handover::{AvailableQuota, QuotaHandover};
 pub use timing::{InjectedFault, Terms};
--- a/crates/aldercrank-consensus/tests/agreement_bound.rs
+++ b/crates/aldercrank-consensus/tests/agreement_bound.rs
@@ -242,9 +242,9 @@
         fleet.propose(1, &version(2, &[0, 1, 2], "servers=7"));
         fleet.run_for(MILLISECOND * late / 2);
         let now = fleet.now;
-        if let Some(m) = &mut fleet.processes[0].member {
+        if let Some(member) = &mut fleet.processes[0].member {
             // Its messages about it are lost.
-            m.proposal_withdrawn(now, 2, &mut TestEnvironment::new(|_, _| None));
+            member.proposal_withdrawn(now, 2, &mut TestEnvironment::new(|_, _| None));
         }
         fleet.run_for(SECOND * 2);
         assert!([1, 2].iter().any(|number| fleet.servers_using(*number) == 7), "{late}");
