--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -18,7 +18,7 @@
 
 use super::connection::EventLoopHandle;
 use super::peer_connections::{PeerConnections, RequestTag, Requester};
-use super::state_file::StateFile;
+use super::state_file::{StateFile, StoredVersion};
 use crate::clock::Clock;
 use crate::config::{Config, Rules as AgreementConfig};
 use crate::core::ConnId;
@@ -106,8 +106,8 @@
         let spread = own_index.map_or_else(|| aldercrank_pacing::digest(&config.name), |index| index as u64);
         let mut follower = Follower::new(server, member_names, spread, terms.clone());
         let stored = context.state_file.version();
-        let newest = stored.as_ref().map_or(&initial, |(_, version)| version).clone();
-        if let Some((committed, version)) = stored {
+        let newest = stored.as_ref().map_or(&initial, |stored| &stored.version).clone();
+        if let Some(StoredVersion { committed, version }) = stored {
             follower.restore(now, committed, version, &mut FollowerPorts(&mut context));
         }
         let mut created = ConfigAgreement {
--- a/crates/aldercrank-server/src/net/edge_connections.rs
+++ b/crates/aldercrank-server/src/net/edge_connections.rs
@@ -122,6 +122,13 @@
     }
 }
 
+/// A connection without open calls. The order is that in which such connections became idle.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct IdleConnection {
+    since: Duration,
+    conn: ConnId,
+}
+
 /// All connections from edge nodes.
 #[derive(Default)]
 pub(super) struct EdgeConnections {
@@ -216,10 +223,14 @@
         silent.or(self.spoken.first)
     }
 
-    /// The connection of both lists that has been idle for longest, and since when.
-    fn first_to_time_out(&self) -> Option<(Duration, ConnId)> {
+    /// The connection of both lists that has been idle for longest.
+    fn first_to_time_out(&self) -> Option<IdleConnection> {
         let firsts = [self.silent.first, self.spoken.first].into_iter().flatten();
-        firsts.filter_map(|conn| self.connections.get(Slot(conn.0)).map(|edge| (edge.idle_since, conn))).min()
+        let idle = firsts.filter_map(|conn| {
+            let edge = self.connections.get(Slot(conn.0))?;
+            Some(IdleConnection { since: edge.idle_since, conn })
+        });
+        idle.min()
     }
 
     fn join_idle_list(&mut self, conn: ConnId) {
@@ -374,15 +385,17 @@
     }
 
     fn schedule_idle_timeout(&self, timers: &mut Deadlines<TimerEvent>) {
-        if let Some(((idle_since, _), timeout)) = self.first_to_time_out().zip(self.idle_timeout) {
-            timers.set(TimerEvent::IdleTimeout, idle_since + timeout);
+        if let Some((idle, timeout)) = self.first_to_time_out().zip(self.idle_timeout) {
+            timers.set(TimerEvent::IdleTimeout, idle.since + timeout);
         }
     }
 
     /// Asks the peers of all connections that have been idle for the timeout to close.
     pub(super) fn close_timed_out(&mut self, now: Duration, timers: &mut Deadlines<TimerEvent>) {
         let Some(timeout) = self.idle_timeout else { return };
-        while let Some((_, conn)) = self.first_to_time_out().filter(|(since, _)| *since + timeout <= now) {
+        while let Some(IdleConnection { conn, .. }) =
+            self.first_to_time_out().filter(|idle| idle.since + timeout <= now)
+        {
             // A connection that is closing already has a timer of its own.
             let is_closing = self.get(conn).is_none_or(|edge| edge.state == ConnectionState::Closing);
             if is_closing {
--- a/crates/aldercrank-server/src/net/peer_connections.rs
+++ b/crates/aldercrank-server/src/net/peer_connections.rs
@@ -5,7 +5,9 @@
 
 use super::connection::{Connection, EventLoopHandle, ReadOutcome};
 use super::Server;
-use crate::msgpack_rpc::{self, MessageId, ReceivedFields, RequestFields, ResponseHandler, CONSENSUS_METHOD};
+use crate::msgpack_rpc::{
+    self, MessageId, ProtocolError, ReceivedFields, RequestFields, ResponseHandler, CONSENSUS_METHOD,
+};
 use aldercrank_consensus::{CorrelationId, PeerRequest, PeerResponse, ServerName, VersionId};
 use std::collections::BTreeMap;
 use std::io;
@@ -122,19 +124,19 @@
         has_ended
     }
 
-    /// Decodes the complete messages of the input.
-    fn decode(&mut self) -> (ResponseCollector, Result<(), msgpack_rpc::ProtocolError>) {
-        let (mut collector, mut consumed) = (ResponseCollector::default(), 0);
+    /// Decodes the complete messages of the input, up to the first that is invalid.
+    fn decode(&mut self, collector: &mut ResponseCollector) -> Result<(), ProtocolError> {
+        let mut consumed = 0;
         let input = &mut self.connection.input;
         let decoded = loop {
-            match msgpack_rpc::read_response(&input[consumed..], MAX_RESPONSE_BYTES, &mut collector) {
+            match msgpack_rpc::read_response(&input[consumed..], MAX_RESPONSE_BYTES, collector) {
                 Ok(Some(length)) => consumed += length,
                 Ok(None) => break Ok(()),
                 Err(error) => break Err(error),
             }
         };
         input.drain(..consumed);
-        (collector, decoded)
+        decoded
     }
 }
 
@@ -241,8 +243,8 @@
         let Some((name, peer)) = found else { return Vec::new() };
         let name = name.clone();
         let mut has_ended = peer.read(buffer);
-        let (collector, decoded) = peer.decode();
-        if let Err(error) = decoded {
+        let mut collector = ResponseCollector::default();
+        if let Err(error) = peer.decode(&mut collector) {
             tracing::warn!(from = %name, reason = %error, "another server sent an unreadable response; closing the connection");
             has_ended = true;
         }
--- a/crates/aldercrank-server/src/net/state_file.rs
+++ b/crates/aldercrank-server/src/net/state_file.rs
@@ -51,6 +51,15 @@
     state: StoredState,
 }
 
+/// The version that a server went by, as the state file keeps it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StoredVersion {
+    /// The committed state of that time.
+    pub committed: CommittedState,
+    /// The version with its text.
+    pub version: ConfigVersion,
+}
+
 /// Why the state could not be written.
 #[derive(Debug, thiserror::Error)]
 enum WriteError {
@@ -105,10 +114,11 @@
         self.state.acceptor_state.clone()
     }
 
-    /// The committed state and version that the server went by last.
-    pub fn version(&self) -> Option<(CommittedState, ConfigVersion)> {
+    /// The version that the server went by last.
+    pub fn version(&self) -> Option<StoredVersion> {
         let committed = self.state.committed?;
-        Some((committed, ConfigVersion { version_id: committed.book, text: self.state.text.clone()? }))
+        let version = ConfigVersion { version_id: committed.book, text: self.state.text.clone()? };
+        Some(StoredVersion { committed, version })
     }
 
     /// Stores the acceptor state. Called before a member sends a response that depends on it.
--- a/crates/aldercrank-server/tests/suite/codecs.rs
+++ b/crates/aldercrank-server/tests/suite/codecs.rs
@@ -1,4 +1,4 @@
-//! Every codec on bytes split anywhere, cut short, and generated at random.
+//! All codecs on input that is split anywhere, truncated, or random.
 
 use aldercrank::Outcome;
 use aldercrank_server::core::MessageId;
@@ -10,47 +10,47 @@
 
 const RID: &str = "9b1f03aa5c7e2d41";
 
-/// Writes down what a codec says.
+/// Records the calls of a codec, a line each.
 #[derive(Default)]
-struct Heard(Vec<String>);
+struct Recorder(Vec<String>);
 
-impl msgpack_rpc::Edge for Heard {
+impl msgpack_rpc::Edge for Recorder {
     fn request(&mut self, call: MessageId, method: &str, fields: &msgpack_rpc::RequestFields, body: &[u8]) {
-        self.0.push(format!("asked {} {method} {fields:?} {body:?}", call.0));
+        self.0.push(format!("request {} {method} {fields:?} {body:?}", call.0));
     }
     fn health_check(&mut self, call: MessageId) {
-        self.0.push(format!("checked {}", call.0));
+        self.0.push(format!("health check {}", call.0));
     }
     fn cancel(&mut self, call: MessageId) {
-        self.0.push(format!("interrupted {}", call.0));
+        self.0.push(format!("cancel {}", call.0));
     }
     fn invalid_request(&mut self, call: MessageId, _reason: msgpack_rpc::InvalidRequest) {
-        self.0.push(format!("senseless {}", call.0));
+        self.0.push(format!("invalid request {}", call.0));
     }
     fn unknown_notification(&mut self, _reason: msgpack_rpc::UnknownNotification) {
-        self.0.push("ignored".to_string());
+        self.0.push("unknown notification".to_string());
     }
 }
 
-impl EventHandler for Heard {
+impl EventHandler for Recorder {
     fn bound(&mut self, cold: bool, age: Duration) {
         self.0.push(format!("bound {cold} {age:?}"));
     }
     fn run_finished(
         &mut self,
-        n: NoticeNumber,
+        notice: NoticeNumber,
         attempt: AttemptId,
-        how: Outcome,
-        took: Duration,
+        outcome: Outcome,
+        run_time: Duration,
         result: &[u8],
     ) {
-        self.0.push(format!("finished {} {attempt} {how:?} {took:?} {result:?}", n.0));
+        self.0.push(format!("finished {} {attempt} {outcome:?} {run_time:?} {result:?}", notice.0));
     }
-    fn run_blocked(&mut self, n: NoticeNumber, attempt: AttemptId, body: &[u8]) {
-        self.0.push(format!("blocked {} {attempt} {body:?}", n.0));
+    fn run_blocked(&mut self, notice: NoticeNumber, attempt: AttemptId, body: &[u8]) {
+        self.0.push(format!("blocked {} {attempt} {body:?}", notice.0));
     }
-    fn other_notice(&mut self, n: NoticeNumber) {
-        self.0.push(format!("chatter {}", n.0));
+    fn other_notice(&mut self, notice: NoticeNumber) {
+        self.0.push(format!("chatter {}", notice.0));
     }
     fn metrics_reported(&mut self, tag: u64, load_metrics: &[f64]) {
         self.0.push(format!("polled {tag} {load_metrics:?}"));
@@ -59,7 +59,7 @@
         self.0.push(format!("unknown {command} {id}"));
     }
     fn malformed_line(&mut self, _line: &str) {
-        self.0.push("nonsense".to_string());
+        self.0.push("malformed line".to_string());
     }
 }
 
@@ -95,105 +95,106 @@
     out
 }
 
-/// Feeds bytes in two parts and then one by one: what is heard must be the same.
-fn split_anywhere(bytes: &[u8], mut hear: impl FnMut(&[&[u8]]) -> Vec<String>) -> Vec<String> {
-    let whole = hear(&[bytes]);
+/// Reads the input in two parts, split anywhere, and byte by byte: the result must be the same.
+fn split_anywhere(bytes: &[u8], mut read: impl FnMut(&[&[u8]]) -> Vec<String>) -> Vec<String> {
+    let whole = read(&[bytes]);
     for at in 0..bytes.len() {
-        assert_eq!(hear(&[&bytes[..at], &bytes[at..]]), whole, "split at {at}");
+        assert_eq!(read(&[&bytes[..at], &bytes[at..]]), whole, "split at {at}");
     }
     let single: Vec<&[u8]> = bytes.chunks(1).collect();
-    assert_eq!(hear(&single), whole, "byte by byte");
+    assert_eq!(read(&single), whole, "byte by byte");
     whole
 }
 
-fn edge(parts: &[&[u8]]) -> Vec<String> {
-    let (mut heard, mut buf) = (Heard::default(), Vec::new());
+fn read_requests(parts: &[&[u8]]) -> Vec<String> {
+    let (mut recorded, mut buf) = (Recorder::default(), Vec::new());
     for part in parts {
         buf.extend(*part);
         loop {
-            match msgpack_rpc::read_request(&buf, &mut heard) {
+            match msgpack_rpc::read_request(&buf, &mut recorded) {
                 Ok(Some(n)) => drop(buf.drain(..n)),
                 Ok(None) => break,
-                Err(broken) => {
-                    heard.0.push(broken.to_string());
-                    return heard.0;
+                Err(error) => {
+                    recorded.0.push(error.to_string());
+                    return recorded.0;
                 }
             }
         }
     }
-    heard.0
+    recorded.0
 }
 
-fn lines(parts: &[&[u8]]) -> Vec<String> {
-    let (mut heard, mut buf, mut reader) =
-        (Heard::default(), Vec::new(), worker_pool::EventReader::default());
+fn read_events(parts: &[&[u8]]) -> Vec<String> {
+    let (mut recorded, mut buf, mut reader) =
+        (Recorder::default(), Vec::new(), worker_pool::EventReader::default());
     for part in parts {
         buf.extend(*part);
-        while let Some(n) = reader.read(&buf, &mut heard) {
+        while let Some(n) = reader.read(&buf, &mut recorded) {
             buf.drain(..n);
         }
     }
-    heard.0
+    recorded.0
 }
 
 #[test]
-fn the_edges_calls_are_read_however_they_are_cut() {
+fn messages_of_edge_nodes_are_read_however_they_are_split() {
     let fields = [("rid", RID), ("t0", "1764576000123"), ("mem", "24.5"), ("prio", "-1"), ("new", "x")];
     let mut bytes = call(7, "checkout", &fields, &[0, 13, 10, 255]);
     bytes.extend(interrupt(7));
     bytes.extend(check(9));
     bytes.extend(call(10, "checkout", &[], &[0; 3000]));
     bytes.extend([0x93, 2, 0xa3, b'o', b'd', b'd', 0x90]);
-    // A call whose fields are a list has an id to answer to.
+    // A request whose fields are an array has an id to answer to.
     bytes.extend([0x94, 0, 11, 0xa1, b'p', 0x92, 0x90, 0xc0]);
-    let heard = split_anywhere(&bytes, edge);
-    assert!(heard[0].starts_with("asked 7 checkout") && heard[0].ends_with("[0, 13, 10, 255]"));
-    assert!(heard[0].contains("t0: Some(1764576000123)") && heard[0].contains("prio: None"));
-    let rest = ["interrupted 7", "checked 9", "senseless 10", "ignored", "senseless 11"];
-    assert_eq!(heard[1..], rest);
+    let recorded = split_anywhere(&bytes, read_requests);
+    assert!(recorded[0].starts_with("request 7 checkout") && recorded[0].ends_with("[0, 13, 10, 255]"));
+    assert!(recorded[0].contains("t0: Some(1764576000123)") && recorded[0].contains("prio: None"));
+    let rest =
+        ["cancel 7", "health check 9", "invalid request 10", "unknown notification", "invalid request 11"];
+    assert_eq!(recorded[1..], rest);
 }
 
 #[test]
-fn what_is_no_message_breaks_and_a_long_one_breaks_before_it_is_whole() {
-    assert_eq!(edge(&[&[0xc1]]), ["not MessagePack"]);
-    assert_eq!(edge(&[&[0x2a]]), ["not a message"]);
-    assert_eq!(edge(&[&[0x94, 7, 1, 0xa0, 0xc0]]), ["a message of no kind"]);
-    assert_eq!(edge(&[&[0x94, 0, 0xa0, 0xa0, 0xc0]]), ["a call without an id"]);
-    // An announced length, or a list of four thousand million, is not waited for.
-    assert_eq!(edge(&[&[0x92, 0xc6, 255, 255, 255, 255]]), ["a message over the limit"]);
+fn invalid_messages_are_errors_and_too_long_ones_before_they_are_complete() {
+    assert_eq!(read_requests(&[&[0xc1]]), ["not MessagePack"]);
+    assert_eq!(read_requests(&[&[0x2a]]), ["not a message"]);
+    assert_eq!(read_requests(&[&[0x94, 7, 1, 0xa0, 0xc0]]), ["a message of no kind"]);
+    assert_eq!(read_requests(&[&[0x94, 0, 0xa0, 0xa0, 0xc0]]), ["a call without an id"]);
+    // Neither a stated length nor an array of four thousand million values is awaited.
+    assert_eq!(read_requests(&[&[0x92, 0xc6, 255, 255, 255, 255]]), ["a message over the limit"]);
     assert_eq!(
-        edge(&[&[[0xdd, 255, 255, 255, 255].as_slice(), &[0xc0; 20_000]].concat()]),
+        read_requests(&[&[[0xdd, 255, 255, 255, 255].as_slice(), &[0xc0; 20_000]].concat()]),
         ["a message over the limit"]
     );
     let mut negative = vec![0x94, 0];
     write_sint(&mut negative, -4).unwrap();
     negative.extend([0xa0, 0xc0]);
-    assert_eq!(edge(&[&negative]), ["a call without an id"]);
+    assert_eq!(read_requests(&[&negative]), ["a call without an id"]);
 }
 
 #[test]
-fn answers_carry_the_result_as_it_came_and_the_fields_asked_for() {
+fn responses_carry_the_result_unchanged_and_the_given_fields() {
     let (mut plain, mut full) = (Vec::new(), Vec::new());
     msgpack_rpc::write_completed(&mut plain, MessageId(7), 3);
     plain.extend([1, 2, 255]);
     msgpack_rpc::write_completed_end(&mut plain, msgpack_rpc::ResponseFields::default());
     assert_eq!(plain, [0x94, 1, 7, 0xc0, 0x92, 0xc4, 3, 1, 2, 255, 0x80]);
-    let beside = msgpack_rpc::ResponseFields { hint: Some("0.85"), rules: None };
-    msgpack_rpc::write_rejected(&mut full, MessageId(300), beside, Some(Duration::from_micros(1200)), true);
+    let fields = msgpack_rpc::ResponseFields { hint: Some("0.85"), rules: None };
+    msgpack_rpc::write_rejected(&mut full, MessageId(300), fields, Some(Duration::from_micros(1200)), true);
     let mut expected = vec![0x94, 1, 0xcd, 1, 44, 0x92, 0xaa];
     expected.extend(b"Overloaded\x83\xa4hint\xa40.85\xa7backoff\xa12\xa5final\xa11\xc0");
     assert_eq!(full, expected);
 }
 
 #[test]
-fn the_pools_lines_are_read_however_they_are_cut() {
-    // Spans have a fraction: taken for nonsense, no result came through on the first calm day.
+fn events_of_the_worker_pool_are_read_however_they_are_split() {
+    // Spans may have a fraction.
     let mut bytes = b"bound cold 12.5\r\n".to_vec();
     bytes.extend(format!("finished 1 {RID} ok 62.067 4\r\n\r\n\r\n\r\nblocked 2 {RID} 0\r\n\r\n").bytes());
     bytes.extend(format!("finished 3 {RID} void 0 0\r\n\r\nfinished 4 {RID} halted 1 0\r\n\r\n").bytes());
     bytes.extend(b"polled 5 0.62 3 x 120\r\nunknown supply 77\r\nchatter 6 finished 1 2\r\n");
     bytes.extend(format!("finished 7 {RID} odd 1 0\r\n\r\n").bytes());
-    let heard = split_anywhere(&bytes, lines);
+    let recorded = split_anywhere(&bytes, read_events);
     let expected = [
         "bound true 12.5ms".to_string(),
         format!("finished 1 {RID} Completed 62.067ms [13, 10, 13, 10]"),
@@ -205,29 +206,29 @@
         "chatter 6".to_string(),
         format!("finished 7 {RID} Failed 1ms []"),
     ];
-    assert_eq!(heard, expected);
+    assert_eq!(recorded, expected);
 }
 
 #[test]
-fn nonsense_from_the_pool_costs_its_line_only() {
+fn a_malformed_line_of_the_worker_pool_affects_no_other_line() {
     let bad = format!(
         "\r\nhello\r\nfinished x {RID} ok 1 0\r\n\r\nfinished 1 abc ok 1 0\r\n\r\nbound cold soon\r\n"
     );
     let long = [vec![b'x'; 50_000], b"\r\nchatter 9 on\r\n".to_vec()].concat();
-    let heard = lines(&[bad.as_bytes(), &long]);
-    assert_eq!(heard.last().unwrap(), "chatter 9");
-    assert!(heard[..heard.len() - 1].iter().all(|h| h == "nonsense"), "{heard:?}");
+    let recorded = read_events(&[bad.as_bytes(), &long]);
+    assert_eq!(recorded.last().unwrap(), "chatter 9");
+    assert!(recorded[..recorded.len() - 1].iter().all(|h| h == "malformed line"), "{recorded:?}");
     let parts: Vec<&[u8]> = long.chunks(999).collect();
-    assert_eq!(lines(&parts), ["nonsense", "chatter 9"]);
-    // Longer than any result may be.
+    assert_eq!(read_events(&parts), ["malformed line", "chatter 9"]);
+    // A payload over the limit.
     assert_eq!(
-        lines(&[format!("blocked 3 {RID} 99999999\r\nchatter 4 x\r\n").as_bytes()]).last().unwrap(),
+        read_events(&[format!("blocked 3 {RID} 99999999\r\nchatter 4 x\r\n").as_bytes()]).last().unwrap(),
         "chatter 4"
     );
 }
 
-/// What has come so far, in parts, and the reply once it is whole.
-fn answer(parts: &[&[u8]]) -> Result<Option<(http::Response, Vec<u8>)>, http::HttpError> {
+/// Reads a response that arrives in these parts; returns it with its body once it is complete.
+fn read_http_response(parts: &[&[u8]]) -> Result<Option<(http::Response, Vec<u8>)>, http::HttpError> {
     let (mut reader, mut buf) = (http::ResponseReader::default(), Vec::new());
     for part in parts {
         buf.extend(*part);
@@ -240,15 +241,16 @@
 }
 
 #[test]
-fn http_answers_are_read_when_whole_and_each_proves_what_its_status_says() {
-    let outcome = |text: &str| answer(&[text.as_bytes()]).ok().flatten().map(|r| index::call_outcome(&r.0));
+fn http_responses_are_read_when_complete_and_their_status_determines_the_outcome() {
+    let read_outcome =
+        |text: &str| read_http_response(&[text.as_bytes()]).ok().flatten().map(|r| index::call_outcome(&r.0));
     let empty =
         |status: &str, fields: &str| format!("HTTP/1.1 {status} X\r\n{fields}Content-Length: 0\r\n\r\n");
-    for (status, fields, how) in [
+    for (status, fields, outcome) in [
         ("200", "", Outcome::Completed),
         ("503", "X-Shed: 1\r\n", Outcome::Rejected),
         ("409", "x-shed: 1\r\n", Outcome::Rejected),
-        // Without the mark nothing is proved.
+        // Without the mark it may have run.
         ("503", "", Outcome::Failed),
         ("409", "", Outcome::Failed),
         ("500", "X-Shed: 1\r\n", Outcome::Failed),
@@ -256,18 +258,18 @@
         ("418", "", Outcome::Failed),
         ("201", "", Outcome::Failed),
     ] {
-        assert_eq!(outcome(&empty(status, fields)), Some(how), "{status} {fields}");
+        assert_eq!(read_outcome(&empty(status, fields)), Some(outcome), "{status} {fields}");
     }
-    // Words in between, however many, and noise or a second copy behind, leave a good reply as it is.
+    // Interim responses before a response, and noise or a second copy behind it, do not matter.
     let good = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\ncontent-length: 5\r\n\r\na\r\n\0b";
     let before = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n".repeat(20);
     let whole = [before.as_slice(), good].concat();
     for at in 0..whole.len() {
-        assert_eq!(answer(&[&whole[..at]]), Ok(None), "cut at {at}");
+        assert_eq!(read_http_response(&[&whole[..at]]), Ok(None), "cut at {at}");
     }
     let single: Vec<&[u8]> = whole.chunks(1).collect();
     for parts in [&[whole.as_slice(), good] as &[&[u8]], &[&whole, b"\xff\0"], &single] {
-        assert_eq!(answer(parts).unwrap().unwrap().1, b"a\r\n\0b");
+        assert_eq!(read_http_response(parts).unwrap().unwrap().1, b"a\r\n\0b");
     }
     for bad in [
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -281,17 +283,17 @@
         "HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n",
         "SMTP ready\r\n\r\n",
     ] {
-        assert!(answer(&[bad.as_bytes()]).is_err(), "{bad}");
+        assert!(read_http_response(&[bad.as_bytes()]).is_err(), "{bad}");
     }
-    // A head that does not end, and words in between that do not: on the stack they were as many frames.
-    assert!(answer(&[&[b"HTTP/1.1 200 OK\r\nX: ".as_slice(), &[b'x'; 20_000]].concat()]).is_err());
-    assert!(answer(&[&b"HTTP/1.1 100 Continue\r\n\r\n".repeat(100_000)]).is_err());
+    // A head without end, and interim responses without end.
+    assert!(read_http_response(&[&[b"HTTP/1.1 200 OK\r\nX: ".as_slice(), &[b'x'; 20_000]].concat()]).is_err());
+    assert!(read_http_response(&[&b"HTTP/1.1 100 Continue\r\n\r\n".repeat(100_000)]).is_err());
     let closed = "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n";
-    assert_eq!(answer(&[closed.as_bytes()]).unwrap().map(|r| r.0.status), Some(204));
+    assert_eq!(read_http_response(&[closed.as_bytes()]).unwrap().map(|r| r.0.status), Some(204));
 }
 
 #[test]
-fn what_is_said_to_index_members_and_pool_has_the_body_as_it_came() {
+fn messages_to_dependency_membership_service_and_pool_carry_the_body_unchanged() {
     let attempt = AttemptId::new(RID).unwrap();
     let call = index::write_call("h", attempt, Duration::from_micros(250_900), b"\r\n\r\n");
     let text = String::from_utf8(call).unwrap();
@@ -302,29 +304,30 @@
         report.starts_with("PUT /members/n3 HTTP/1.1\r\n") && report.ends_with("\r\n\r\n{\"phase\":\"OUT\"}")
     );
     assert!(report.contains("Content-Length: 15\r\n"));
-    let mut said = Vec::new();
-    worker_pool::write_start_run(&mut said, attempt, "p", 3);
-    said.extend(b"\0\r\n");
-    worker_pool::write_payload_end(&mut said);
-    worker_pool::write_skip_call(&mut said, attempt, NoticeNumber(8));
-    assert_eq!(said, format!("spawn {RID} p 3\r\n\0\r\n\r\npass {RID} 8\r\n").into_bytes());
+    let mut output = Vec::new();
+    worker_pool::write_start_run(&mut output, attempt, "p", 3);
+    output.extend(b"\0\r\n");
+    worker_pool::write_payload_end(&mut output);
+    worker_pool::write_skip_call(&mut output, attempt, NoticeNumber(8));
+    assert_eq!(output, format!("spawn {RID} p 3\r\n\0\r\n\r\npass {RID} 8\r\n").into_bytes());
     assert!(AttemptId::new("9b1f03aa5c7e2d4g").is_none() && AttemptId::new("9b").is_none());
 }
 
 #[test]
-fn no_bytes_at_all_make_a_codec_panic_or_stall() {
+fn no_input_makes_a_codec_panic_or_stall() {
     fn any(bytes: Vec<u8>, at: usize) -> bool {
-        // Bytes as they come, and a real message with a wound.
-        let mut wounded = call(3, "p", &[("rid", RID), ("t0", "12")], &bytes);
-        let spot = at % wounded.len();
-        wounded[spot] ^= bytes.first().copied().unwrap_or(1);
+        // Random bytes, and valid messages with one byte changed.
+        let mut corrupted = call(3, "p", &[("rid", RID), ("t0", "12")], &bytes);
+        let spot = at % corrupted.len();
+        corrupted[spot] ^= bytes.first().copied().unwrap_or(1);
         let mut text = format!("finished 1 {RID} ok 1 3\r\nabc\r\nblocked 2 {RID} 1\r\nx\r\n").into_bytes();
         let spot = at % text.len();
         text[spot] ^= bytes.first().copied().unwrap_or(1);
-        edge(&[&bytes]).len() <= bytes.len() + 1
-            && edge(&[&wounded]).len() <= wounded.len()
-            && lines(&[&bytes, &text]).len() <= bytes.len() + text.len()
-            && answer(&[&bytes]).is_err() | answer(&bytes.chunks(7).collect::<Vec<_>>()).is_ok()
+        read_requests(&[&bytes]).len() <= bytes.len() + 1
+            && read_requests(&[&corrupted]).len() <= corrupted.len()
+            && read_events(&[&bytes, &text]).len() <= bytes.len() + text.len()
+            && read_http_response(&[&bytes]).is_err()
+                | read_http_response(&bytes.chunks(7).collect::<Vec<_>>()).is_ok()
     }
     let mut tests = QuickCheck::new().tests(3000).rng(Gen::from_size_and_seed(120, 20261201));
     tests.quickcheck(any as fn(Vec<u8>, usize) -> bool);
--- a/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
@@ -4,7 +4,7 @@
 use super::{compare, golden, hex, recording};
 use aldercrank_consensus::member::AcceptorState;
 use aldercrank_consensus::{Ballot, CommittedState, Decision, ServerName, Verdict, VersionId};
-use aldercrank_server::net::state_file::StateFile;
+use aldercrank_server::net::state_file::{StateFile, StoredVersion};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -139,7 +139,7 @@
     let mut out = String::new();
     match memory.version() {
         None => out.push_str("  version none\n"),
-        Some((standing, text)) => {
+        Some(StoredVersion { committed: standing, version: text }) => {
             let _ = writeln!(out, "  version standing {}", say_standing(&standing));
             assert_eq!(text.version_id, standing.book);
             let _ = writeln!(out, "  version text {:?}", &text.text[..text.text.len().min(60)]);
--- a/crates/aldercrank-server/tests/suite/main.rs
+++ b/crates/aldercrank-server/tests/suite/main.rs
@@ -11,14 +11,17 @@
 mod codecs;
 mod core;
 mod crossings;
+mod edge_connections;
+mod edge_protocol;
 mod golden_command_line;
 mod golden_config;
 mod golden_consensus;
 mod golden_reload;
 mod harness;
-mod sockets;
+mod lifecycle;
 mod state_file;
 mod tables;
+mod worker_pool_link;
 
 #[path = "../../../../tests/golden/compare.rs"]
 mod compare;
--- a/crates/aldercrank-server/tests/suite/state_file.rs
+++ b/crates/aldercrank-server/tests/suite/state_file.rs
@@ -24,7 +24,7 @@
     for n in 1..=5 {
         state_file.store_version(committed(n), &Arc::from(format!("text {n}").repeat(900)));
     }
-    let known = |dir: &Path| StateFile::open(Some(dir)).version().map(|(committed, _)| committed.last);
+    let known = |dir: &Path| StateFile::open(Some(dir)).version().map(|stored| stored.committed.last);
     assert_eq!(known(&dir), Some(5));
     let file = OpenOptions::new().write(true).open(dir.join(FILE_NAME)).unwrap();
     file.write_all_at(&[7; 40], SLOT_BYTES + HEADER_BYTES + 100).unwrap();
@@ -52,7 +52,7 @@
     let mut in_another_boot = StateFile::open_in_boot(Some(&dir), Some("another".to_string()));
     in_another_boot.store_acceptor_state(&acceptor_state);
     let later = StateFile::open(Some(&dir));
-    let version = later.version().map(|(committed, _)| committed);
+    let version = later.version().map(|stored| stored.committed);
     assert_eq!((later.acceptor_state(), version), (None, Some(committed(3))));
     fs::remove_dir_all(&dir).unwrap();
 }
