--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -1,9 +1,9 @@
 //! Applies what the agreement decides: committed versions, leases and quotas reach the core, and followers are
 //! notified.
 
-use super::super::{Server, TimerEvent};
 use super::ports::{FollowerPorts, NewVersion};
 use super::{ConfigAgreement, LeaseBounds};
+use crate::net::{Server, TimerEvent};
 use aldercrank::Settings;
 use aldercrank_consensus::{PermissionLevel, QuotaHandover};
 use aldercrank_versioned_config::changes;
--- a/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
@@ -1,11 +1,11 @@
 //! Consensus requests from other servers and operators, responses to this server's own, and notifications.
 
-use super::super::peer_connections::{PeerConnectionNumber, PeerEvent};
-use super::super::Server;
 use super::ports::{FollowerPorts, MemberPorts};
 use super::ConfigAgreement;
 use crate::core::ReplyTo;
 use crate::msgpack_rpc;
+use crate::net::peer_connections::{PeerConnectionNumber, PeerEvent};
+use crate::net::Server;
 use aldercrank_consensus::{PeerRequest, PeerResponse, VersionId};
 use aldercrank_pacing::SlowStartStatus;
 use std::time::Duration;
--- a/crates/aldercrank-server/src/net/config_agreement/ports.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/ports.rs
@@ -1,8 +1,8 @@
 //! How the follower and the committee member act on this server.
 
-use super::super::peer_connections::{PeerConnections, RequestTag, Requester};
-use super::super::state_file::StateFile;
 use super::version_id;
+use crate::net::peer_connections::{PeerConnections, RequestTag, Requester};
+use crate::net::state_file::StateFile;
 use aldercrank::Settings;
 use aldercrank_consensus::messages::VersionSummary;
 use aldercrank_consensus::{follower, member};
--- a/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
@@ -1,13 +1,13 @@
 //! Reads proposed versions from the membership service by long polls, while this server is a committee member.
 
-use super::super::http_exchange::{ExchangeError, HttpExchange};
-use super::super::Server;
 use super::ports::MemberPorts;
 use super::version_id;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::http::Response;
 use crate::membership;
+use crate::net::http_exchange::{ExchangeError, HttpExchange};
+use crate::net::Server;
 use aldercrank_consensus::ConfigVersion;
 use aldercrank_pacing::RetryPacer;
 use aldercrank_service_config::Fault;
