--- a/crates/aldercrank-testbench/src/server_modes.rs
+++ b/crates/aldercrank-testbench/src/server_modes.rs
@@ -12,7 +12,7 @@
 pub(crate) fn serve_faulty(name: &str, config: String, service: Option<String>) -> io::Result<bool> {
     let unknown = || io::Error::other(format!("no injected fault is named {name}"));
     let fault = injected_fault(name).ok_or_else(unknown)?;
-    let load = move || {
+    let load = move || -> Result<Config, String> {
         let mut config = Config::load(Some(&config), service.as_deref())?;
         if let Some(rules) = &mut config.rules {
             rules.injected_fault = Some(fault);
