--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -12,7 +12,7 @@
         // Broken on purpose: as if it had been told long ago.
         let told = if late { now.saturating_sub(self.scenario.fleet.grace * 4) } else { now };
         self.testbed.checker.told_to_leave(told, number, server.incarnation);
-        self.testbed.book.note(now, None, Some(number), || "told to leave".to_string());
+        self.testbed.record.note(now, None, Some(number), || "told to leave".to_string());
     }
 
     pub(super) fn undo_stop(&mut self, now: Duration, number: ServerNo) {
@@ -21,7 +21,7 @@
             if let Some(process) = &server.process {
                 process.go_on();
             }
-            self.testbed.book.note(now, None, Some(number), || "continued".to_string());
+            self.testbed.record.note(now, None, Some(number), || "continued".to_string());
         }
     }
 
@@ -35,14 +35,14 @@
 
     pub(super) fn begin(&mut self, now: Duration, step: usize, number: ServerNo) -> io::Result<()> {
         let plan = &self.scenario.timeline[step];
-        let begun = self.testbed.book.begun.unwrap_or_default();
+        let begun = self.testbed.record.begun.unwrap_or_default();
         let until = plan.lasts.map_or(begun + self.scenario.span, |lasts| now + lasts);
         let since = |at: Duration| at.saturating_sub(begun).as_secs_f64();
         let who = if plan.fault_is_shared() { String::new() } else { format!(" {number}") };
         self.faults.push((since(now), since(until), format!("{}{who}", plan.word)));
-        self.testbed.book.note(now, None, Some(number), || format!("begins: {}", plan.word));
+        self.testbed.record.note(now, None, Some(number), || format!("begins: {}", plan.word));
         if plan.lasts.is_some() {
-            self.testbed.wake(until, Timer::End(step, number));
+            self.testbed.set_timer(until, Timer::EndStep(step, number));
         }
         // What becomes of txns on a server that is killed or stopped, or cut off from edge nodes, is the rig's doing.
         let whole = Duration::from_secs(86_400 * 30);
@@ -96,7 +96,12 @@
                 if *far == RemoteEndpoint::EdgeNodes {
                     self.testbed.checker.trouble(number, now, until);
                 }
-                self.testbed.set_corruption(now, number, *far, to.clone(), from.clone());
+                self.testbed.set_corruption(
+                    now,
+                    LinkId { server: number, remote: *far },
+                    to.clone(),
+                    from.clone(),
+                );
             }
             Fault::Refuse(far) => self.refuse(now, number, *far, true)?,
             _ => self.begin_shared(now, step)?,
@@ -117,19 +122,19 @@
             }
             Fault::IndexCold => self.index.chill(),
             Fault::MembershipStub(state) => {
-                self.testbed.list.turn(now, *state);
+                self.testbed.membership.turn(now, *state);
                 if *state == membership_stub::State::Down {
-                    self.refuse_all(now, RemoteEndpoint::MembershipStub, true)?;
+                    self.refuse_all(now, RemoteEndpoint::MembershipService, true)?;
                 }
             }
-            Fault::ListForgets => self.testbed.list.forget(),
-            Fault::ListCapacity(to) => self.testbed.list.set_capacity(*to),
-            Fault::ListWrong => self.testbed.wrong_list = true,
-            Fault::ListOld(by) => self.testbed.old_list = *by,
+            Fault::ListForgets => self.testbed.membership.forget(),
+            Fault::ListCapacity(to) => self.testbed.membership.set_capacity(*to),
+            Fault::ListWrong => self.testbed.wrong_membership = true,
+            Fault::ListOld(by) => self.testbed.extra_membership_lag = *by,
             Fault::EdgesRestart(share) => {
                 let all: Vec<u16> = (0..self.scenario.callers.edges as u16).collect();
                 let many = (all.len() as f64 * share).round() as usize;
-                for n in RandomStream::of(self.scenario.seed, &format!("edges {step}")).some(&all, many) {
+                for n in RandomStream::of(self.scenario.seed, &format!("edges {step}")).sample(&all, many) {
                     self.edges.restart(now, EdgeNo(n), &mut self.testbed);
                 }
             }
@@ -148,7 +153,7 @@
 
     pub(super) fn end(&mut self, now: Duration, step: usize, number: ServerNo) -> io::Result<()> {
         let plan = &self.scenario.timeline[step];
-        self.testbed.book.note(now, None, Some(number), || format!("ends: {}", plan.word));
+        self.testbed.record.note(now, None, Some(number), || format!("ends: {}", plan.word));
         match &plan.fault {
             Fault::Kill | Fault::BadStart => self.start(number, true, false)?,
             Fault::Stop => {
@@ -161,22 +166,27 @@
             }),
             Fault::Err(_) => self.servers[number.0 as usize].errs = 0.0,
             Fault::PoolGone => {
-                let port = self.servers[number.0 as usize].ports[&RemoteEndpoint::Pool];
+                let port = self.servers[number.0 as usize].ports[&RemoteEndpoint::WorkerPool];
                 self.servers[number.0 as usize].pool = Pool::new(self.cores(), now, true, Duration::ZERO);
                 self.servers[number.0 as usize].crowd = 0.0;
                 self.testbed.net.admit(port)?;
             }
             Fault::Pair(far, to, from) => {
                 // What a half-dead connection has lost does not come back: it ends with the fault.
-                let lossy = |s: &Corruption| s.silent_after.is_some() || s.garble > 0.0;
+                let lossy = |s: &Corruption| s.silent_after_bytes.is_some() || s.bit_flip_probability > 0.0;
                 let loses = to.iter().chain(from).any(lossy);
                 if *far == RemoteEndpoint::EdgeNodes {
                     self.testbed.checker.trouble(number, now, now);
                 }
                 let none = |s: &Option<Corruption>| s.as_ref().map(|_| Corruption::default());
-                self.testbed.set_corruption(now, number, *far, none(to), none(from));
+                self.testbed.set_corruption(
+                    now,
+                    LinkId { server: number, remote: *far },
+                    none(to),
+                    none(from),
+                );
                 if loses {
-                    for conn in self.testbed.of_pair(number, *far) {
+                    for conn in self.testbed.connections_of(LinkId { server: number, remote: *far }) {
                         self.cut_off(now, conn);
                     }
                 }
@@ -195,12 +205,12 @@
                 }
             }
             Fault::MembershipStub(_) => {
-                self.testbed.list.turn(now, membership_stub::State::Up);
-                self.refuse_all(now, RemoteEndpoint::MembershipStub, false)?;
+                self.testbed.membership.turn(now, membership_stub::State::Up);
+                self.refuse_all(now, RemoteEndpoint::MembershipService, false)?;
             }
-            Fault::ListCapacity(_) => self.testbed.list.set_capacity(self.scenario.list_capacity),
-            Fault::ListWrong => self.testbed.wrong_list = false,
-            Fault::ListOld(_) => self.testbed.old_list = Duration::ZERO,
+            Fault::ListCapacity(_) => self.testbed.membership.set_capacity(self.scenario.list_capacity),
+            Fault::ListWrong => self.testbed.wrong_membership = false,
+            Fault::ListOld(_) => self.testbed.extra_membership_lag = Duration::ZERO,
             Fault::Rate(_) => self.rate = self.scenario.callers.rate,
             _ => {}
         }
@@ -210,7 +220,7 @@
     /// The pool's process is gone, with all that it ran.
     pub(super) fn pool_gone(&mut self, now: Duration, number: ServerNo) {
         let server = &mut self.servers[number.0 as usize];
-        self.testbed.net.refuse(server.ports[&RemoteEndpoint::Pool]);
+        self.testbed.net.refuse(server.ports[&RemoteEndpoint::WorkerPool]);
         if let Some(link) = server.link {
             self.cut_off(now, link);
         }
@@ -224,7 +234,7 @@
     pub(super) fn pool_reset(&mut self, now: Duration, step: usize, number: ServerNo) {
         let plan = &self.scenario.timeline[step];
         let Fault::PoolResets(every) = plan.fault else { return };
-        let begun = self.testbed.book.begun.unwrap_or_default();
+        let begun = self.testbed.record.begun.unwrap_or_default();
         let until = plan.lasts.map_or(begun + self.scenario.span, |l| begun + plan.at + l);
         if now >= until {
             return;
@@ -232,7 +242,7 @@
         if let Some(link) = self.servers[number.0 as usize].link {
             self.cut_off(now, link);
         }
-        self.testbed.wake(now + every, Timer::PoolReset(step, number));
+        self.testbed.set_timer(now + every, Timer::ResetPoolLink(step, number));
     }
 
     pub(super) fn refuse(
--- a/crates/aldercrank-test-cluster/src/cluster/hear.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/hear.rs
@@ -9,11 +9,11 @@
                 if let Some(&(asker, member)) = self.testbed.relays.get(&port) {
                     return self.relayed(conn, asker, member);
                 }
-                let Some(&(server, far)) = self.testbed.ports.get(&port) else { return };
-                self.accepted(now, server, far, conn);
+                let Some(&link) = self.testbed.ports.get(&port) else { return };
+                self.accepted(now, link.server, link.remote, conn);
             }
             Event::Stood(conn) => {
-                if let Some(ConnectionOwner::Edge(_, _)) = self.testbed.whose(conn) {
+                if let Some(ConnectionOwner::Edge(_, _)) = self.testbed.owner(conn) {
                     self.edges.stood(conn);
                 }
             }
@@ -22,7 +22,7 @@
                 match got {
                     Got::Bytes => {
                         let bytes = self.testbed.net.chunk[..n].to_vec();
-                        if let Some(bytes) = self.testbed.heard(now, conn, bytes) {
+                        if let Some(bytes) = self.testbed.receive_from_process(now, conn, bytes) {
                             self.deliver(now, conn, &bytes);
                         }
                         if n < self.testbed.net.chunk.len() {
@@ -38,44 +38,44 @@
     }
 
     pub(super) fn accepted(&mut self, now: Duration, server: ServerNo, far: RemoteEndpoint, conn: ConnNo) {
-        let state = self.testbed.list.state;
-        if far == RemoteEndpoint::MembershipStub {
-            self.testbed.list.connections.push(now);
+        let state = self.testbed.membership.state;
+        if far == RemoteEndpoint::MembershipService {
+            self.testbed.membership.connections.push(now);
             if state == membership_stub::State::Closing {
                 return self.testbed.net.close(conn);
             }
         }
         let whose = match far {
-            RemoteEndpoint::Pool => ConnectionOwner::Pool(server),
+            RemoteEndpoint::WorkerPool => ConnectionOwner::WorkerPool(server),
             RemoteEndpoint::Index => ConnectionOwner::Index(server),
-            _ => ConnectionOwner::MembershipStub(server),
+            _ => ConnectionOwner::MembershipService(server),
         };
-        self.testbed.own(conn, whose);
+        self.testbed.register(conn, whose);
         self.inputs.insert(conn, Vec::new());
-        if far == RemoteEndpoint::Pool {
+        if far == RemoteEndpoint::WorkerPool {
             let s = &mut self.servers[server.0 as usize];
             if let Some(old) = s.link.replace(conn) {
-                self.testbed.close(old);
+                self.testbed.close_after_queued(old);
                 self.inputs.remove(&old);
             }
             s.pool.unlinked();
-            self.testbed.book.note(now, None, Some(server), || "a link to its pool".to_string());
+            self.testbed.record.note(now, None, Some(server), || "a link to its pool".to_string());
         }
     }
 
     /// The far side has ended it, or it broke. What it had said before comes first.
     pub(super) fn ended(&mut self, now: Duration, conn: ConnNo) {
-        if self.testbed.ends_later(conn) {
+        if self.testbed.defer_close_by_process(conn) {
             return;
         }
         self.over(now, conn, false);
     }
 
     pub(super) fn over(&mut self, now: Duration, conn: ConnNo, ours: bool) {
-        let whose = self.testbed.disown(conn);
+        let whose = self.testbed.unregister(conn);
         self.inputs.remove(&conn);
         match whose {
-            Some(ConnectionOwner::Pool(server)) => {
+            Some(ConnectionOwner::WorkerPool(server)) => {
                 let s = &mut self.servers[server.0 as usize];
                 if s.link == Some(conn) {
                     s.link = None;
@@ -83,7 +83,7 @@
                 }
             }
             Some(ConnectionOwner::Index(_)) => self.index.gone(now, conn),
-            Some(ConnectionOwner::MembershipStub(_)) => {
+            Some(ConnectionOwner::MembershipService(_)) => {
                 if let Some(rules) = &mut self.rules {
                     rules.config_store.gone(conn);
                 }
@@ -104,7 +104,7 @@
     pub(super) fn sabotaged(&mut self, now: Duration, bytes: &[u8]) -> Option<Vec<u8>> {
         let kind = self.scenario.sabotage.filter(|_| !self.broken_on_purpose)?;
         let made = bytes.windows(8).position(|w| w == b"made by ")?;
-        if self.testbed.book.begun.is_none_or(|begun| now < begun + SABOTAGE) {
+        if self.testbed.record.begun.is_none_or(|begun| now < begun + SABOTAGE) {
             return None;
         }
         let mut changed = bytes.to_vec();
@@ -120,12 +120,12 @@
 
     /// Bytes have come through to their stand-in.
     pub(super) fn deliver(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
-        let Some(whose) = self.testbed.whose(conn) else { return };
+        let Some(whose) = self.testbed.owner(conn) else { return };
         if let ConnectionOwner::Edge(_, _) = whose {
             let changed = self.sabotaged(now, bytes);
             let bytes = changed.as_deref().unwrap_or(bytes);
             if !self.edges.heard(now, conn, bytes, &mut self.testbed) {
-                let ours = !self.testbed.spoils_edges(conn);
+                let ours = !self.testbed.is_connection_corrupted(conn);
                 if ours {
                     self.testbed.checker.breaks(now, Rule::Mixed, None, None, "an answer that can't be read");
                 }
@@ -139,9 +139,9 @@
         let Some(mut input) = self.inputs.remove(&conn) else { return };
         input.extend_from_slice(bytes);
         let whole = match whose {
-            ConnectionOwner::Pool(server) => self.pool_hears(now, server, conn, &mut input),
+            ConnectionOwner::WorkerPool(server) => self.pool_hears(now, server, conn, &mut input),
             ConnectionOwner::Index(server) => self.index_hears(now, server, conn, &mut input),
-            ConnectionOwner::MembershipStub(server) => self.list_hears(now, server, conn, &mut input),
+            ConnectionOwner::MembershipService(server) => self.list_hears(now, server, conn, &mut input),
             ConnectionOwner::Edge(_, _) | ConnectionOwner::Peer(_) => true,
         };
         if whole {
@@ -162,7 +162,7 @@
         let server = &mut self.servers[number.0 as usize];
         let sabotage =
             self.scenario.sabotage == Some(InjectedViolation::DoubleRun) && !self.broken_on_purpose;
-        let due = self.testbed.book.begun.is_some_and(|begun| now >= begun + SABOTAGE);
+        let due = self.testbed.record.begun.is_some_and(|begun| now >= begun + SABOTAGE);
         let mut host = Host {
             testbed: &mut self.testbed,
             scenario: self.scenario,
@@ -177,10 +177,10 @@
         self.broken_on_purpose |= sabotage && due && !host.double;
         let out = std::mem::take(&mut server.pool.out);
         if let Some(link) = server.link {
-            self.testbed.say(now, link, &out);
+            self.testbed.send_to_process(now, link, &out);
         }
         if let Some(at) = server.pool.next(now) {
-            self.testbed.wake(at, Timer::Pool(number));
+            self.testbed.set_timer(at, Timer::WorkerPool(number));
         }
         got
     }
@@ -202,7 +202,7 @@
                     Ok(Some(n)) => taken += n,
                     Ok(None) => break,
                     Err(why) => {
-                        host.testbed.pool_misuse(now, server, why);
+                        host.testbed.record_invalid_pool_command(now, server, why);
                         return false;
                     }
                 }
@@ -228,17 +228,17 @@
         let parent = question.parent.clone().unwrap_or_default();
         let request =
             AttemptId::new(&parent).and_then(|attempt| self.testbed.checker.find(attempt)).map(|t| t.request);
-        self.testbed.book.note(now, request, Some(server), || format!("calls the index for {parent}"));
+        self.testbed.record.note(now, request, Some(server), || format!("calls the index for {parent}"));
         let body = &input[question.body.clone()];
         if body != format!("for {parent}").as_bytes()
-            && !self.testbed.corruptions(server, RemoteEndpoint::Index)
+            && !self.testbed.is_link_corrupted(LinkId { server: server, remote: RemoteEndpoint::Index })
         {
             let what = "a call with a body that its run did not give";
             self.testbed.checker.breaks(now, Rule::Mixed, AttemptId::new(&parent), Some(server), what);
         }
         input.drain(..question.length);
-        self.testbed.book.second(now).calls += 1;
-        self.testbed.parents.insert(conn, parent);
+        self.testbed.record.second(now).calls += 1;
+        self.testbed.index_call_parents.insert(conn, parent);
         if let Some(word) = self.index.called(now, conn) {
             self.index_says(now, conn, word);
         }
@@ -248,12 +248,12 @@
 
     pub(super) fn index_wake(&mut self) {
         if let Some(at) = self.index.next() {
-            self.testbed.wake(at, Timer::Index);
+            self.testbed.set_timer(at, Timer::Index);
         }
     }
 
     pub(super) fn index_says(&mut self, now: Duration, conn: ConnNo, word: index_stub::Word) {
-        let parent = self.testbed.parents.remove(&conn).unwrap_or_default();
+        let parent = self.testbed.index_call_parents.remove(&conn).unwrap_or_default();
         let mut bytes = Vec::new();
         match word {
             index_stub::Word::Shed => http::write_response(&mut bytes, 503, true, None, b""),
@@ -261,11 +261,11 @@
         }
         if word == index_stub::Word::Half {
             bytes.truncate(bytes.len() / 2);
-            self.testbed.say(now, conn, &bytes);
-            self.testbed.close(conn);
+            self.testbed.send_to_process(now, conn, &bytes);
+            self.testbed.close_after_queued(conn);
             return self.over(now, conn, true);
         }
-        self.testbed.say(now, conn, &bytes);
+        self.testbed.send_to_process(now, conn, &bytes);
     }
 
     pub(super) fn list_hears(
@@ -286,12 +286,16 @@
             self.shelf_hears(now, conn, &question, &body);
             return true;
         }
-        let name = question.path.rsplit('/').next().and_then(ServerNo::named);
+        let name = question.path.rsplit('/').next().and_then(ServerNo::from_name);
         let said = &input[question.body.clone()];
         let up = said.windows(4).any(|w| w == b"\"UP\"");
         let parts = said.windows(9).any(|w| w == b"\"share\":0");
         input.drain(..question.length);
-        if name != Some(server) && !self.testbed.corruptions(server, RemoteEndpoint::MembershipStub) {
+        if name != Some(server)
+            && !self
+                .testbed
+                .is_link_corrupted(LinkId { server: server, remote: RemoteEndpoint::MembershipService })
+        {
             self.testbed.checker.breaks(
                 now,
                 Rule::Mixed,
@@ -300,33 +304,33 @@
                 "a report under another's name",
             );
         }
-        let word = self.testbed.list.report(now, conn, server, up);
-        let second = self.testbed.book.second(now);
+        let word = self.testbed.membership.report(now, conn, server, up);
+        let second = self.testbed.record.second(now);
         second.reports += 1;
         second.parts += u64::from(parts);
         second.refused_reports += u64::from(word == membership_stub::Word::Refused);
         match word {
-            membership_stub::Word::Taken(at) => self.testbed.wake(at, Timer::MembershipStub),
+            membership_stub::Word::Taken(at) => self.testbed.set_timer(at, Timer::MembershipService),
             membership_stub::Word::Refused => {
                 let mut bytes = Vec::new();
                 http::write_response(&mut bytes, 503, false, Some(membership_stub::COME_BACK), b"");
-                self.testbed.say(now, conn, &bytes);
+                self.testbed.send_to_process(now, conn, &bytes);
             }
             membership_stub::Word::Nothing => {}
         }
         true
     }
 
-    pub(super) fn lane(&mut self, now: Duration, conn: ConnNo) {
-        let mut from = Vec::new();
-        let (reset, ended) = self.testbed.release(now, conn, &mut from);
-        if !from.is_empty() {
-            self.deliver(now, conn, &from);
+    pub(super) fn release_queued(&mut self, now: Duration, conn: ConnNo) {
+        let mut from_process = Vec::new();
+        let action = self.testbed.release_queued(now, conn, &mut from_process);
+        if !from_process.is_empty() {
+            self.deliver(now, conn, &from_process);
         }
-        if reset {
-            self.cut_off(now, conn);
-        } else if ended {
-            self.over(now, conn, false);
+        match action {
+            ReleaseAction::Reset => self.cut_off(now, conn),
+            ReleaseAction::HandleClose => self.over(now, conn, false),
+            ReleaseAction::KeepOpen => {}
         }
     }
 }
--- a/crates/aldercrank-test-cluster/src/cluster/look.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/look.rs
@@ -22,18 +22,18 @@
             server.process = None;
             let (incarnation, killed, again) = (server.incarnation, server.killed, server.again);
             self.testbed.checker.process_ended(now, number, incarnation, code, killed);
-            self.testbed.book.note(now, None, Some(number), || format!("ended with {code:?}"));
+            self.testbed.record.note(now, None, Some(number), || format!("ended with {code:?}"));
             if std::mem::take(&mut self.servers[n].again) || again {
-                self.testbed.wake(now + AGAIN, Timer::Start(number));
+                self.testbed.set_timer(now + AGAIN, Timer::StartServer(number));
             }
         }
         let up = self.servers.iter().filter(|s| s.process.is_some() && !s.stopped).count();
-        let view = self.testbed.list.view(now);
+        let view = self.testbed.membership.view(now);
         let listed = view.len();
         self.note_listed(now, view);
         let held = self.index.held_by(now);
         let in_hand = held - std::mem::replace(&mut self.clock_held, held);
-        let second = self.testbed.book.second(now);
+        let second = self.testbed.record.second(now);
         (second.up, second.listed) = (up, listed);
         second.in_hand += in_hand;
         Ok(())
@@ -89,7 +89,7 @@
             }
         }
         let over = config::CALLS_OVER.as_secs() as usize;
-        let seconds = &self.testbed.book.seconds;
+        let seconds = &self.testbed.record.seconds;
         if seconds.len() > over {
             let last = &seconds[seconds.len() - 1 - over..seconds.len() - 1];
             let mean = last.iter().map(|s| s.in_hand).sum::<f64>() / over as f64;
@@ -108,8 +108,8 @@
     }
 
     pub(super) fn say_second(&mut self, now: Duration) {
-        let second = self.testbed.book.since(now).as_secs() as usize;
-        let Some(s) = second.checked_sub(1).and_then(|n| self.testbed.book.seconds.get(n)) else { return };
+        let second = self.testbed.record.since(now).as_secs() as usize;
+        let Some(s) = second.checked_sub(1).and_then(|n| self.testbed.record.seconds.get(n)) else { return };
         let (sought, got): (f64, f64) = (s.sought.iter().sum(), s.got.iter().sum());
         let ends: Vec<String> = s.ends.iter().map(|(end, n)| format!("{end:?} {n}")).collect();
         eprintln!(
--- a/crates/aldercrank-test-cluster/src/cluster/mod.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/mod.rs
@@ -14,12 +14,12 @@
 use crate::invariant_checker::{self, InvariantChecker, Rule};
 use crate::membership_stub::{self, MembershipStub};
 use crate::process::{self, Process, Program};
-use crate::random::{digest, RandomStream};
+use crate::random::{fnv1a_hash, RandomStream};
 use crate::relayed_link::Corruption;
 use crate::run_record::{ListLoad, Outcome, RunRecord};
 use crate::scenario::{Fault, InjectedViolation, Scenario};
 use crate::sockets::{Event, Got, PortNo};
-use crate::testbed::{ConnectionOwner, Testbed, Timer};
+use crate::testbed::{ConnectionOwner, LinkId, ReleaseAction, Testbed, Timer};
 use crate::version_checker::Act;
 use crate::worker_pool_stub::{Cores, Pool, PoolHost, RunPlan};
 use aldercrank_protocol::http;
@@ -145,11 +145,11 @@
 impl PoolHost for Host<'_> {
     fn spawned(&mut self, attempt: AttemptId, class: &str, body: &[u8]) -> Option<RunPlan> {
         let (now, server) = (self.now, self.server);
-        let body = digest(body);
+        let body = fnv1a_hash(body);
         let checker = &mut self.testbed.checker;
         let known = checker.spawned(now, server, self.incarnation, attempt, class, body);
         let request = checker.find(attempt).map(|t| (t.request, t.class, t.token));
-        self.testbed.book.note(now, request.map(|t| t.0), Some(server), || {
+        self.testbed.record.note(now, request.map(|t| t.0), Some(server), || {
             format!("told to run {attempt}, known: {known}")
         });
         let (request, number, token) = request.filter(|_| known)?;
@@ -176,7 +176,7 @@
         let reply = self.replies.remove(&attempt);
         self.testbed.checker.run_ended(attempt, end);
         let request = self.testbed.checker.find(attempt).map(|t| (t.request, t.class));
-        self.testbed.book.note(self.now, request.map(|t| t.0), Some(self.server), || {
+        self.testbed.record.note(self.now, request.map(|t| t.0), Some(self.server), || {
             format!("the run of {attempt} ended: {end:?}")
         });
         let left_out = reply.is_none() && request.is_some_and(|(request, class)| self.job(request, class).1);
@@ -266,8 +266,8 @@
 
     fn begin_looking(&mut self) {
         let now = self.now();
-        self.testbed.wake(now + LOOK, Timer::Look);
-        self.testbed.wake(now + SIZES, Timer::Sizes);
+        self.testbed.set_timer(now + LOOK, Timer::SampleProcesses);
+        self.testbed.set_timer(now + SIZES, Timer::CheckLimits);
     }
 
     /// The callers come, and the timeline goes on, until the scenario's span is over.
@@ -281,7 +281,7 @@
             self.turn()?;
         }
         let now = self.now();
-        self.testbed.book.begun = Some(now);
+        self.testbed.record.begun = Some(now);
         self.edges.begin(now, &mut self.testbed);
         for step in 0..self.scenario.timeline.len() {
             let plan = &self.scenario.timeline[step];
@@ -290,22 +290,22 @@
                     break;
                 }
                 let at = now + plan.at + plan.each * place as u32;
-                self.testbed.wake(at, Timer::Begin(step, server));
+                self.testbed.set_timer(at, Timer::BeginStep(step, server));
             }
         }
         (self.callers, self.due) = (true, now);
-        self.testbed.wake(now, Timer::Arrive);
+        self.testbed.set_timer(now, Timer::NextArrival);
         let end = now + self.scenario.span;
         while self.now() < end {
             self.turn()?;
         }
         self.callers = false;
         self.outcome.servers_cpu = self.servers_on_core().saturating_sub(theirs);
-        let list = &self.testbed.list;
+        let list = &self.testbed.membership;
         let (first, later) = (list.crowd(Duration::ZERO, end), list.crowd(now + LATER, end));
         self.outcome.list.connections = list.connections.len() as u64;
         self.outcome.list.refused = list.reports.iter().filter(|(_, _, taken)| !taken).count() as u64;
-        self.outcome.list.parts = self.testbed.book.seconds.iter().map(|s| s.parts).sum();
+        self.outcome.list.parts = self.testbed.record.seconds.iter().map(|s| s.parts).sum();
         (self.outcome.list.most_tenth, self.outcome.list.most_second) = first;
         (self.outcome.list.later_tenth, self.outcome.list.later_second) = later;
         let longest = self.scenario.classes.iter().map(|p| p.deadline).max().unwrap_or_default();
@@ -369,7 +369,7 @@
             figures.read_bytes = rules.config_store.bytes;
             figures
         });
-        let book = &self.testbed.book;
+        let book = &self.testbed.record;
         let (rig_memory_kb, _) = process::size(std::process::id());
         let waited = process::on_core("/proc/thread-self/schedstat").1;
         Ok(Outcome {
@@ -437,10 +437,10 @@
 
     fn write_record(&self) -> io::Result<()> {
         use std::io::Write;
-        let begun = self.testbed.unix_zero + self.testbed.book.begun.unwrap_or_default();
+        let begun = self.testbed.started_unix + self.testbed.record.begun.unwrap_or_default();
         std::fs::write(self.play.dir.join("begun"), begun.as_micros().to_string())?;
         let mut file = io::BufWriter::new(std::fs::File::create(self.play.dir.join("trace.jsonl"))?);
-        for line in self.testbed.book.trace.iter().flatten() {
+        for line in self.testbed.record.trace.iter().flatten() {
             serde_json::to_writer(&mut file, line)?;
             file.write_all(b"\n")?;
         }
@@ -450,7 +450,7 @@
     /// One turn: waits for what comes next, and carries it through.
     fn turn(&mut self) -> io::Result<()> {
         let now = self.now();
-        let most = self.testbed.next().map_or(LOOK, |at| at.saturating_sub(now)).min(LOOK);
+        let most = self.testbed.next_timer().map_or(LOOK, |at| at.saturating_sub(now)).min(LOOK);
         let mut events = std::mem::take(&mut self.testbed.events);
         events.clear();
         self.testbed.net.wait(most, &mut events)?;
@@ -469,10 +469,10 @@
             self.event(now, event);
         }
         self.testbed.events = events;
-        while let Some(timer) = self.testbed.due(began) {
+        while let Some(timer) = self.testbed.pop_due_timer(began) {
             self.timer(began, timer)?;
         }
-        for (server, attempt) in std::mem::take(&mut self.testbed.over) {
+        for (server, attempt) in std::mem::take(&mut self.testbed.finished_attempts) {
             self.with_pool(began, server, |pool, host| pool.request_over(began, attempt, host));
         }
         self.check_versions();
@@ -483,37 +483,37 @@
 
     fn timer(&mut self, now: Duration, timer: Timer) -> io::Result<()> {
         match timer {
-            Timer::Pool(server) => self.with_pool(now, server, |pool, host| pool.advance(now, host)),
+            Timer::WorkerPool(server) => self.with_pool(now, server, |pool, host| pool.advance(now, host)),
             Timer::Index => {
                 for (conn, word, _) in self.index.due(now) {
                     self.index_says(now, conn, word);
                 }
                 self.index_wake();
             }
-            Timer::MembershipStub => {
-                for conn in self.testbed.list.due(now) {
+            Timer::MembershipService => {
+                for conn in self.testbed.membership.due(now) {
                     let mut bytes = Vec::new();
                     http::write_response(&mut bytes, 204, false, None, b"");
-                    self.testbed.say(now, conn, &bytes);
+                    self.testbed.send_to_process(now, conn, &bytes);
                 }
             }
             Timer::Edge(wake) => self.edges.woken(now, wake, &mut self.testbed),
-            Timer::RelayedLink(conn) => self.lane(now, conn),
-            Timer::Arrive => self.arrive(now),
-            Timer::Begin(step, server) => self.begin(now, step, server)?,
-            Timer::End(step, server) => self.end(now, step, server)?,
-            Timer::Look => {
+            Timer::RelayedLink(conn) => self.release_queued(now, conn),
+            Timer::NextArrival => self.arrive(now),
+            Timer::BeginStep(step, server) => self.begin(now, step, server)?,
+            Timer::EndStep(step, server) => self.end(now, step, server)?,
+            Timer::SampleProcesses => {
                 self.look(now)?;
-                self.testbed.wake(now + LOOK, Timer::Look);
+                self.testbed.set_timer(now + LOOK, Timer::SampleProcesses);
             }
-            Timer::Sizes => {
+            Timer::CheckLimits => {
                 self.sizes(now);
-                self.testbed.wake(now + SIZES, Timer::Sizes);
+                self.testbed.set_timer(now + SIZES, Timer::CheckLimits);
             }
-            Timer::Start(server) => self.start(server, true, false)?,
-            Timer::PoolReset(step, server) => self.pool_reset(now, step, server),
+            Timer::StartServer(server) => self.start(server, true, false)?,
+            Timer::ResetPoolLink(step, server) => self.pool_reset(now, step, server),
             Timer::ConfigStore => self.shelf_due(now),
-            Timer::Publish(step) => self.publish_again(now, step),
+            Timer::PublishVersion(step) => self.publish_again(now, step),
         }
         Ok(())
     }
@@ -531,11 +531,11 @@
         });
         let class = place.unwrap_or(0);
         let rank = (self.arrivals.unit() * 0.999 + class as f64) / self.scenario.classes.len() as f64;
-        let gap = self.arrivals.gap() / self.rate.max(1e-6);
-        self.testbed.book.came(now, class);
+        let gap = self.arrivals.exponential() / self.rate.max(1e-6);
+        self.testbed.record.came(now, class);
         self.edges.arrive(now, edge, ClassNo(class as u8), rank, &mut self.testbed);
         self.due += Duration::from_secs_f64(gap);
-        self.testbed.wake(self.due, Timer::Arrive);
+        self.testbed.set_timer(self.due, Timer::NextArrival);
     }
 }
 
@@ -546,27 +546,27 @@
             return None;
         }
         // A list may name one that never was.
-        let conn = self.net.connect(*self.addrs.get(server.0 as usize)?).ok()?;
-        self.own(conn, ConnectionOwner::Edge(edge, server));
+        let conn = self.net.connect(*self.server_addresses.get(server.0 as usize)?).ok()?;
+        self.register(conn, ConnectionOwner::Edge(edge, server));
         Some(conn)
     }
 
     fn send(&mut self, conn: ConnNo, bytes: &[u8]) {
         let now = self.now;
-        self.say(now, conn, bytes);
+        self.send_to_process(now, conn, bytes);
     }
 
     fn close(&mut self, conn: ConnNo) {
-        Testbed::close(self, conn);
-        self.disown(conn);
+        Testbed::close_after_queued(self, conn);
+        self.unregister(conn);
     }
 
     fn wake(&mut self, at: Duration, what: Wake) {
-        Testbed::wake(self, at, Timer::Edge(what));
+        Testbed::set_timer(self, at, Timer::Edge(what));
     }
 
     fn unix_ms(&self, at: Duration) -> u64 {
-        (self.unix_zero + at).as_millis() as u64
+        (self.started_unix + at).as_millis() as u64
     }
 
     fn incarnation(&self, server: ServerNo) -> Incarnation {
@@ -575,18 +575,24 @@
 
     fn view(&mut self, _edge: EdgeNo, now: Duration) -> Vec<ServerNo> {
         // No older than when the callers came: before that it named nobody.
-        let first = self.book.begun.unwrap_or(now).saturating_sub(self.lag);
-        let mut view = self.list.view(now.saturating_sub(self.lag + self.old_list).max(first));
-        if self.wrong_list {
-            view = view.iter().flat_map(|s| [*s, *s]).chain([ServerNo(self.addrs.len() as u16)]).collect();
+        let first = self.record.begun.unwrap_or(now).saturating_sub(self.membership_lag);
+        let mut view = self
+            .membership
+            .view(now.saturating_sub(self.membership_lag + self.extra_membership_lag).max(first));
+        if self.wrong_membership {
+            view = view
+                .iter()
+                .flat_map(|s| [*s, *s])
+                .chain([ServerNo(self.server_addresses.len() as u16)])
+                .collect();
         }
         view
     }
 
     fn asked(&mut self, asked: invariant_checker::Attempt) {
         let now = asked.asked;
-        self.book.second(now).attempts += 1;
-        self.book.note(now, Some(asked.request), Some(asked.server), || {
+        self.record.second(now).attempts += 1;
+        self.record.note(now, Some(asked.request), Some(asked.server), || {
             format!("{} asks, as {}", asked.edge, asked.attempt)
         });
         self.checker.asked(asked);
@@ -601,7 +607,7 @@
         rejected: bool,
         rules: Option<u64>,
     ) {
-        if self.book.trace.is_some() {
+        if self.record.trace.is_some() {
             let request = self.checker.at(reply_to).map(|t| t.request);
             let kind = if result.is_some() {
                 "settled"
@@ -610,7 +616,7 @@
             } else {
                 "voided"
             };
-            self.book.note(now, request, Some(server), || format!("answers: {kind}"));
+            self.record.note(now, request, Some(server), || format!("answers: {kind}"));
         }
         if let Some((version, asked)) = rules.zip(self.checker.at(reply_to)) {
             self.acts.push(Act {
@@ -625,12 +631,12 @@
             });
         }
         self.checker.answered(now, server, reply_to, result, rejected);
-        self.reply_over(reply_to);
+        self.finish_attempt(reply_to);
     }
 
     fn taken_back(&mut self, reply_to: (ConnNo, aldercrank_protocol::msgpack_rpc::MessageId)) {
         self.checker.excuse(reply_to);
-        self.reply_over(reply_to);
+        self.finish_attempt(reply_to);
     }
 
     fn broken_off(
@@ -640,7 +646,7 @@
         ours: bool,
     ) {
         self.checker.broken_off(now, reply_to, ours);
-        self.reply_over(reply_to);
+        self.finish_attempt(reply_to);
     }
 
     fn overdue(
@@ -652,8 +658,8 @@
     }
 
     fn ended(&mut self, now: Duration, request: crate::ids::RequestNo, by: &Request, end: End) {
-        self.book.ended(now, by, end);
-        self.book.note(now, Some(request), None, || format!("over for its caller: {end:?}"));
+        self.record.ended(now, by, end);
+        self.record.note(now, Some(request), None, || format!("over for its caller: {end:?}"));
     }
 }
 
--- a/crates/aldercrank-test-cluster/src/cluster/start.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/start.rs
@@ -103,17 +103,17 @@
         let mut ports = BTreeMap::new();
         let mut listen = |far: RemoteEndpoint, testbed: &mut Testbed| -> io::Result<std::net::SocketAddr> {
             let (port, addr) = testbed.net.listen(&self.ip)?;
-            testbed.ports.insert(port, (number, far));
+            testbed.ports.insert(port, LinkId { server: number, remote: far });
             ports.insert(far, port);
             Ok(addr)
         };
         let (pool, index, list) = (
-            listen(RemoteEndpoint::Pool, &mut self.testbed)?,
+            listen(RemoteEndpoint::WorkerPool, &mut self.testbed)?,
             listen(RemoteEndpoint::Index, &mut self.testbed)?,
-            listen(RemoteEndpoint::MembershipStub, &mut self.testbed)?,
+            listen(RemoteEndpoint::MembershipService, &mut self.testbed)?,
         );
         let places = Places { listen: free, pool, index, list };
-        self.testbed.addrs.push(free);
+        self.testbed.server_addresses.push(free);
         Ok(Server {
             places,
             process: None,
@@ -156,7 +156,7 @@
         let server = &mut self.servers[number.0 as usize];
         server.incarnation.0 += 1;
         if let Some(link) = server.link.take() {
-            self.testbed.close(link);
+            self.testbed.close_after_queued(link);
         }
         server.pool = Pool::new(cores, now, cold, Duration::ZERO);
         (server.leaving, server.killed, server.stopped) = (false, false, false);
@@ -181,7 +181,7 @@
         }
         server.process = Some(Process::start(&self.play.program, &args, &log)?);
         self.outcome.starts += 1;
-        self.testbed.book.note(now, None, Some(number), || "started".to_string());
+        self.testbed.record.note(now, None, Some(number), || "started".to_string());
         Ok(())
     }
 
@@ -191,8 +191,9 @@
         loop {
             self.turn()?;
             let now = self.now();
-            let ready =
-                |n: usize, s: &Server| s.link.is_some() && self.testbed.list.listed(ServerNo(n as u16), now);
+            let ready = |n: usize, s: &Server| {
+                s.link.is_some() && self.testbed.membership.listed(ServerNo(n as u16), now)
+            };
             if self.servers.iter().enumerate().all(|(n, s)| ready(n, s)) {
                 self.outcome.start = now;
                 return Ok(());
--- a/crates/aldercrank-test-cluster/src/cluster/versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/versions.rs
@@ -147,8 +147,8 @@
         let Some(rules) = &mut self.rules else { return };
         let to = self.servers[member.0 as usize].places.listen;
         let Ok(other) = self.testbed.net.connect(to) else { return self.testbed.net.close(conn) };
-        self.testbed.own(conn, ConnectionOwner::Peer(asker));
-        self.testbed.own(other, ConnectionOwner::Peer(member));
+        self.testbed.register(conn, ConnectionOwner::Peer(asker));
+        self.testbed.register(other, ConnectionOwner::Peer(member));
         rules.partners.insert(conn, other);
         rules.partners.insert(other, conn);
     }
@@ -157,9 +157,9 @@
     pub(super) fn pass_on(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
         let Some(rules) = &mut self.rules else { return };
         rules.words += 1;
-        self.testbed.book.second(now).words += 1;
+        self.testbed.record.second(now).words += 1;
         if let Some(&other) = rules.partners.get(&conn) {
-            self.testbed.say(now, other, bytes);
+            self.testbed.send_to_process(now, other, bytes);
         }
     }
 
@@ -180,8 +180,8 @@
             Some(other)
         });
         if let Some(other) = other {
-            self.testbed.close(other);
-            self.testbed.disown(other);
+            self.testbed.close_after_queued(other);
+            self.testbed.unregister(other);
         }
     }
 
@@ -189,13 +189,13 @@
     pub(super) fn publish_again(&mut self, now: Duration, step: usize) {
         let plan = &self.scenario.timeline[step];
         let Fault::Publish(what) = &plan.fault else { return };
-        let begun = self.testbed.book.begun.unwrap_or_default() + plan.at;
+        let begun = self.testbed.record.begun.unwrap_or_default() + plan.at;
         if plan.lasts.is_some_and(|lasts| now >= begun + lasts) || self.over {
             return;
         }
         self.publish(now, step, what);
         if let Some(every) = what.every {
-            self.testbed.wake(now + every, Timer::Publish(step));
+            self.testbed.set_timer(now + every, Timer::PublishVersion(step));
         }
     }
 
@@ -218,7 +218,7 @@
             rules.version_checker.published(now, &next, free);
             rules.newest = next;
         }
-        self.testbed.book.note(now, None, None, || format!("publishes version {number}: {own}"));
+        self.testbed.record.note(now, None, None, || format!("publishes version {number}: {own}"));
         let contents = contents.iter().map(|b| (format!("{number}-{}", b.digest()), b.text())).collect();
         self.put(now, contents);
     }
@@ -257,7 +257,7 @@
         if let Some(rules) = &mut self.rules {
             rules.config_store.bytes += bytes.len() as u64;
         }
-        self.testbed.say(now, conn, &bytes);
+        self.testbed.send_to_process(now, conn, &bytes);
     }
 
     pub(super) fn shelf_due(&mut self, now: Duration) {
@@ -266,13 +266,13 @@
             self.shelf_says(now, conn, config_store_stub::Word::Same);
         }
         if let Some(at) = self.rules.as_ref().and_then(|rules| rules.config_store.next()) {
-            self.testbed.wake(at.max(now), Timer::ConfigStore);
+            self.testbed.set_timer(at.max(now), Timer::ConfigStore);
         }
     }
 
     /// A question about the rule book has come to the list service.
     pub(super) fn shelf_hears(&mut self, now: Duration, conn: ConnNo, question: &http::Request, body: &[u8]) {
-        let up = self.testbed.list.state == membership_stub::State::Up;
+        let up = self.testbed.membership.state == membership_stub::State::Up;
         let Some(rules) = self.rules.as_mut().filter(|_| up) else { return };
         match question.method.as_str() {
             "GET" => {
@@ -280,7 +280,7 @@
                 let word = rules.config_store.read(now, conn, question.have.clone(), wait);
                 match word {
                     Some(word) => self.shelf_says(now, conn, word),
-                    None => self.testbed.wake(now + wait, Timer::ConfigStore),
+                    None => self.testbed.set_timer(now + wait, Timer::ConfigStore),
                 }
             }
             "PUT" => {
@@ -296,13 +296,13 @@
                 }
                 let mut bytes = Vec::new();
                 http::write_response(&mut bytes, status, false, None, b"");
-                self.testbed.say(now, conn, &bytes);
+                self.testbed.send_to_process(now, conn, &bytes);
             }
             _ => {
                 self.put(now, Vec::new());
                 let mut bytes = Vec::new();
                 http::write_response(&mut bytes, 204, false, None, b"");
-                self.testbed.say(now, conn, &bytes);
+                self.testbed.send_to_process(now, conn, &bytes);
             }
         }
     }
--- a/crates/aldercrank-test-cluster/src/edge_nodes.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes.rs
@@ -3,7 +3,7 @@
 
 use crate::ids::{ClassNo, ConnNo, EdgeNo, Incarnation, RequestNo, ServerNo};
 use crate::invariant_checker::{self, Attempt, Effect};
-use crate::random::{digest, RandomStream};
+use crate::random::{fnv1a_hash, RandomStream};
 use aldercrank_protocol::msgpack_rpc::{self, MessageId, ReceivedFields, RequestFields, ResponseHandler};
 use aldercrank_protocol::worker_pool::AttemptId;
 use std::collections::BTreeMap;
@@ -459,7 +459,7 @@
             reply_to: (conn, call),
             class: request.class,
             token: request.token,
-            body: digest(&body),
+            body: fnv1a_hash(&body),
             asked: now,
             deadline,
         };
--- a/crates/aldercrank-test-cluster/src/ids.rs
+++ b/crates/aldercrank-test-cluster/src/ids.rs
@@ -1,29 +1,29 @@
-//! The names of things in a fleet, each a type of its own.
+//! Identifiers of the parts of a test cluster, each a type of its own.
 
 use serde::Serialize;
 use std::fmt;
 
-/// A server, by its place in the fleet; its name is `n1` and so on.
+/// A server, by its index in the cluster; its name is `n1` for index 0 and so on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct ServerNo(pub u16);
 
-/// An edge node.
+/// An edge node, by its index; its name is `e1` for index 0 and so on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct EdgeNo(pub u16);
 
-/// A caller's txn, whatever the number of its tries.
+/// A caller's request, the same for all its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct RequestNo(pub u32);
 
-/// A product, by its place in the scenario.
+/// A request class, by its index in the scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct ClassNo(pub u8);
 
-/// Counts the starts of one server: what one life knows, the next does not.
+/// Counts the starts of one server. No state of a process survives into the next incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Incarnation(pub u32);
 
-/// A connection between the rig and a process, never given out twice in a run.
+/// A connection between the test cluster and a process. A number is never used twice in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct ConnNo(pub u64);
 
@@ -40,38 +40,44 @@
 }
 
 impl ServerNo {
-    /// By the name that a server reports itself under.
-    pub fn named(name: &str) -> Option<ServerNo> {
+    /// Parses the name that a server reports itself under; `None` if it is not of the form `n1`.
+    pub fn from_name(name: &str) -> Option<ServerNo> {
         let number: u16 = name.strip_prefix('n')?.parse().ok()?;
         number.checked_sub(1).map(ServerNo)
     }
 }
 
-/// What a server speaks with, at the far end of a pair.
+/// The kind of remote endpoint on a server's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub enum RemoteEndpoint {
-    Pool,
+    /// The server's own worker pool.
+    WorkerPool,
+    /// The shared index, an upstream dependency.
     Index,
-    MembershipStub,
+    /// The membership service.
+    MembershipService,
+    /// The edge nodes, which connect to the server.
     EdgeNodes,
-    /// Other servers, which it asks and is asked by about the rule book.
+    /// Other servers, for messages about the versioned configuration.
     Peers,
 }
 
 impl RemoteEndpoint {
+    /// All kinds, in the order in which scenarios list them.
     pub const ALL: [RemoteEndpoint; 5] = [
-        RemoteEndpoint::Pool,
+        RemoteEndpoint::WorkerPool,
         RemoteEndpoint::Index,
-        RemoteEndpoint::MembershipStub,
+        RemoteEndpoint::MembershipService,
         RemoteEndpoint::EdgeNodes,
         RemoteEndpoint::Peers,
     ];
 
-    pub fn word(self) -> &'static str {
+    /// The value of a scenario's `with=` property.
+    pub fn scenario_name(self) -> &'static str {
         match self {
-            RemoteEndpoint::Pool => "pool",
+            RemoteEndpoint::WorkerPool => "pool",
             RemoteEndpoint::Index => "index",
-            RemoteEndpoint::MembershipStub => "list",
+            RemoteEndpoint::MembershipService => "list",
             RemoteEndpoint::EdgeNodes => "edges",
             RemoteEndpoint::Peers => "peers",
         }
--- a/crates/aldercrank-test-cluster/src/random.rs
+++ b/crates/aldercrank-test-cluster/src/random.rs
@@ -1,35 +1,38 @@
-//! What is drawn in a run, from its seed by a named portable generator (PCG XSL RR 128/64): the same seed gives
-//! the same arrivals, work and timeline on every machine. Each purpose has a stream of its own, so that one more
-//! draw for one of them moves nothing of the others.
+//! Random numbers of a run, derived from its seed by a portable generator (PCG XSL RR 128/64): the same seed gives
+//! the same arrivals, work and timeline on every machine. Each purpose has a stream of its own, so that an additional
+//! sample for one purpose does not shift the samples of the others.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, RngCore, SeedableRng};
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64;
 
+/// The random numbers of one purpose in one run.
 pub struct RandomStream(Pcg64);
 
-/// FNV-1a: the same bytes give the same number everywhere. A purpose's name draws by it, and the checker knows a
-/// body again.
-pub fn digest(bytes: &[u8]) -> u64 {
+/// The 64-bit FNV-1a hash, which is the same on every machine. It separates the streams of a seed by purpose and
+/// identifies request bodies.
+pub fn fnv1a_hash(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |sum, b| (sum ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
 }
 
 impl RandomStream {
+    /// The stream of `purpose` for a run's seed.
     pub fn of(seed: u64, purpose: &str) -> RandomStream {
-        RandomStream(Pcg64::seed_from_u64(seed ^ digest(purpose.as_bytes())))
+        RandomStream(Pcg64::seed_from_u64(seed ^ fnv1a_hash(purpose.as_bytes())))
     }
 
-    /// From 0 up to 1.
+    /// Uniform in `0.0..1.0`.
     pub fn unit(&mut self) -> f64 {
         self.0.random()
     }
 
-    pub fn chance(&mut self, share: f64) -> bool {
-        self.unit() < share
+    /// Whether an event of this probability (0 to 1) happens.
+    pub fn chance(&mut self, probability: f64) -> bool {
+        self.unit() < probability
     }
 
-    /// From 0 up to this many; 0 of none.
+    /// Uniform in `0..n`. For `n == 0` it returns 0 and consumes no random number.
     pub fn below(&mut self, n: usize) -> usize {
         if n == 0 {
             0
@@ -38,20 +41,21 @@
         }
     }
 
-    pub fn word(&mut self) -> u64 {
+    /// The generator's next 64 bits.
+    pub fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
 
-    /// The gap to the next of what comes by itself, in means.
-    pub fn gap(&mut self) -> f64 {
+    /// An exponentially distributed time with mean 1, such as the gap between two Poisson arrivals.
+    pub fn exponential(&mut self) -> f64 {
         Exp1.sample(&mut self.0)
     }
 
-    /// So many of these, in no order.
-    pub fn some<T: Clone>(&mut self, of: &[T], many: usize) -> Vec<T> {
-        let mut all = of.to_vec();
+    /// `count` distinct elements of `items` in random order; all of them if there are fewer.
+    pub fn sample<T: Clone>(&mut self, items: &[T], count: usize) -> Vec<T> {
+        let mut all = items.to_vec();
         all.shuffle(&mut self.0);
-        all.truncate(many);
+        all.truncate(count);
         all
     }
 }
--- a/crates/aldercrank-test-cluster/src/relayed_link.rs
+++ b/crates/aldercrank-test-cluster/src/relayed_link.rs
@@ -1,138 +1,162 @@
-//! One way of a connection between two processes, and what is done to it. No I/O, no clock: bytes go in with
-//! their time and come out when they may, in their order, as a stream's do.
+//! One direction of a relayed connection between two processes, with the corruption that a scenario applies to it.
+//! No I/O and no clock: bytes are queued with their arrival time and released in order once their delay is over.
 
 use crate::random::RandomStream;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What one way may hold; beyond that its near end is not read any further, as a full socket is not.
-pub const MOST: usize = 1 << 20;
-/// In how small pieces a trickle comes.
-const PIECES: u64 = 20;
+/// Once this many bytes are queued, the sender's socket is not read any further, so that backpressure reaches it.
+pub const MAX_QUEUED_BYTES: usize = 1 << 20;
+/// A rate limit releases bytes in this many pieces a second.
+const RATE_LIMIT_PIECES_PER_SECOND: u64 = 20;
 
-/// What is done to what passes. The default does nothing.
+/// What is done to the bytes of one direction. The default passes them unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Corruption {
+    /// Added latency.
     pub delay: Duration,
-    /// How much longer some pieces take, as a share of the delay.
+    /// The largest additional delay of a piece, as a share of `delay`.
     pub jitter: f64,
-    /// Nothing passes while this lasts; what was said meanwhile comes after, as what a network sends again does.
-    pub dead: bool,
-    /// The connection is reset once so many bytes have passed under this.
-    pub reset_after: Option<u64>,
-    /// Nothing more passes on this connection once so many bytes have.
-    pub silent_after: Option<u64>,
-    /// Bytes a second.
-    pub trickle: Option<u64>,
-    /// The share of pieces in which one byte is changed.
-    pub garble: f64,
-    /// What is said is not read off the socket.
+    /// Nothing passes while this is set; queued bytes follow afterwards, like segments that TCP retransmits.
+    pub blocked: bool,
+    /// The connection is reset once this many bytes have passed under corruption.
+    pub reset_after_bytes: Option<u64>,
+    /// Nothing more passes on this connection once this many bytes have passed under corruption.
+    pub silent_after_bytes: Option<u64>,
+    /// Rate limit.
+    pub bytes_per_second: Option<u64>,
+    /// The share of pieces in which one bit is flipped.
+    pub bit_flip_probability: f64,
+    /// The sender's socket is not read.
     pub unread: bool,
 }
 
 impl Corruption {
-    pub fn none(&self) -> bool {
+    /// Whether bytes pass unchanged and at once.
+    pub fn is_none(&self) -> bool {
         *self == Corruption::default()
     }
 }
 
-/// The connection is to be reset.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reset;
+/// The corruption's byte limit is reached: the connection must be reset.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the connection reached its byte limit and is to be reset")]
+pub struct ResetDue;
 
+struct QueuedPiece {
+    release_at: Duration,
+    bytes: Vec<u8>,
+}
+
+/// The queue of one direction of a connection.
 #[derive(Default)]
 pub struct RelayedLink {
-    held: VecDeque<(Duration, Vec<u8>)>,
-    size: usize,
-    /// Bytes that have passed while something was done to them.
-    spoiled: u64,
+    queue: VecDeque<QueuedPiece>,
+    queued_bytes: usize,
+    /// Bytes that have passed under corruption.
+    corrupted_bytes: u64,
     silent: bool,
-    /// Nothing that came later may overtake what came before.
-    last: Duration,
+    /// The release time of the newest piece. Later pieces are released no earlier, so that order is kept.
+    last_release: Duration,
 }
 
 impl RelayedLink {
-    /// Whether the near end is to be left unread for now.
-    pub fn full(&self) -> bool {
-        self.size >= MOST
+    /// Whether the sender's socket must not be read for now.
+    pub fn is_full(&self) -> bool {
+        self.queued_bytes >= MAX_QUEUED_BYTES
     }
 
+    /// Whether nothing is queued.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.queue.is_empty()
     }
 
-    /// Whether bytes pass as they come: nothing is done, nothing is held.
-    pub fn clear(&self, corruption: &Corruption) -> bool {
-        self.held.is_empty() && !self.silent && corruption.none()
+    /// Whether bytes may bypass the queue: nothing is queued and the corruption does nothing.
+    pub fn is_transparent(&self, corruption: &Corruption) -> bool {
+        self.queue.is_empty() && !self.silent && corruption.is_none()
     }
 
-    /// Something is said at the near end.
-    pub fn enter(
+    /// Queues bytes that arrived at `now`.
+    pub fn push(
         &mut self,
         now: Duration,
         mut bytes: Vec<u8>,
         corruption: &Corruption,
-        draw: &mut RandomStream,
+        random: &mut RandomStream,
     ) {
         if self.silent || bytes.is_empty() {
             return;
         }
-        if corruption.garble > 0.0 && draw.chance(corruption.garble) {
-            let at = draw.below(bytes.len());
-            bytes[at] ^= 1 << draw.below(8);
+        if corruption.bit_flip_probability > 0.0 && random.chance(corruption.bit_flip_probability) {
+            let position = random.below(bytes.len());
+            bytes[position] ^= 1 << random.below(8);
         }
-        let late = corruption.delay.mul_f64(1.0 + corruption.jitter * draw.unit());
-        self.last = self.last.max(now + late);
-        self.size += bytes.len();
-        match corruption.trickle {
-            Some(rate) => self.trickle(bytes, rate.max(1)),
-            None => self.held.push_back((self.last, bytes)),
+        let delay = corruption.delay.mul_f64(1.0 + corruption.jitter * random.unit());
+        self.last_release = self.last_release.max(now + delay);
+        self.queued_bytes += bytes.len();
+        match corruption.bytes_per_second {
+            Some(rate) => self.push_rate_limited(&bytes, rate.max(1)),
+            None => self.queue.push_back(QueuedPiece { release_at: self.last_release, bytes }),
         }
     }
 
-    fn trickle(&mut self, bytes: Vec<u8>, rate: u64) {
-        let piece = (rate / PIECES).max(1) as usize;
-        for part in bytes.chunks(piece) {
-            self.held.push_back((self.last, part.to_vec()));
-            self.last += Duration::from_secs_f64(part.len() as f64 / rate as f64);
+    fn push_rate_limited(&mut self, bytes: &[u8], bytes_per_second: u64) {
+        let piece_length = (bytes_per_second / RATE_LIMIT_PIECES_PER_SECOND).max(1) as usize;
+        for piece in bytes.chunks(piece_length) {
+            self.queue.push_back(QueuedPiece { release_at: self.last_release, bytes: piece.to_vec() });
+            self.last_release += Duration::from_secs_f64(piece.len() as f64 / bytes_per_second as f64);
         }
     }
 
-    /// When the next piece may come out, where it is not held for as long as something lasts.
-    pub fn next(&self, corruption: &Corruption) -> Option<Duration> {
-        self.held.front().filter(|_| !corruption.dead && !self.silent).map(|(at, _)| *at)
+    /// When the next piece is due; `None` while nothing is queued or the link is blocked or silent.
+    pub fn next_release(&self, corruption: &Corruption) -> Option<Duration> {
+        let front = self.queue.front().filter(|_| !corruption.blocked && !self.silent);
+        front.map(|piece| piece.release_at)
     }
 
-    /// What may come out by now.
-    pub fn leave(&mut self, now: Duration, corruption: &Corruption, out: &mut Vec<u8>) -> Result<(), Reset> {
-        while let Some(at) = self.next(corruption) {
-            if at > now {
+    /// Appends the bytes that are due at `now` to `out`.
+    ///
+    /// # Errors
+    /// `ResetDue` if the corruption's byte limit is reached; `out` then holds the bytes up to the limit.
+    pub fn release(
+        &mut self,
+        now: Duration,
+        corruption: &Corruption,
+        out: &mut Vec<u8>,
+    ) -> Result<(), ResetDue> {
+        while let Some(release_at) = self.next_release(corruption) {
+            if release_at > now {
                 break;
             }
-            let Some((_, mut bytes)) = self.held.pop_front() else { break };
-            self.size -= bytes.len();
-            if !corruption.none() {
-                self.cut(&mut bytes, corruption, out)?;
+            let Some(QueuedPiece { mut bytes, .. }) = self.queue.pop_front() else { break };
+            self.queued_bytes -= bytes.len();
+            if !corruption.is_none() {
+                self.apply_byte_limits(&mut bytes, corruption, out)?;
             }
             out.append(&mut bytes);
         }
         Ok(())
     }
 
-    /// Counts what passes and ends it where it is to end: by a reset, or by silence for good.
-    fn cut(&mut self, bytes: &mut Vec<u8>, corruption: &Corruption, out: &mut Vec<u8>) -> Result<(), Reset> {
-        let before = self.spoiled;
-        self.spoiled += bytes.len() as u64;
-        if let Some(most) = corruption.silent_after.filter(|most| self.spoiled >= *most) {
-            bytes.truncate(most.saturating_sub(before) as usize);
+    /// Counts corrupted bytes and ends the stream at its limit, by silence or by a reset.
+    fn apply_byte_limits(
+        &mut self,
+        bytes: &mut Vec<u8>,
+        corruption: &Corruption,
+        out: &mut Vec<u8>,
+    ) -> Result<(), ResetDue> {
+        let before = self.corrupted_bytes;
+        self.corrupted_bytes += bytes.len() as u64;
+        if let Some(limit) = corruption.silent_after_bytes.filter(|limit| self.corrupted_bytes >= *limit) {
+            bytes.truncate(limit.saturating_sub(before) as usize);
             self.silent = true;
-            self.held.clear();
-            self.size = 0;
+            self.queue.clear();
+            self.queued_bytes = 0;
         }
-        if let Some(most) = corruption.reset_after.filter(|most| self.spoiled >= *most) {
-            bytes.truncate(most.saturating_sub(before) as usize);
+        if let Some(limit) = corruption.reset_after_bytes.filter(|limit| self.corrupted_bytes >= *limit) {
+            bytes.truncate(limit.saturating_sub(before) as usize);
             out.append(bytes);
-            return Err(Reset);
+            return Err(ResetDue);
         }
         Ok(())
     }
--- a/crates/aldercrank-test-cluster/src/scenario/read.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/read.rs
@@ -351,7 +351,7 @@
             return None;
         }
         if let Some(name) = server {
-            let number = ServerNo::named(&name).filter(|n| (n.0 as usize) < self.fleet.servers);
+            let number = ServerNo::from_name(&name).filter(|n| (n.0 as usize) < self.fleet.servers);
             if number.is_none() {
                 properties.fault(format!("{name} is none of n1 to n{}", self.fleet.servers));
             }
@@ -416,7 +416,7 @@
             Target::Server(server) => vec![*server],
             Target::Share(share) => {
                 let many = (all.len() as f64 * share).round() as usize;
-                RandomStream::of(self.seed, &format!("step {number}")).some(&all, many.max(1))
+                RandomStream::of(self.seed, &format!("step {number}")).sample(&all, many.max(1))
             }
             Target::Zone(zone) => {
                 all.into_iter().filter(|s| s.0 as usize % self.fleet.zones == *zone).collect()
@@ -473,7 +473,7 @@
 
 /// What spoils a pair.
 fn pair_fault(word: &str, properties: &mut NodeProperties) -> Option<Fault> {
-    let words = RemoteEndpoint::ALL.map(RemoteEndpoint::word);
+    let words = RemoteEndpoint::ALL.map(RemoteEndpoint::scenario_name);
     let with = properties.word("with", &words).map(|i| RemoteEndpoint::ALL[i]);
     if with.is_none() {
         properties.fault(format!("needs with=, one of {}", words.join(", ")));
@@ -488,19 +488,23 @@
                 ..Corruption::default()
             }
         }
-        "cut" => Corruption { dead: true, ..Corruption::default() },
-        "reset" => {
-            Corruption { reset_after: bytes(needs(properties, "after", 0.0, 1e9)), ..Corruption::default() }
-        }
-        "half" => {
-            Corruption { silent_after: bytes(needs(properties, "after", 0.0, 1e9)), ..Corruption::default() }
-        }
-        "trickle" => {
-            Corruption { trickle: bytes(needs(properties, "rate", 1.0, 1e9)), ..Corruption::default() }
-        }
-        "garble" => {
-            Corruption { garble: needs(properties, "share-of-pieces", 0.0, 1.0)?, ..Corruption::default() }
-        }
+        "cut" => Corruption { blocked: true, ..Corruption::default() },
+        "reset" => Corruption {
+            reset_after_bytes: bytes(needs(properties, "after", 0.0, 1e9)),
+            ..Corruption::default()
+        },
+        "half" => Corruption {
+            silent_after_bytes: bytes(needs(properties, "after", 0.0, 1e9)),
+            ..Corruption::default()
+        },
+        "trickle" => Corruption {
+            bytes_per_second: bytes(needs(properties, "rate", 1.0, 1e9)),
+            ..Corruption::default()
+        },
+        "garble" => Corruption {
+            bit_flip_probability: needs(properties, "share-of-pieces", 0.0, 1.0)?,
+            ..Corruption::default()
+        },
         "unread" => Corruption { unread: true, ..Corruption::default() },
         _ => return with.map(Fault::Refuse),
     };
--- a/crates/aldercrank-test-cluster/src/testbed.rs
+++ b/crates/aldercrank-test-cluster/src/testbed.rs
@@ -1,5 +1,5 @@
-//! What stands between the processes and their stand-ins: sockets, lanes and what is done to them, timers, the
-//! list that edge nodes read, the checker and the book. The rig acts on it; it decides nothing.
+//! What stands between the processes and the stub services: sockets, relayed links with their corruption, timers, the
+//! membership that edge nodes read, the invariant checker and the run's record. The test cluster drives it.
 
 use crate::edge_nodes::Wake;
 use crate::ids::{ConnNo, EdgeNo, Incarnation, RemoteEndpoint, ServerNo};
@@ -18,294 +18,368 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Whose a connection is.
+/// The two parties of a connection of the test cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOwner {
-    Pool(ServerNo),
+    /// A server's connection to its worker pool.
+    WorkerPool(ServerNo),
+    /// A server's connection to the index.
     Index(ServerNo),
-    MembershipStub(ServerNo),
+    /// A server's connection to the membership service.
+    MembershipService(ServerNo),
+    /// An edge node's connection to a server.
     Edge(EdgeNo, ServerNo),
-    /// Half of a relayed connection between two servers: this one's.
+    /// This server's half of a relayed connection between two servers.
     Peer(ServerNo),
 }
 
 impl ConnectionOwner {
-    pub fn pair(self) -> (ServerNo, RemoteEndpoint) {
-        match self {
-            ConnectionOwner::Pool(server) => (server, RemoteEndpoint::Pool),
+    /// The server, and the kind of endpoint that it is connected to.
+    pub fn link(self) -> LinkId {
+        let (server, remote) = match self {
+            ConnectionOwner::WorkerPool(server) => (server, RemoteEndpoint::WorkerPool),
             ConnectionOwner::Index(server) => (server, RemoteEndpoint::Index),
-            ConnectionOwner::MembershipStub(server) => (server, RemoteEndpoint::MembershipStub),
+            ConnectionOwner::MembershipService(server) => (server, RemoteEndpoint::MembershipService),
             ConnectionOwner::Edge(_, server) => (server, RemoteEndpoint::EdgeNodes),
             ConnectionOwner::Peer(server) => (server, RemoteEndpoint::Peers),
-        }
+        };
+        LinkId { server, remote }
     }
 }
 
+/// All connections between one server and one kind of remote endpoint. Scenarios apply corruption to these.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct LinkId {
+    /// The server.
+    pub server: ServerNo,
+    /// What it is connected to.
+    pub remote: RemoteEndpoint,
+}
+
+/// What the test cluster does at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    Pool(ServerNo),
+    /// A run of this server's worker pool ends or comes to its call.
+    WorkerPool(ServerNo),
+    /// A call at the index ends.
     Index,
-    MembershipStub,
+    /// An answer of the membership service is due.
+    MembershipService,
+    /// A timer of the edge nodes.
     Edge(Wake),
+    /// Queued bytes of a connection are due.
     RelayedLink(ConnNo),
-    Arrive,
-    Begin(usize, ServerNo),
-    End(usize, ServerNo),
-    Look,
-    Sizes,
-    Start(ServerNo),
-    PoolReset(usize, ServerNo),
-    /// Readers of the rule book have waited long enough.
+    /// The next caller arrives.
+    NextArrival,
+    /// The timeline's step of this index begins for a server.
+    BeginStep(usize, ServerNo),
+    /// The step ends for a server.
+    EndStep(usize, ServerNo),
+    /// Ended processes are collected and scheduling delay is sampled.
+    SampleProcesses,
+    /// Memory, descriptors and load are compared with their limits.
+    CheckLimits,
+    /// A server is started.
+    StartServer(ServerNo),
+    /// The step of this index resets a server's link to its worker pool.
+    ResetPoolLink(usize, ServerNo),
+    /// Long polls of the configuration store time out.
     ConfigStore,
-    /// The next version of a step that publishes one after another.
-    Publish(usize),
+    /// The step of this index publishes its next configuration version.
+    PublishVersion(usize),
 }
 
+/// Both directions of a connection, present once bytes had to be queued.
 #[derive(Default)]
-struct Lanes {
-    to: RelayedLink,
-    from: RelayedLink,
-    /// The far side has ended; that is heard once what it said has come.
-    ended: bool,
-    /// The near side has ended; that is said once what it said has gone.
+struct ConnectionLinks {
+    to_process: RelayedLink,
+    from_process: RelayedLink,
+    /// The process has closed the connection; delivered after the bytes that it sent before.
+    closed_by_process: bool,
+    /// The test cluster has closed the connection; done after the bytes that it sent before.
     closing: bool,
 }
 
+/// The corruption of both directions of a link.
+#[derive(Clone, Debug, Default)]
+struct LinkCorruption {
+    to_process: Corruption,
+    from_process: Corruption,
+}
+
+/// What the caller of [`Testbed::release_queued`] has to do with the connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReleaseAction {
+    /// It stays open.
+    KeepOpen,
+    /// A byte limit was reached: reset it.
+    Reset,
+    /// The process closed it, and all bytes that it sent before are delivered.
+    HandleClose,
+}
+
+/// The shared state of a run.
 pub struct Testbed {
+    /// All sockets.
     pub net: Net,
+    /// Socket events of the current turn; kept to reuse its memory.
     pub events: Vec<Event>,
     timers: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
-    /// Pools and the index are woken by their next end alone: later timers for them are not set.
-    next_of: BTreeMap<Timer, Duration>,
+    /// The earliest pending time of each coalesced timer; later ones are not queued.
+    coalesced_timers: BTreeMap<Timer, Duration>,
     timers_set: u64,
+    /// Time since the start of the run.
     pub now: Duration,
-    whose: HashMap<ConnNo, ConnectionOwner>,
-    lanes: HashMap<ConnNo, Lanes>,
-    corruptions: BTreeMap<(ServerNo, RemoteEndpoint), (Corruption, Corruption)>,
-    /// Servers that edge nodes can't reach.
+    owners: HashMap<ConnNo, ConnectionOwner>,
+    links: HashMap<ConnNo, ConnectionLinks>,
+    corruptions: BTreeMap<LinkId, LinkCorruption>,
+    /// Servers to which edge nodes can't connect.
     pub unreachable: BTreeSet<ServerNo>,
-    pub ports: HashMap<PortNo, (ServerNo, RemoteEndpoint)>,
-    /// Relays between servers: who asks, and whom.
+    /// Which server connects to which kind of stub service at each listener.
+    pub ports: HashMap<PortNo, LinkId>,
+    /// Relays between servers: the client and the committee member that it connects to.
     pub relays: HashMap<PortNo, (ServerNo, ServerNo)>,
-    pub addrs: Vec<SocketAddr>,
+    /// Where each server listens.
+    pub server_addresses: Vec<SocketAddr>,
+    /// The current incarnation of each server.
     pub incarnations: Vec<Incarnation>,
+    /// Checks what crosses the wire.
     pub checker: InvariantChecker,
-    pub book: RunRecord,
-    pub list: MembershipStub,
-    pub lag: Duration,
-    pub old_list: Duration,
-    /// The list that edge nodes read names each server twice, and one that never was.
-    pub wrong_list: bool,
-    /// Tries that are over, answered or not, until their pools have heard of it.
-    pub over: Vec<(ServerNo, AttemptId)>,
-    /// What was judged by a version of the rule book, until the checker has heard of it.
+    /// The run's figures and trace.
+    pub record: RunRecord,
+    /// The membership service.
+    pub membership: MembershipStub,
+    /// How late edge nodes see the membership.
+    pub membership_lag: Duration,
+    /// Additional lag by a fault.
+    pub extra_membership_lag: Duration,
+    /// A fault: edge nodes see each server twice, and one that never existed.
+    pub wrong_membership: bool,
+    /// Attempts that are over, answered or not, and not yet reported to their worker pools.
+    pub finished_attempts: Vec<(ServerNo, AttemptId)>,
+    /// Answers with a configuration version, not yet reported to the version checker.
     pub acts: Vec<Act>,
-    /// The txns that calls at the index are made for.
-    pub parents: HashMap<ConnNo, String>,
-    pub unix_zero: Duration,
-    draw: RandomStream,
+    /// The parent attempt of each open call at the index.
+    pub index_call_parents: HashMap<ConnNo, String>,
+    /// The Unix time at which the run started.
+    pub started_unix: Duration,
+    random: RandomStream,
 }
 
 impl Testbed {
+    /// A testbed for this many servers, without listeners.
+    ///
+    /// # Errors
+    /// If the socket poller can't be created.
     pub fn new(
         checker: InvariantChecker,
-        book: RunRecord,
-        list: MembershipStub,
-        lag: Duration,
+        record: RunRecord,
+        membership: MembershipStub,
+        membership_lag: Duration,
         servers: usize,
-        draw: RandomStream,
+        random: RandomStream,
     ) -> io::Result<Testbed> {
         Ok(Testbed {
             net: Net::new()?,
             events: Vec::new(),
             timers: BinaryHeap::new(),
-            next_of: BTreeMap::new(),
+            coalesced_timers: BTreeMap::new(),
             timers_set: 0,
             now: Duration::ZERO,
-            whose: HashMap::new(),
-            lanes: HashMap::new(),
+            owners: HashMap::new(),
+            links: HashMap::new(),
             corruptions: BTreeMap::new(),
             unreachable: BTreeSet::new(),
             ports: HashMap::new(),
             relays: HashMap::new(),
-            addrs: Vec::new(),
+            server_addresses: Vec::new(),
             incarnations: vec![Incarnation(0); servers],
             checker,
-            book,
-            list,
-            lag,
-            old_list: Duration::ZERO,
-            wrong_list: false,
-            over: Vec::new(),
+            record,
+            membership,
+            membership_lag,
+            extra_membership_lag: Duration::ZERO,
+            wrong_membership: false,
+            finished_attempts: Vec::new(),
             acts: Vec::new(),
-            parents: HashMap::new(),
-            unix_zero: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default(),
-            draw,
+            index_call_parents: HashMap::new(),
+            started_unix: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default(),
+            random,
         })
     }
 
-    /// The call on this seat is over.
-    pub fn reply_over(&mut self, reply_to: (ConnNo, MessageId)) {
-        if let Some(asked) = self.checker.at(reply_to) {
-            self.over.push((asked.server, asked.attempt));
+    /// Notes that the attempt behind this reply-to is over, for its worker pool.
+    pub fn finish_attempt(&mut self, reply_to: (ConnNo, MessageId)) {
+        if let Some(attempt) = self.checker.at(reply_to) {
+            self.finished_attempts.push((attempt.server, attempt.attempt));
         }
     }
 
-    pub fn wake(&mut self, at: Duration, timer: Timer) {
-        // These are asked for again at every event; one that is set no later will do.
-        if matches!(timer, Timer::Pool(_) | Timer::Index | Timer::MembershipStub | Timer::RelayedLink(_)) {
-            if self.next_of.get(&timer).is_some_and(|set| *set <= at) {
+    /// Sets a timer. Timers of stub services and links are set anew at each event, so only the earliest is kept.
+    pub fn set_timer(&mut self, at: Duration, timer: Timer) {
+        let coalesced = matches!(
+            timer,
+            Timer::WorkerPool(_) | Timer::Index | Timer::MembershipService | Timer::RelayedLink(_)
+        );
+        if coalesced {
+            if self.coalesced_timers.get(&timer).is_some_and(|set| *set <= at) {
                 return;
             }
-            self.next_of.insert(timer, at);
+            self.coalesced_timers.insert(timer, at);
         }
         self.timers_set += 1;
         self.timers.push(Reverse((at, self.timers_set, timer)));
     }
 
-    pub fn next(&self) -> Option<Duration> {
+    /// When the next timer is due.
+    pub fn next_timer(&self) -> Option<Duration> {
         self.timers.peek().map(|Reverse((at, _, _))| *at)
     }
 
-    /// The next timer that has come.
-    pub fn due(&mut self, now: Duration) -> Option<Timer> {
+    /// Takes the next timer that is due at `now`; timers of the same time come in the order in which they were set.
+    pub fn pop_due_timer(&mut self, now: Duration) -> Option<Timer> {
         self.now = self.now.max(now);
         let Reverse((at, _, timer)) = *self.timers.peek().filter(|Reverse((at, _, _))| *at <= now)?;
         self.timers.pop();
-        if self.next_of.get(&timer) == Some(&at) {
-            self.next_of.remove(&timer);
+        if self.coalesced_timers.get(&timer) == Some(&at) {
+            self.coalesced_timers.remove(&timer);
         }
         Some(timer)
     }
 
-    pub fn own(&mut self, conn: ConnNo, whose: ConnectionOwner) {
-        self.whose.insert(conn, whose);
-        let (server, far) = whose.pair();
-        if self.corruptions.get(&(server, far)).is_some_and(|(_, from)| from.unread) {
+    /// Registers a new connection.
+    pub fn register(&mut self, conn: ConnNo, owner: ConnectionOwner) {
+        self.owners.insert(conn, owner);
+        if self.corruptions.get(&owner.link()).is_some_and(|corruption| corruption.from_process.unread) {
             self.net.pause(conn, true);
         }
     }
 
-    pub fn whose(&self, conn: ConnNo) -> Option<ConnectionOwner> {
-        self.whose.get(&conn).copied()
+    /// The parties of a connection; `None` once it is unregistered.
+    pub fn owner(&self, conn: ConnNo) -> Option<ConnectionOwner> {
+        self.owners.get(&conn).copied()
     }
 
-    /// It is nobody's any more, and ends.
-    pub fn disown(&mut self, conn: ConnNo) -> Option<ConnectionOwner> {
-        self.parents.remove(&conn);
-        let parked = self.lanes.get(&conn).is_some_and(|l| l.closing);
-        if !parked {
-            self.lanes.remove(&conn);
+    /// Forgets a connection and closes it, unless its queued bytes are still to be sent.
+    pub fn unregister(&mut self, conn: ConnNo) -> Option<ConnectionOwner> {
+        self.index_call_parents.remove(&conn);
+        let closes_later = self.links.get(&conn).is_some_and(|links| links.closing);
+        if !closes_later {
+            self.links.remove(&conn);
             self.net.close(conn);
         }
-        self.whose.remove(&conn)
+        self.owners.remove(&conn)
     }
 
-    /// Ends a connection once what was said on it has gone.
-    pub fn close(&mut self, conn: ConnNo) {
-        let held = self.lanes.get_mut(&conn).filter(|l| !l.to.is_empty());
-        match held {
-            Some(lanes) => lanes.closing = true,
+    /// Closes a connection once its queued bytes are sent.
+    pub fn close_after_queued(&mut self, conn: ConnNo) {
+        let queued = self.links.get_mut(&conn).filter(|links| !links.to_process.is_empty());
+        match queued {
+            Some(links) => links.closing = true,
             None => self.net.close(conn),
         }
     }
 
-    fn corruption_of(&self, conn: ConnNo) -> Option<&(Corruption, Corruption)> {
-        self.corruptions.get(&self.whose.get(&conn)?.pair())
+    fn corruption_of(&self, conn: ConnNo) -> Option<&LinkCorruption> {
+        self.corruptions.get(&self.owners.get(&conn)?.link())
     }
 
-    pub fn corruptions(&self, server: ServerNo, far: RemoteEndpoint) -> bool {
-        self.corruptions.contains_key(&(server, far))
+    /// Whether a link is under corruption.
+    pub fn is_link_corrupted(&self, link: LinkId) -> bool {
+        self.corruptions.contains_key(&link)
     }
 
-    pub fn spoils_edges(&self, conn: ConnNo) -> bool {
+    /// Whether the link of this connection is under corruption.
+    pub fn is_connection_corrupted(&self, conn: ConnNo) -> bool {
         self.corruption_of(conn).is_some()
     }
 
-    pub fn of_pair(&self, server: ServerNo, far: RemoteEndpoint) -> Vec<ConnNo> {
-        let mut all: Vec<ConnNo> =
-            self.whose.iter().filter(|(_, w)| w.pair() == (server, far)).map(|(c, _)| *c).collect();
-        all.sort();
-        all
+    /// The open connections of a link, in the order in which they were made.
+    pub fn connections_of(&self, link: LinkId) -> Vec<ConnNo> {
+        let of_link = self.owners.iter().filter(|(_, owner)| owner.link() == link);
+        let mut connections: Vec<ConnNo> = of_link.map(|(conn, _)| *conn).collect();
+        connections.sort();
+        connections
     }
 
-    /// From now on this is done to what the pair says, where it is named.
+    /// Sets the corruption of a link from now on; a direction that is `None` stays as it is.
     pub fn set_corruption(
         &mut self,
         now: Duration,
-        server: ServerNo,
-        far: RemoteEndpoint,
-        to: Option<Corruption>,
-        from: Option<Corruption>,
+        link: LinkId,
+        to_process: Option<Corruption>,
+        from_process: Option<Corruption>,
     ) {
-        let both = self.corruptions.entry((server, far)).or_default();
-        if let Some(to) = to {
-            both.0 = to;
+        let corruption = self.corruptions.entry(link).or_default();
+        if let Some(to_process) = to_process {
+            corruption.to_process = to_process;
         }
-        if let Some(from) = from {
-            both.1 = from;
+        if let Some(from_process) = from_process {
+            corruption.from_process = from_process;
         }
-        let unread = both.1.unread;
-        if both.0.none() && both.1.none() {
-            self.corruptions.remove(&(server, far));
+        let unread = corruption.from_process.unread;
+        if corruption.to_process.is_none() && corruption.from_process.is_none() {
+            self.corruptions.remove(&link);
         }
-        for conn in self.of_pair(server, far) {
+        for conn in self.connections_of(link) {
             self.net.pause(conn, unread);
-            self.wake(now, Timer::RelayedLink(conn));
+            self.set_timer(now, Timer::RelayedLink(conn));
         }
     }
 
-    /// A stand-in says something to a process.
-    pub fn say(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
+    /// Sends bytes of a stub service to a process, through the link's corruption.
+    pub fn send_to_process(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
-        let none = Corruption::default();
-        let corruption = self.corruption_of(conn).map_or(none, |(to, _)| to.clone());
-        match self.lanes.get(&conn) {
-            None if corruption.none() => return self.net.send(conn, bytes),
-            Some(lanes) if lanes.to.clear(&corruption) => return self.net.send(conn, bytes),
+        let corruption = self.corruption_of(conn).map_or_else(Corruption::default, |c| c.to_process.clone());
+        match self.links.get(&conn) {
+            None if corruption.is_none() => return self.net.send(conn, bytes),
+            Some(links) if links.to_process.is_transparent(&corruption) => {
+                return self.net.send(conn, bytes);
+            }
             _ => {}
         }
-        let lane = &mut self.lanes.entry(conn).or_default().to;
-        lane.enter(now, bytes.to_vec(), &corruption, &mut self.draw);
-        if let Some(at) = lane.next(&corruption) {
-            self.wake(at, Timer::RelayedLink(conn));
+        let link = &mut self.links.entry(conn).or_default().to_process;
+        link.push(now, bytes.to_vec(), &corruption, &mut self.random);
+        if let Some(at) = link.next_release(&corruption) {
+            self.set_timer(at, Timer::RelayedLink(conn));
         }
     }
 
-    /// A process has said something: what of it comes through at once.
-    pub fn heard(&mut self, now: Duration, conn: ConnNo, bytes: Vec<u8>) -> Option<Vec<u8>> {
+    /// Takes bytes that a process has sent. Returns them if they pass at once; otherwise they are queued.
+    pub fn receive_from_process(&mut self, now: Duration, conn: ConnNo, bytes: Vec<u8>) -> Option<Vec<u8>> {
         self.now = self.now.max(now);
-        let corruption = self.corruption_of(conn).map_or(Corruption::default(), |(_, from)| from.clone());
-        match self.lanes.get(&conn) {
-            None if corruption.none() => return Some(bytes),
-            Some(lanes) if lanes.from.clear(&corruption) => return Some(bytes),
+        let corruption =
+            self.corruption_of(conn).map_or_else(Corruption::default, |c| c.from_process.clone());
+        match self.links.get(&conn) {
+            None if corruption.is_none() => return Some(bytes),
+            Some(links) if links.from_process.is_transparent(&corruption) => return Some(bytes),
             _ => {}
         }
-        let lane = &mut self.lanes.entry(conn).or_default().from;
-        lane.enter(now, bytes, &corruption, &mut self.draw);
-        let (full, at) = (lane.full(), lane.next(&corruption));
+        let link = &mut self.links.entry(conn).or_default().from_process;
+        link.push(now, bytes, &corruption, &mut self.random);
+        let (full, next_release) = (link.is_full(), link.next_release(&corruption));
         if full {
             self.net.pause(conn, true);
         }
-        if let Some(at) = at {
-            self.wake(at, Timer::RelayedLink(conn));
+        if let Some(at) = next_release {
+            self.set_timer(at, Timer::RelayedLink(conn));
         }
         None
     }
 
-    /// Whether the end of a connection is heard only once what was said on it has come.
-    pub fn ends_later(&mut self, conn: ConnNo) -> bool {
-        let dead = self.corruption_of(conn).is_some_and(|(_, from)| from.dead);
-        match self.lanes.get_mut(&conn) {
-            Some(lanes) if !lanes.from.is_empty() || dead => {
-                lanes.ended = true;
+    /// Whether the process's close of a connection is handled later, after its queued bytes or the end of a block.
+    pub fn defer_close_by_process(&mut self, conn: ConnNo) -> bool {
+        let blocked = self.corruption_of(conn).is_some_and(|corruption| corruption.from_process.blocked);
+        match self.links.get_mut(&conn) {
+            Some(links) if !links.from_process.is_empty() || blocked => {
+                links.closed_by_process = true;
                 self.net.deaf(conn);
                 true
             }
-            None if dead => {
-                self.lanes.entry(conn).or_default().ended = true;
+            None if blocked => {
+                self.links.entry(conn).or_default().closed_by_process = true;
                 self.net.deaf(conn);
                 true
             }
@@ -313,36 +387,51 @@
         }
     }
 
-    /// What may come out of a connection's lanes by now. Says whether it is to be reset, and whether its end is
-    /// now heard.
-    pub fn release(&mut self, now: Duration, conn: ConnNo, from: &mut Vec<u8>) -> (bool, bool) {
-        let corruptions = self.corruption_of(conn).cloned().unwrap_or_default();
-        let Some(lanes) = self.lanes.get_mut(&conn) else { return (false, false) };
-        let mut to = Vec::new();
-        let out = lanes.to.leave(now, &corruptions.0, &mut to);
-        let back = lanes.from.leave(now, &corruptions.1, from);
-        let next = lanes.to.next(&corruptions.0).into_iter().chain(lanes.from.next(&corruptions.1)).min();
-        let ended = lanes.ended && lanes.from.is_empty() && !corruptions.1.dead;
-        let gone = lanes.closing && lanes.to.is_empty();
-        let room = !lanes.from.full() && !lanes.ended && !corruptions.1.unread;
-        self.net.send(conn, &to);
-        if gone {
-            self.lanes.remove(&conn);
+    /// Releases the queued bytes of a connection that are due: sends those to the process, and appends those from it
+    /// to `from_process`.
+    pub fn release_queued(
+        &mut self,
+        now: Duration,
+        conn: ConnNo,
+        from_process: &mut Vec<u8>,
+    ) -> ReleaseAction {
+        let corruption = self.corruption_of(conn).cloned().unwrap_or_default();
+        let Some(links) = self.links.get_mut(&conn) else { return ReleaseAction::KeepOpen };
+        let mut to_process = Vec::new();
+        let sent = links.to_process.release(now, &corruption.to_process, &mut to_process);
+        let received = links.from_process.release(now, &corruption.from_process, from_process);
+        let next_to = links.to_process.next_release(&corruption.to_process);
+        let next_from = links.from_process.next_release(&corruption.from_process);
+        let next_release = next_to.into_iter().chain(next_from).min();
+        let drained = links.from_process.is_empty() && !corruption.from_process.blocked;
+        let close_delivered = links.closed_by_process && drained;
+        let closes_now = links.closing && links.to_process.is_empty();
+        let may_read =
+            !links.from_process.is_full() && !links.closed_by_process && !corruption.from_process.unread;
+        self.net.send(conn, &to_process);
+        if closes_now {
+            self.links.remove(&conn);
             self.net.close(conn);
-            return (false, false);
+            return ReleaseAction::KeepOpen;
         }
-        if room {
+        if may_read {
             self.net.pause(conn, false);
         }
-        if let Some(at) = next {
-            self.wake(at.max(now), Timer::RelayedLink(conn));
+        if let Some(at) = next_release {
+            self.set_timer(at.max(now), Timer::RelayedLink(conn));
+        }
+        if sent.is_err() || received.is_err() {
+            ReleaseAction::Reset
+        } else if close_delivered {
+            ReleaseAction::HandleClose
+        } else {
+            ReleaseAction::KeepOpen
         }
-        (out.is_err() || back.is_err(), ended)
     }
 
-    /// A server said what is no command.
-    pub fn pool_misuse(&mut self, now: Duration, server: ServerNo, why: &str) {
-        if !self.corruptions(server, RemoteEndpoint::Pool) {
+    /// Records that a server sent its worker pool bytes that are no command, unless a fault corrupts that link.
+    pub fn record_invalid_pool_command(&mut self, now: Duration, server: ServerNo, why: &str) {
+        if !self.is_link_corrupted(LinkId { server, remote: RemoteEndpoint::WorkerPool }) {
             let what = format!("it told its pool what is no command: {why}");
             self.checker.breaks(now, Rule::Mixed, None, Some(server), what);
         }
--- a/crates/aldercrank-test-cluster/tests/cores.rs
+++ b/crates/aldercrank-test-cluster/tests/cores.rs
@@ -31,7 +31,7 @@
 
 fn through(lane: &mut RelayedLink, now: Duration, corruption: &Corruption) -> Vec<u8> {
     let mut out = Vec::new();
-    let _ = lane.leave(now, corruption, &mut out);
+    let _ = lane.release(now, corruption, &mut out);
     out
 }
 
@@ -43,7 +43,7 @@
     let mut heard = Vec::new();
     for (n, bytes) in said.iter().enumerate() {
         let now = ms(n as u64);
-        lane.enter(now, bytes.clone(), &corruption, &mut draw);
+        lane.push(now, bytes.clone(), &corruption, &mut draw);
         heard.extend(through(&mut lane, now, &corruption));
         assert!(n >= 20 || heard.is_empty(), "nothing comes before its delay");
     }
@@ -54,14 +54,14 @@
 #[test]
 fn a_dead_way_holds_and_a_silent_one_forgets() {
     let (mut lane, mut draw) = (RelayedLink::default(), RandomStream::of(1, "test"));
-    let dead = Corruption { dead: true, ..Corruption::default() };
-    lane.enter(ms(0), b"held".to_vec(), &dead, &mut draw);
+    let dead = Corruption { blocked: true, ..Corruption::default() };
+    lane.push(ms(0), b"held".to_vec(), &dead, &mut draw);
     assert_eq!(through(&mut lane, ms(900), &dead), b"");
     assert_eq!(through(&mut lane, ms(901), &Corruption::default()), b"held");
-    let silent = Corruption { silent_after: Some(3), ..Corruption::default() };
-    lane.enter(ms(902), b"abcdef".to_vec(), &silent, &mut draw);
+    let silent = Corruption { silent_after_bytes: Some(3), ..Corruption::default() };
+    lane.push(ms(902), b"abcdef".to_vec(), &silent, &mut draw);
     assert_eq!(through(&mut lane, ms(902), &silent), b"abc");
-    lane.enter(ms(903), b"more".to_vec(), &Corruption::default(), &mut draw);
+    lane.push(ms(903), b"more".to_vec(), &Corruption::default(), &mut draw);
     assert_eq!(
         through(&mut lane, ms(999), &Corruption::default()),
         b"",
@@ -72,14 +72,14 @@
 #[test]
 fn a_reset_comes_at_its_byte_and_a_trickle_at_its_rate() {
     let (mut lane, mut draw) = (RelayedLink::default(), RandomStream::of(1, "test"));
-    let reset = Corruption { reset_after: Some(2), ..Corruption::default() };
-    lane.enter(ms(0), b"abcdef".to_vec(), &reset, &mut draw);
+    let reset = Corruption { reset_after_bytes: Some(2), ..Corruption::default() };
+    lane.push(ms(0), b"abcdef".to_vec(), &reset, &mut draw);
     let mut out = Vec::new();
-    assert!(lane.leave(ms(0), &reset, &mut out).is_err());
+    assert!(lane.release(ms(0), &reset, &mut out).is_err());
     assert_eq!(out, b"ab");
     let (mut lane, slow) =
-        (RelayedLink::default(), Corruption { trickle: Some(100), ..Corruption::default() });
-    lane.enter(ms(0), vec![7; 100], &slow, &mut draw);
+        (RelayedLink::default(), Corruption { bytes_per_second: Some(100), ..Corruption::default() });
+    lane.push(ms(0), vec![7; 100], &slow, &mut draw);
     let half = through(&mut lane, ms(500), &slow).len();
     assert!((45..=60).contains(&half), "{half} of 100 bytes in half a second");
     assert_eq!(through(&mut lane, ms(1000), &slow).len(), 100 - half);
@@ -379,12 +379,12 @@
 fn the_same_seed_draws_the_same() {
     let drawn = |seed: u64| -> Vec<u64> {
         let mut draw = RandomStream::of(seed, "x");
-        (0..4).map(|_| draw.word()).collect()
+        (0..4).map(|_| draw.next_u64()).collect()
     };
     assert_eq!(drawn(7), drawn(7));
     assert_ne!(drawn(7), drawn(8));
     // The generator is a named one: these words are the same on every machine.
-    assert_eq!(RandomStream::of(1, "anchor").word(), ANCHOR);
+    assert_eq!(RandomStream::of(1, "anchor").next_u64(), ANCHOR);
     let scenario = Scenario::parse("seed 3\nat 1 \"kill\" share=0.5").unwrap();
     assert_eq!(scenario.reached(0), scenario.reached(0));
     assert_eq!(scenario.reached(0).len(), 4);
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
@@ -176,12 +176,12 @@
         Fault::Pair(with, to, from) => {
             format!(
                 "pair with={} to=[{}] from=[{}]",
-                with.word(),
+                with.scenario_name(),
                 corruption(to.as_ref()),
                 corruption(from.as_ref())
             )
         }
-        Fault::Refuse(with) => format!("refuse with={}", with.word()),
+        Fault::Refuse(with) => format!("refuse with={}", with.scenario_name()),
         Fault::Index(state) => format!("index state={}", index_state(*state)),
         Fault::IndexCold => "index-cold".into(),
         Fault::MembershipStub(state) => format!("list state={}", list_state(*state)),
@@ -207,11 +207,11 @@
         "delay-ms={} jitter={} cut={} reset-after={} silent-after={} rate={} share-of-pieces={} unread={}",
         millis(s.delay),
         s.jitter,
-        s.dead,
-        or_none(s.reset_after),
-        or_none(s.silent_after),
-        or_none(s.trickle),
-        s.garble,
+        s.blocked,
+        or_none(s.reset_after_bytes),
+        or_none(s.silent_after_bytes),
+        or_none(s.bytes_per_second),
+        s.bit_flip_probability,
         s.unread
     )
 }
