--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -1,6 +1,7 @@
 //! What goes wrong, as the timeline says: begun and ended.
 
 use super::*;
+use crate::config_store_stub::StoredVersion;
 
 impl TestCluster<'_> {
     pub(super) fn tell_to_leave(&mut self, now: Duration, number: ServerNo) {
@@ -88,7 +89,7 @@
             Fault::PoolLate(by) => {
                 let (late, cores) = (*by, self.cores());
                 let cold = self.scenario.fleet.cold;
-                self.servers[number.0 as usize].pool = Pool::new(cores, now, cold, late);
+                self.servers[number.0 as usize].pool = WorkerPoolStub::new(cores, now, cold, late);
                 self.with_pool(now, number, |pool, host| pool.advance(now, host));
             }
             Fault::PoolResets(_) => self.pool_reset(now, step, number),
@@ -113,21 +114,21 @@
         match &self.scenario.timeline[step].fault {
             Fault::Index(state) => {
                 self.index.state = *state;
-                if *state == index_stub::State::Dead {
-                    for conn in self.index.drop_all(now) {
+                if *state == IndexState::Dead {
+                    for conn in self.index.drop_open_calls(now) {
                         self.cut_off(now, conn);
                     }
                     self.refuse_all(now, RemoteEndpoint::Index, true)?;
                 }
             }
-            Fault::IndexCold => self.index.chill(),
+            Fault::IndexCold => self.index.empty_caches(),
             Fault::MembershipStub(state) => {
-                self.testbed.membership.turn(now, *state);
-                if *state == membership_stub::State::Down {
+                self.testbed.membership.set_state(now, *state);
+                if *state == MembershipState::Down {
                     self.refuse_all(now, RemoteEndpoint::MembershipService, true)?;
                 }
             }
-            Fault::ListForgets => self.testbed.membership.forget(),
+            Fault::ListForgets => self.testbed.membership.forget_entries(),
             Fault::ListCapacity(to) => self.testbed.membership.set_capacity(*to),
             Fault::ListWrong => self.testbed.wrong_membership = true,
             Fault::ListOld(by) => self.testbed.extra_membership_lag = *by,
@@ -144,7 +145,7 @@
             Fault::RulesBroken(how) => self.spoilt_book(now, *how),
             Fault::RulesOld => {
                 let text = std::fs::read_to_string(self.play.dir.join("rules.kdl"))?;
-                self.put(now, vec![("old".to_string(), text)]);
+                self.put(now, vec![StoredVersion { tag: "old".to_string(), text }]);
             }
             _ => {}
         }
@@ -167,7 +168,8 @@
             Fault::Err(_) => self.servers[number.0 as usize].errs = 0.0,
             Fault::PoolGone => {
                 let port = self.servers[number.0 as usize].ports[&RemoteEndpoint::WorkerPool];
-                self.servers[number.0 as usize].pool = Pool::new(self.cores(), now, true, Duration::ZERO);
+                self.servers[number.0 as usize].pool =
+                    WorkerPoolStub::new(self.cores(), now, true, Duration::ZERO);
                 self.servers[number.0 as usize].crowd = 0.0;
                 self.testbed.net.admit(port)?;
             }
@@ -193,19 +195,19 @@
             }
             Fault::Refuse(far) => self.refuse(now, number, *far, false)?,
             Fault::Index(_) => {
-                let dead = self.index.state == index_stub::State::Dead;
-                self.index.state = index_stub::State::Well;
+                let dead = self.index.state == IndexState::Dead;
+                self.index.state = IndexState::Healthy;
                 if dead {
-                    self.index.chill();
+                    self.index.empty_caches();
                     self.refuse_all(now, RemoteEndpoint::Index, false)?;
                 }
                 // What it hung on is answered by nobody: those connections end.
-                for conn in self.index.drop_all(now) {
+                for conn in self.index.drop_open_calls(now) {
                     self.cut_off(now, conn);
                 }
             }
             Fault::MembershipStub(_) => {
-                self.testbed.membership.turn(now, membership_stub::State::Up);
+                self.testbed.membership.set_state(now, MembershipState::Up);
                 self.refuse_all(now, RemoteEndpoint::MembershipService, false)?;
             }
             Fault::ListCapacity(_) => self.testbed.membership.set_capacity(self.scenario.list_capacity),
@@ -227,7 +229,7 @@
         let cores = self.cores();
         let server = &mut self.servers[number.0 as usize];
         server.replies.clear();
-        server.pool = Pool::new(cores, now, true, Duration::ZERO);
+        server.pool = WorkerPoolStub::new(cores, now, true, Duration::ZERO);
         server.crowd = 0.0;
     }
 
--- a/crates/aldercrank-test-cluster/src/cluster/hear.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/hear.rs
@@ -38,10 +38,10 @@
     }
 
     pub(super) fn accepted(&mut self, now: Duration, server: ServerNo, far: RemoteEndpoint, conn: ConnNo) {
-        let state = self.testbed.membership.state;
+        let state = self.testbed.membership.state();
         if far == RemoteEndpoint::MembershipService {
             self.testbed.membership.connections.push(now);
-            if state == membership_stub::State::Closing {
+            if state == MembershipState::Closing {
                 return self.testbed.net.close(conn);
             }
         }
@@ -58,7 +58,7 @@
                 self.testbed.close_after_queued(old);
                 self.inputs.remove(&old);
             }
-            s.pool.unlinked();
+            s.pool.unlink();
             self.testbed.record.note(now, None, Some(server), || "a link to its pool".to_string());
         }
     }
@@ -79,13 +79,13 @@
                 let s = &mut self.servers[server.0 as usize];
                 if s.link == Some(conn) {
                     s.link = None;
-                    s.pool.unlinked();
+                    s.pool.unlink();
                 }
             }
-            Some(ConnectionOwner::Index(_)) => self.index.gone(now, conn),
+            Some(ConnectionOwner::Index(_)) => self.index.connection_ended(now, conn),
             Some(ConnectionOwner::MembershipService(_)) => {
                 if let Some(rules) = &mut self.rules {
-                    rules.config_store.gone(conn);
+                    rules.config_store.connection_ended(conn);
                 }
             }
             Some(ConnectionOwner::Peer(_)) => self.part(conn),
@@ -157,7 +157,7 @@
         &mut self,
         now: Duration,
         number: ServerNo,
-        act: impl FnOnce(&mut Pool, &mut Host) -> T,
+        act: impl FnOnce(&mut WorkerPoolStub, &mut Host) -> T,
     ) -> T {
         let server = &mut self.servers[number.0 as usize];
         let sabotage =
@@ -175,11 +175,11 @@
         };
         let got = act(&mut server.pool, &mut host);
         self.broken_on_purpose |= sabotage && due && !host.double;
-        let out = std::mem::take(&mut server.pool.out);
+        let out = std::mem::take(&mut server.pool.output);
         if let Some(link) = server.link {
             self.testbed.send_to_process(now, link, &out);
         }
-        if let Some(at) = server.pool.next(now) {
+        if let Some(at) = server.pool.next_event(now) {
             self.testbed.set_timer(at, Timer::WorkerPool(number));
         }
         got
@@ -198,11 +198,11 @@
         let whole = self.with_pool(now, server, |pool, host| {
             let mut taken = 0;
             loop {
-                match pool.hear(now, &input[taken..], host) {
+                match pool.receive(now, &input[taken..], host) {
                     Ok(Some(n)) => taken += n,
                     Ok(None) => break,
                     Err(why) => {
-                        host.testbed.record_invalid_pool_command(now, server, why);
+                        host.testbed.record_invalid_pool_command(now, server, &why);
                         return false;
                     }
                 }
@@ -239,7 +239,7 @@
         input.drain(..question.length);
         self.testbed.record.second(now).calls += 1;
         self.testbed.index_call_parents.insert(conn, parent);
-        if let Some(word) = self.index.called(now, conn) {
+        if let Some(word) = self.index.call_received(now, conn) {
             self.index_says(now, conn, word);
         }
         self.index_wake();
@@ -247,19 +247,19 @@
     }
 
     pub(super) fn index_wake(&mut self) {
-        if let Some(at) = self.index.next() {
+        if let Some(at) = self.index.next_end() {
             self.testbed.set_timer(at, Timer::Index);
         }
     }
 
-    pub(super) fn index_says(&mut self, now: Duration, conn: ConnNo, word: index_stub::Word) {
+    pub(super) fn index_says(&mut self, now: Duration, conn: ConnNo, word: IndexAnswer) {
         let parent = self.testbed.index_call_parents.remove(&conn).unwrap_or_default();
         let mut bytes = Vec::new();
         match word {
-            index_stub::Word::Shed => http::write_response(&mut bytes, 503, true, None, b""),
+            IndexAnswer::Rejected => http::write_response(&mut bytes, 503, true, None, b""),
             _ => http::write_response(&mut bytes, 200, false, None, &found(&parent)),
         }
-        if word == index_stub::Word::Half {
+        if word == IndexAnswer::Truncated {
             bytes.truncate(bytes.len() / 2);
             self.testbed.send_to_process(now, conn, &bytes);
             self.testbed.close_after_queued(conn);
@@ -304,19 +304,19 @@
                 "a report under another's name",
             );
         }
-        let word = self.testbed.membership.report(now, conn, server, up);
+        let word = self.testbed.membership.report_received(now, conn, server, up);
         let second = self.testbed.record.second(now);
         second.reports += 1;
         second.parts += u64::from(parts);
-        second.refused_reports += u64::from(word == membership_stub::Word::Refused);
+        second.refused_reports += u64::from(word == ReportAnswer::Rejected);
         match word {
-            membership_stub::Word::Taken(at) => self.testbed.set_timer(at, Timer::MembershipService),
-            membership_stub::Word::Refused => {
+            ReportAnswer::AcceptedAt(at) => self.testbed.set_timer(at, Timer::MembershipService),
+            ReportAnswer::Rejected => {
                 let mut bytes = Vec::new();
-                http::write_response(&mut bytes, 503, false, Some(membership_stub::COME_BACK), b"");
+                http::write_response(&mut bytes, 503, false, Some(membership_stub::RETRY_AFTER), b"");
                 self.testbed.send_to_process(now, conn, &bytes);
             }
-            membership_stub::Word::Nothing => {}
+            ReportAnswer::None => {}
         }
         true
     }
--- a/crates/aldercrank-test-cluster/src/cluster/look.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/look.rs
@@ -28,10 +28,10 @@
             }
         }
         let up = self.servers.iter().filter(|s| s.process.is_some() && !s.stopped).count();
-        let view = self.testbed.membership.view(now);
+        let view = self.testbed.membership.listed_servers(now);
         let listed = view.len();
         self.note_listed(now, view);
-        let held = self.index.held_by(now);
+        let held = self.index.open_call_seconds(now);
         let in_hand = held - std::mem::replace(&mut self.clock_held, held);
         let second = self.testbed.record.second(now);
         (second.up, second.listed) = (up, listed);
@@ -81,7 +81,8 @@
                 let what = format!("{descriptors} descriptors, over its limit");
                 checker.breaks(now, Rule::Fall, None, Some(number), what);
             }
-            let crowd = server.pool.crowd - std::mem::replace(&mut server.crowd, server.pool.crowd);
+            let crowd =
+                server.pool.run_seconds - std::mem::replace(&mut server.crowd, server.pool.run_seconds);
             let most = fleet.cores * (1.0 + (config::FALL - 1.0) * server.pool.warmth(now));
             if crowd > most * SIZES.as_secs_f64() * 1.5 {
                 let what = format!("{crowd:.1} runs on its cores on average, over {most:.1}");
@@ -95,7 +96,7 @@
             let mean = last.iter().map(|s| s.in_hand).sum::<f64>() / over as f64;
             let strict =
                 self.scenario.sabotage == Some(InjectedViolation::Overrun) && !self.broken_on_purpose;
-            let limit = if strict { 0.0 } else { self.index.terms().limit };
+            let limit = if strict { 0.0 } else { self.index.settings().limit };
             if mean > limit {
                 self.broken_on_purpose |= strict;
                 let what = format!("{mean:.1} calls in hand at the index on average, over {limit}");
--- a/crates/aldercrank-test-cluster/src/cluster/mod.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/mod.rs
@@ -10,9 +10,9 @@
 use crate::config::{self, Places};
 use crate::edge_nodes::{self, EdgeNodes, End, Request, Wake};
 use crate::ids::{ClassNo, ConnNo, EdgeNo, Incarnation, RemoteEndpoint, RequestNo, ServerNo};
-use crate::index_stub::{self, Index};
+use crate::index_stub::{EndedCall, IndexAnswer, IndexState, IndexStub};
 use crate::invariant_checker::{self, InvariantChecker, Rule};
-use crate::membership_stub::{self, MembershipStub};
+use crate::membership_stub::{self, MembershipState, MembershipStub, ReportAnswer};
 use crate::process::{self, Process, Program};
 use crate::random::{fnv1a_hash, RandomStream};
 use crate::relayed_link::Corruption;
@@ -21,7 +21,7 @@
 use crate::sockets::{Event, Got, PortNo};
 use crate::testbed::{ConnectionOwner, LinkId, ReleaseAction, Testbed, Timer};
 use crate::version_checker::Act;
-use crate::worker_pool_stub::{Cores, Pool, PoolHost, RunPlan};
+use crate::worker_pool_stub::{Cores, RunPlan, WorkerPoolHost, WorkerPoolStub};
 use aldercrank_protocol::http;
 use aldercrank_protocol::worker_pool::{AttemptId, RunEnd};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -54,7 +54,7 @@
 struct Server {
     places: Places,
     process: Option<Process>,
-    pool: Pool,
+    pool: WorkerPoolStub,
     link: Option<ConnNo>,
     ports: BTreeMap<RemoteEndpoint, PortNo>,
     incarnation: Incarnation,
@@ -86,7 +86,7 @@
     testbed: Testbed,
     edges: EdgeNodes,
     servers: Vec<Server>,
-    index: Index,
+    index: IndexStub,
     inputs: HashMap<ConnNo, Vec<u8>>,
     arrivals: RandomStream,
     rate: f64,
@@ -142,8 +142,8 @@
     }
 }
 
-impl PoolHost for Host<'_> {
-    fn spawned(&mut self, attempt: AttemptId, class: &str, body: &[u8]) -> Option<RunPlan> {
+impl WorkerPoolHost for Host<'_> {
+    fn plan_run(&mut self, attempt: AttemptId, class: &str, body: &[u8]) -> Option<RunPlan> {
         let (now, server) = (self.now, self.server);
         let body = fnv1a_hash(body);
         let checker = &mut self.testbed.checker;
@@ -157,14 +157,14 @@
             self.testbed.checker.spawned(now, server, self.incarnation, attempt, class, body);
         }
         let (work, calls, err) = self.job(request, number);
-        Some(RunPlan { work, calls, errs: err < self.errs })
+        Some(RunPlan { work, makes_call: calls, fails: err < self.errs })
     }
 
     fn call_body(&mut self, attempt: AttemptId) -> Vec<u8> {
         format!("for {attempt}").into_bytes()
     }
 
-    fn supplied(&mut self, attempt: AttemptId, reply: &[u8]) {
+    fn call_result_delivered(&mut self, attempt: AttemptId, reply: &[u8]) {
         if reply != found(&attempt.to_string()) {
             let what = "a run was given the reply to another call, or one changed";
             self.testbed.checker.breaks(self.now, Rule::Mixed, Some(attempt), Some(self.server), what);
@@ -172,7 +172,7 @@
         self.replies.insert(attempt, reply.to_vec());
     }
 
-    fn ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8> {
+    fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8> {
         let reply = self.replies.remove(&attempt);
         self.testbed.checker.run_ended(attempt, end);
         let request = self.testbed.checker.find(attempt).map(|t| (t.request, t.class));
@@ -302,12 +302,13 @@
         self.callers = false;
         self.outcome.servers_cpu = self.servers_on_core().saturating_sub(theirs);
         let list = &self.testbed.membership;
-        let (first, later) = (list.crowd(Duration::ZERO, end), list.crowd(now + LATER, end));
+        let (first, later) =
+            (list.connection_peaks(Duration::ZERO, end), list.connection_peaks(now + LATER, end));
         self.outcome.list.connections = list.connections.len() as u64;
-        self.outcome.list.refused = list.reports.iter().filter(|(_, _, taken)| !taken).count() as u64;
+        self.outcome.list.refused = list.reports.iter().filter(|report| !report.accepted).count() as u64;
         self.outcome.list.parts = self.testbed.record.seconds.iter().map(|s| s.parts).sum();
-        (self.outcome.list.most_tenth, self.outcome.list.most_second) = first;
-        (self.outcome.list.later_tenth, self.outcome.list.later_second) = later;
+        (self.outcome.list.most_tenth, self.outcome.list.most_second) = (first.per_tenth, first.per_second);
+        (self.outcome.list.later_tenth, self.outcome.list.later_second) = (later.per_tenth, later.per_second);
         let longest = self.scenario.classes.iter().map(|p| p.deadline).max().unwrap_or_default();
         let rest = end + longest + REST;
         while self.now() < rest && (self.edges.open() > 0 || self.testbed.checker.open() > 0) {
@@ -366,7 +367,7 @@
             }
             let mut figures = rules.version_checker.finish();
             (figures.words, figures.reads) = (rules.words, rules.config_store.reads);
-            figures.read_bytes = rules.config_store.bytes;
+            figures.read_bytes = rules.config_store.read_bytes;
             figures
         });
         let book = &self.testbed.record;
@@ -387,7 +388,7 @@
             counts: self.testbed.checker.counts,
             broken: self.testbed.checker.broken.clone(),
             list: self.outcome.list,
-            index_most: self.index.most,
+            index_most: self.index.most_open_calls,
             memory_kb: self.outcome.memory,
             descriptors: self.outcome.descriptors,
             starts: self.outcome.starts,
@@ -397,8 +398,8 @@
             rig_waited_s: waited.as_secs_f64(),
             seconds: book.seconds.clone(),
             faults: self.faults.clone(),
-            index_collapses: self.index.collapses().0,
-            index_slowest: self.index.collapses().1,
+            index_collapses: self.index.overload().collapses,
+            index_slowest: self.index.overload().worst_slowdown,
             steady_s: book.steady(STEADY),
             least_steady_s: self.least_steady(),
             crowded: self.crowded(),
@@ -412,7 +413,7 @@
     fn least_steady(&self) -> f64 {
         let (s, index) = (self.scenario, &self.scenario.index);
         let listed = s.fleet.servers as f64 / s.list_capacity + s.callers.lag.as_secs_f64();
-        let each = index.take.as_secs_f64() * (1.0 + index.cold) / 2.0;
+        let each = index.call_duration.as_secs_f64() * (1.0 + index.cold_slowdown) / 2.0;
         let by_calls = f64::from(index.warming) * each / index.slots;
         // It warms no sooner than calls come.
         let calls: f64 = s.classes.iter().map(|p| p.share * p.calls).sum::<f64>() * s.callers.rate;
@@ -485,13 +486,13 @@
         match timer {
             Timer::WorkerPool(server) => self.with_pool(now, server, |pool, host| pool.advance(now, host)),
             Timer::Index => {
-                for (conn, word, _) in self.index.due(now) {
-                    self.index_says(now, conn, word);
+                for EndedCall { conn, answer } in self.index.take_ended_calls(now) {
+                    self.index_says(now, conn, answer);
                 }
                 self.index_wake();
             }
             Timer::MembershipService => {
-                for conn in self.testbed.membership.due(now) {
+                for conn in self.testbed.membership.take_due_answers(now) {
                     let mut bytes = Vec::new();
                     http::write_response(&mut bytes, 204, false, None, b"");
                     self.testbed.send_to_process(now, conn, &bytes);
@@ -512,7 +513,7 @@
             }
             Timer::StartServer(server) => self.start(server, true, false)?,
             Timer::ResetPoolLink(step, server) => self.pool_reset(now, step, server),
-            Timer::ConfigStore => self.shelf_due(now),
+            Timer::ConfigReadTimeout => self.shelf_due(now),
             Timer::PublishVersion(step) => self.publish_again(now, step),
         }
         Ok(())
@@ -578,7 +579,7 @@
         let first = self.record.begun.unwrap_or(now).saturating_sub(self.membership_lag);
         let mut view = self
             .membership
-            .view(now.saturating_sub(self.membership_lag + self.extra_membership_lag).max(first));
+            .listed_servers(now.saturating_sub(self.membership_lag + self.extra_membership_lag).max(first));
         if self.wrong_membership {
             view = view
                 .iter()
--- a/crates/aldercrank-test-cluster/src/cluster/start.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/start.rs
@@ -70,7 +70,7 @@
             testbed,
             edges,
             servers: Vec::new(),
-            index: Index::new(scenario.index),
+            index: IndexStub::new(scenario.index),
             inputs: HashMap::new(),
             arrivals: RandomStream::of(scenario.seed, "arrivals"),
             rate: scenario.callers.rate,
@@ -117,7 +117,7 @@
         Ok(Server {
             places,
             process: None,
-            pool: Pool::new(self.cores(), Duration::ZERO, self.scenario.fleet.cold, Duration::ZERO),
+            pool: WorkerPoolStub::new(self.cores(), Duration::ZERO, self.scenario.fleet.cold, Duration::ZERO),
             link: None,
             ports,
             incarnation: Incarnation(0),
@@ -134,8 +134,8 @@
 
     pub(super) fn cores(&self) -> Cores {
         let fleet = &self.scenario.fleet;
-        let warm_after = fleet.warm_after.mul_f64(fleet.warms_times);
-        Cores { count: fleet.cores, cold_from: fleet.cold_from, warm_after }
+        let warm_up = fleet.warm_after.mul_f64(fleet.warms_times);
+        Cores { count: fleet.cores, cold_speed: fleet.cold_from, warm_up }
     }
 
     pub(super) fn start_all(&mut self) -> io::Result<()> {
@@ -158,7 +158,7 @@
         if let Some(link) = server.link.take() {
             self.testbed.close_after_queued(link);
         }
-        server.pool = Pool::new(cores, now, cold, Duration::ZERO);
+        server.pool = WorkerPoolStub::new(cores, now, cold, Duration::ZERO);
         (server.leaving, server.killed, server.stopped) = (false, false, false);
         (server.crowd, server.waited) = (0.0, Duration::ZERO);
         server.replies.clear();
@@ -192,7 +192,7 @@
             self.turn()?;
             let now = self.now();
             let ready = |n: usize, s: &Server| {
-                s.link.is_some() && self.testbed.membership.listed(ServerNo(n as u16), now)
+                s.link.is_some() && self.testbed.membership.is_listed(ServerNo(n as u16), now)
             };
             if self.servers.iter().enumerate().all(|(n, s)| ready(n, s)) {
                 self.outcome.start = now;
--- a/crates/aldercrank-test-cluster/src/cluster/versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/versions.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::config::service;
-use crate::config_store_stub::{self, ConfigStore};
+use crate::config_store_stub::{ConfigStoreStub, ReadAnswer, StoredVersion};
 use crate::scenario::{Published, RuleBook, Spoilt};
 use crate::version_checker::VersionChecker;
 use aldercrank_versioned_config::book::Path as Item;
@@ -15,7 +15,7 @@
     /// The newest that was published, and the last number given out.
     pub newest: VersionedConfig,
     pub last: u64,
-    pub config_store: ConfigStore,
+    pub config_store: ConfigStoreStub,
     pub version_checker: VersionChecker,
     /// The two ends of each relayed connection.
     pub partners: HashMap<ConnNo, ConnNo>,
@@ -112,7 +112,7 @@
             terms,
             newest,
             last: 1,
-            config_store: ConfigStore::default(),
+            config_store: ConfigStoreStub::default(),
             version_checker,
             partners: HashMap::new(),
             reach,
@@ -219,7 +219,10 @@
             rules.newest = next;
         }
         self.testbed.record.note(now, None, None, || format!("publishes version {number}: {own}"));
-        let contents = contents.iter().map(|b| (format!("{number}-{}", b.digest()), b.text())).collect();
+        let contents = contents
+            .iter()
+            .map(|b| StoredVersion { tag: format!("{number}-{}", b.digest()), text: b.text() })
+            .collect();
         self.put(now, contents);
     }
 
@@ -234,45 +237,43 @@
             Spoilt::Field => text.replacen("window-ms ", "window-ms \"long\" // ", 1),
             Spoilt::Later => text.replacen("committee {", "quorum 2\n    committee {", 1),
         };
-        self.put(now, vec![("spoilt".to_string(), spoilt)]);
+        self.put(now, vec![StoredVersion { tag: "spoilt".to_string(), text: spoilt }]);
     }
 
     /// What stands at the list service is this from now on.
-    pub(super) fn put(&mut self, now: Duration, contents: Vec<(String, String)>) {
+    pub(super) fn put(&mut self, now: Duration, contents: Vec<StoredVersion>) {
         let Some(rules) = &mut self.rules else { return };
         for (conn, word) in rules.config_store.put(contents) {
             self.shelf_says(now, conn, word);
         }
     }
 
-    pub(super) fn shelf_says(&mut self, now: Duration, conn: ConnNo, word: config_store_stub::Word) {
+    pub(super) fn shelf_says(&mut self, now: Duration, conn: ConnNo, word: ReadAnswer) {
         let mut bytes = Vec::new();
         match word {
-            config_store_stub::Word::Text(text) => {
-                http::write_response(&mut bytes, 200, false, None, text.as_bytes())
-            }
-            config_store_stub::Word::Same => http::write_response(&mut bytes, 304, false, None, b""),
-            config_store_stub::Word::None => http::write_response(&mut bytes, 404, false, None, b""),
+            ReadAnswer::Content(text) => http::write_response(&mut bytes, 200, false, None, text.as_bytes()),
+            ReadAnswer::NotModified => http::write_response(&mut bytes, 304, false, None, b""),
+            ReadAnswer::NotFound => http::write_response(&mut bytes, 404, false, None, b""),
         }
         if let Some(rules) = &mut self.rules {
-            rules.config_store.bytes += bytes.len() as u64;
+            rules.config_store.read_bytes += bytes.len() as u64;
         }
         self.testbed.send_to_process(now, conn, &bytes);
     }
 
     pub(super) fn shelf_due(&mut self, now: Duration) {
-        let due = self.rules.as_mut().map(|rules| rules.config_store.due(now)).unwrap_or_default();
+        let due = self.rules.as_mut().map(|rules| rules.config_store.take_timed_out(now)).unwrap_or_default();
         for conn in due {
-            self.shelf_says(now, conn, config_store_stub::Word::Same);
+            self.shelf_says(now, conn, ReadAnswer::NotModified);
         }
-        if let Some(at) = self.rules.as_ref().and_then(|rules| rules.config_store.next()) {
-            self.testbed.set_timer(at.max(now), Timer::ConfigStore);
+        if let Some(at) = self.rules.as_ref().and_then(|rules| rules.config_store.next_timeout()) {
+            self.testbed.set_timer(at.max(now), Timer::ConfigReadTimeout);
         }
     }
 
     /// A question about the rule book has come to the list service.
     pub(super) fn shelf_hears(&mut self, now: Duration, conn: ConnNo, question: &http::Request, body: &[u8]) {
-        let up = self.testbed.membership.state == membership_stub::State::Up;
+        let up = self.testbed.membership.state() == MembershipState::Up;
         let Some(rules) = self.rules.as_mut().filter(|_| up) else { return };
         match question.method.as_str() {
             "GET" => {
@@ -280,7 +281,7 @@
                 let word = rules.config_store.read(now, conn, question.have.clone(), wait);
                 match word {
                     Some(word) => self.shelf_says(now, conn, word),
-                    None => self.testbed.set_timer(now + wait, Timer::ConfigStore),
+                    None => self.testbed.set_timer(now + wait, Timer::ConfigReadTimeout),
                 }
             }
             "PUT" => {
@@ -292,7 +293,10 @@
                     rules.version_checker.published(now, &book, free);
                     rules.last = rules.last.max(book.number.0);
                     rules.newest = book.clone();
-                    self.put(now, vec![(format!("{}-{}", book.number, book.digest()), text)]);
+                    self.put(
+                        now,
+                        vec![StoredVersion { tag: format!("{}-{}", book.number, book.digest()), text }],
+                    );
                 }
                 let mut bytes = Vec::new();
                 http::write_response(&mut bytes, status, false, None, b"");
--- a/crates/aldercrank-test-cluster/src/config_store_stub.rs
+++ b/crates/aldercrank-test-cluster/src/config_store_stub.rs
@@ -1,94 +1,107 @@
-//! Where the list service keeps the version of the rule book that is to come, as a stand-in without sockets: read on
-//! condition, with the answer held back while nothing changes; written and taken back by operators.
+//! A stub, without sockets and clock, of the configuration store in which the membership service keeps the next
+//! version of the versioned configuration: conditional reads with long polling, writes and deletion.
 
 use crate::ids::ConnNo;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What it says to a read.
+/// The answer to a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
-    Text(String),
-    /// It is what the reader has.
-    Same,
-    /// There is none.
-    None,
+pub enum ReadAnswer {
+    /// The stored version.
+    Content(String),
+    /// The reader has the stored version.
+    NotModified,
+    /// No version is stored.
+    NotFound,
 }
 
-#[derive(Clone, Debug)]
-struct Version {
-    tag: String,
-    text: String,
+/// A stored version.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StoredVersion {
+    /// The entity tag, by which readers name the version that they have.
+    pub tag: String,
+    /// The text.
+    pub text: String,
+}
+
+struct LongPoll {
+    tag: Option<String>,
+    until: Duration,
 }
 
+/// The configuration store.
 #[derive(Default)]
-pub struct ConfigStore {
-    /// What stands there; every second reader is given another content where there are two.
-    versions: Vec<Version>,
+pub struct ConfigStoreStub {
+    /// More than one are contradictory contents under one version number, given to readers in turn.
+    versions: Vec<StoredVersion>,
     turn: usize,
-    waiting: BTreeMap<ConnNo, (Option<String>, Duration)>,
+    long_polls: BTreeMap<ConnNo, LongPoll>,
+    /// Reads so far.
     pub reads: u64,
-    pub bytes: u64,
+    /// Bytes of the answers to reads so far.
+    pub read_bytes: u64,
 }
 
-impl ConfigStore {
-    /// These contents stand there from now on; gives the readers that waited for something else.
-    pub fn put(&mut self, versions: Vec<(String, String)>) -> Vec<(ConnNo, Word)> {
-        self.versions = versions.into_iter().map(|(tag, text)| Version { tag, text }).collect();
-        let all = std::mem::take(&mut self.waiting);
-        let mut told = Vec::new();
-        for (conn, (have, until)) in all {
-            match self.word(have.as_deref()) {
-                Word::Same => drop(self.waiting.insert(conn, (have, until))),
-                word => told.push((conn, word)),
+impl ConfigStoreStub {
+    /// Replaces the contents. Returns the long polls that are now answered.
+    pub fn put(&mut self, versions: Vec<StoredVersion>) -> Vec<(ConnNo, ReadAnswer)> {
+        self.versions = versions;
+        let mut answers = Vec::new();
+        for (conn, poll) in std::mem::take(&mut self.long_polls) {
+            match self.answer(poll.tag.as_deref()) {
+                ReadAnswer::NotModified => drop(self.long_polls.insert(conn, poll)),
+                answer => answers.push((conn, answer)),
             }
         }
-        told
+        answers
     }
 
-    fn word(&mut self, have: Option<&str>) -> Word {
+    fn answer(&mut self, tag: Option<&str>) -> ReadAnswer {
         self.turn += 1;
         let Some(version) = self.versions.get(self.turn % self.versions.len().max(1)) else {
-            return if have.is_some() { Word::None } else { Word::Same };
+            return if tag.is_some() { ReadAnswer::NotFound } else { ReadAnswer::NotModified };
         };
-        if have == Some(version.tag.as_str()) {
-            Word::Same
+        if tag == Some(version.tag.as_str()) {
+            ReadAnswer::NotModified
         } else {
-            Word::Text(version.text.clone())
+            ReadAnswer::Content(version.text.clone())
         }
     }
 
-    /// A reader asks; nothing is said while it may wait.
+    /// A reader that has the version of this tag asks for another. Returns `None` if the read becomes a long poll.
     pub fn read(
         &mut self,
         now: Duration,
         conn: ConnNo,
-        have: Option<String>,
+        tag: Option<String>,
         wait: Duration,
-    ) -> Option<Word> {
+    ) -> Option<ReadAnswer> {
         self.reads += 1;
-        match self.word(have.as_deref()) {
-            Word::Same if !wait.is_zero() => {
-                self.waiting.insert(conn, (have, now + wait));
+        match self.answer(tag.as_deref()) {
+            ReadAnswer::NotModified if !wait.is_zero() => {
+                self.long_polls.insert(conn, LongPoll { tag, until: now + wait });
                 None
             }
-            word => Some(word),
+            answer => Some(answer),
         }
     }
 
-    pub fn gone(&mut self, conn: ConnNo) {
-        self.waiting.remove(&conn);
+    /// The connection of a reader has ended.
+    pub fn connection_ended(&mut self, conn: ConnNo) {
+        self.long_polls.remove(&conn);
     }
 
-    pub fn next(&self) -> Option<Duration> {
-        self.waiting.values().map(|(_, until)| *until).min()
+    /// When the next long poll times out.
+    pub fn next_timeout(&self) -> Option<Duration> {
+        self.long_polls.values().map(|poll| poll.until).min()
     }
 
-    /// Readers whose wait is over.
-    pub fn due(&mut self, now: Duration) -> Vec<ConnNo> {
-        let due: Vec<ConnNo> =
-            self.waiting.iter().filter(|(_, (_, until))| *until <= now).map(|(conn, _)| *conn).collect();
-        due.iter().for_each(|conn| drop(self.waiting.remove(conn)));
-        due
+    /// Takes the long polls that have timed out by `now`.
+    pub fn take_timed_out(&mut self, now: Duration) -> Vec<ConnNo> {
+        let timed_out = self.long_polls.iter().filter(|(_, poll)| poll.until <= now);
+        let conns: Vec<ConnNo> = timed_out.map(|(conn, _)| *conn).collect();
+        self.long_polls.retain(|_, poll| poll.until > now);
+        conns
     }
 }
--- a/crates/aldercrank-test-cluster/src/index_stub.rs
+++ b/crates/aldercrank-test-cluster/src/index_stub.rs
@@ -1,191 +1,229 @@
-//! The shared index as a stand-in, without sockets: so many slots, slower the more calls it holds, slow, dead or
-//! cold when told so. It counts what it holds, since nobody else sees the calls of all servers.
+//! A stub of the shared index without sockets and clock. It has a number of slots, beyond which all calls slow down,
+//! and can be slow, hung, shedding, truncating, dead or cold. It counts its open calls, since no other party sees the
+//! calls of all servers.
 
 use crate::ids::ConnNo;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How much slower each call beyond the slots makes all others.
-const CROWDED: f64 = 1.5;
-/// It turns calls away beyond this many times its limit.
-const SHED: f64 = 2.0;
+/// The exponent by which the duration of calls grows with the load per slot.
+const CROWDING_EXPONENT: f64 = 1.5;
+/// Calls beyond this many times the limit are rejected.
+const SHEDDING_FACTOR: f64 = 2.0;
+/// The index has collapsed where calls take more than this many times what each would take alone, for longer than
+/// `COLLAPSE_SECONDS`. Slowness of cold caches is not counted, since no caller causes it.
+const COLLAPSE_SLOWDOWN: f64 = 4.0;
+const COLLAPSE_SECONDS: u64 = 2;
 
+/// The index's capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    /// Calls that it works on at once without slowing.
+pub struct IndexSettings {
+    /// Calls that it serves at once without slowing down.
     pub slots: f64,
-    /// What all servers together may have in hand on average.
+    /// Calls that all servers together may have outstanding on average.
     pub limit: f64,
-    /// How long a call takes when all is well.
-    pub take: Duration,
-    /// How many times as long while its caches are cold, and how many calls warm them.
-    pub cold: f64,
+    /// The duration of a call that is alone, with warm caches.
+    pub call_duration: Duration,
+    /// How many times as long a call takes while the caches are empty.
+    pub cold_slowdown: f64,
+    /// How many calls warm the caches.
     pub warming: u32,
 }
 
+/// The injected fault, if any.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum State {
-    Well,
-    /// All takes so many times as long.
+pub enum IndexState {
+    /// No fault.
+    Healthy,
+    /// Each call takes this many times as long.
     Slow(f64),
-    /// Takes connections and never answers.
+    /// Connections are accepted and calls never answered.
     Hung,
-    /// Turns all away unexamined.
+    /// Each call is rejected.
     Shedding,
-    /// Ends each answer in its middle.
-    Half,
-    /// Refuses connections.
+    /// Each answer ends in its middle.
+    Truncating,
+    /// Connections are refused.
     Dead,
 }
 
-/// What a call is answered with.
+/// The answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum IndexAnswer {
+    /// The result.
     Found,
-    /// Turned away: it never ran.
-    Shed,
-    /// The first half of an answer, then the end.
-    Half,
+    /// The call was rejected and did not run.
+    Rejected,
+    /// The first half of a result, then the connection ends.
+    Truncated,
 }
 
-struct Open {
+/// A call that has come to its end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndedCall {
+    /// The connection that it came on.
+    pub conn: ConnNo,
+    /// Its answer.
+    pub answer: IndexAnswer,
+}
+
+/// How much callers have overloaded the index.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Overload {
+    /// How often it collapsed.
+    pub collapses: u32,
+    /// The largest mean duration of the calls of one second, as a multiple of what each would have taken alone.
+    pub worst_slowdown: f64,
+}
+
+struct OpenCall {
+    /// `Duration::MAX` if it never ends.
     ends: Duration,
     since: Duration,
-    /// How long it would take if no other were in hand: slow and cold as the index is.
-    alone: Duration,
+    /// The duration that it would have if no other call were open.
+    duration_alone: Duration,
+}
+
+#[derive(Default)]
+struct SecondOfCalls {
+    slowdown_sum: f64,
+    calls: u32,
 }
 
-pub struct Index {
-    terms: Terms,
-    pub state: State,
-    open: BTreeMap<ConnNo, Open>,
-    /// Calls since its caches were cold.
-    warmed: u32,
-    /// For the averages: calls in hand times seconds, and up to when.
-    pub held: f64,
-    at: Duration,
-    pub most: usize,
-    /// By second: how many times as long calls that ended then took as each would have alone, and how many there were.
-    took: BTreeMap<u64, (f64, u32)>,
+/// The shared index.
+pub struct IndexStub {
+    settings: IndexSettings,
+    /// The injected fault.
+    pub state: IndexState,
+    open_calls: BTreeMap<ConnNo, OpenCall>,
+    /// Calls served since the caches were empty.
+    calls_since_cold: u32,
+    /// The number of open calls, integrated over time in seconds.
+    open_call_seconds: f64,
+    integrated_to: Duration,
+    /// The most calls that were open at once.
+    pub most_open_calls: usize,
+    /// Ended calls, by the second of their end.
+    seconds: BTreeMap<u64, SecondOfCalls>,
 }
 
-/// It has collapsed where calls take over so many times what each would alone for longer than this, in seconds. What it
-/// takes for being cold is no caller's doing.
-const COLLAPSED: f64 = 4.0;
-const COLLAPSED_FOR: u64 = 2;
-
-impl Index {
-    pub fn new(terms: Terms) -> Index {
-        let warmed = terms.warming;
-        Index {
-            terms,
-            state: State::Well,
-            open: BTreeMap::new(),
-            warmed,
-            held: 0.0,
-            at: Duration::ZERO,
-            most: 0,
-            took: BTreeMap::new(),
+impl IndexStub {
+    /// A healthy index with warm caches.
+    pub fn new(settings: IndexSettings) -> IndexStub {
+        IndexStub {
+            settings,
+            state: IndexState::Healthy,
+            open_calls: BTreeMap::new(),
+            calls_since_cold: settings.warming,
+            open_call_seconds: 0.0,
+            integrated_to: Duration::ZERO,
+            most_open_calls: 0,
+            seconds: BTreeMap::new(),
         }
     }
 
-    /// How often it collapsed, and the most that calls of one second took, in times what each would have alone.
-    pub fn collapses(&self) -> (u32, f64) {
-        let (mut collapses, mut row, mut worst) = (0, 0, 0.0f64);
-        let mut last = None;
-        for (second, (sum, count)) in &self.took {
-            let times = sum / f64::from(*count);
-            worst = worst.max(times);
-            let follows = last.is_some_and(|last| last + 1 == *second);
-            row = if times <= COLLAPSED {
-                0
-            } else if follows {
-                row + 1
-            } else {
-                1
+    /// How much it has been overloaded so far.
+    pub fn overload(&self) -> Overload {
+        let mut overload = Overload::default();
+        let mut seconds_in_row = 0;
+        let mut previous = None;
+        for (second, calls) in &self.seconds {
+            let slowdown = calls.slowdown_sum / f64::from(calls.calls);
+            overload.worst_slowdown = overload.worst_slowdown.max(slowdown);
+            let consecutive = previous.is_some_and(|previous| previous + 1 == *second);
+            seconds_in_row = match (slowdown > COLLAPSE_SLOWDOWN, consecutive) {
+                (false, _) => 0,
+                (true, true) => seconds_in_row + 1,
+                (true, false) => 1,
             };
-            collapses += u32::from(row == COLLAPSED_FOR + 1);
-            last = Some(*second);
+            overload.collapses += u32::from(seconds_in_row == COLLAPSE_SECONDS + 1);
+            previous = Some(*second);
         }
-        (collapses, worst)
+        overload
     }
 
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    /// The capacity that it was made with.
+    pub fn settings(&self) -> &IndexSettings {
+        &self.settings
     }
 
-    /// Its caches are empty again.
-    pub fn chill(&mut self) {
-        self.warmed = 0;
+    /// Empties the caches.
+    pub fn empty_caches(&mut self) {
+        self.calls_since_cold = 0;
     }
 
-    fn count(&mut self, now: Duration) {
-        self.held += self.open.len() as f64 * now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
+    fn integrate_open_calls(&mut self, now: Duration) {
+        let span = now.saturating_sub(self.integrated_to).as_secs_f64();
+        self.open_call_seconds += self.open_calls.len() as f64 * span;
+        self.integrated_to = self.integrated_to.max(now);
     }
 
-    /// A call has come whole. Gives its answer where that is at once; else it ends with `due`.
-    pub fn called(&mut self, now: Duration, conn: ConnNo) -> Option<Word> {
-        self.count(now);
-        let full = self.open.len() as f64 >= self.terms.limit * SHED;
-        if self.state == State::Shedding || full {
-            return Some(Word::Shed);
+    /// A call has been received in full. Returns its answer if it is rejected; otherwise the call is open until
+    /// [`IndexStub::take_ended_calls`] returns it.
+    pub fn call_received(&mut self, now: Duration, conn: ConnNo) -> Option<IndexAnswer> {
+        self.integrate_open_calls(now);
+        let settings = &self.settings;
+        let full = self.open_calls.len() as f64 >= settings.limit * SHEDDING_FACTOR;
+        if self.state == IndexState::Shedding || full {
+            return Some(IndexAnswer::Rejected);
         }
-        let crowd = (self.open.len() as f64 + 1.0) / self.terms.slots.max(1.0);
-        let cold =
-            1.0 - f64::from(self.warmed.min(self.terms.warming)) / f64::from(self.terms.warming.max(1));
+        let load_per_slot = (self.open_calls.len() as f64 + 1.0) / settings.slots.max(1.0);
+        let coldness =
+            1.0 - f64::from(self.calls_since_cold.min(settings.warming)) / f64::from(settings.warming.max(1));
         let slow = match self.state {
-            State::Slow(by) => by,
+            IndexState::Slow(by) => by,
             _ => 1.0,
         };
-        let factor = crowd.max(1.0).powf(CROWDED) * slow * (1.0 + (self.terms.cold - 1.0) * cold);
+        let cold = 1.0 + (settings.cold_slowdown - 1.0) * coldness;
+        let factor = load_per_slot.max(1.0).powf(CROWDING_EXPONENT) * slow * cold;
         let ends = match self.state {
-            State::Hung | State::Dead => Duration::MAX,
-            _ => now + self.terms.take.mul_f64(factor),
+            IndexState::Hung | IndexState::Dead => Duration::MAX,
+            _ => now + settings.call_duration.mul_f64(factor),
         };
-        let alone = self.terms.take.mul_f64(slow * (1.0 + (self.terms.cold - 1.0) * cold));
-        self.open.insert(conn, Open { ends, since: now, alone });
-        self.most = self.most.max(self.open.len());
+        let duration_alone = settings.call_duration.mul_f64(slow * cold);
+        self.open_calls.insert(conn, OpenCall { ends, since: now, duration_alone });
+        self.most_open_calls = self.most_open_calls.max(self.open_calls.len());
         None
     }
 
-    /// The call's connection has ended, whoever ended it.
-    pub fn gone(&mut self, now: Duration, conn: ConnNo) {
-        self.count(now);
-        self.open.remove(&conn);
+    /// The connection of a call has ended, at either side.
+    pub fn connection_ended(&mut self, now: Duration, conn: ConnNo) {
+        self.integrate_open_calls(now);
+        self.open_calls.remove(&conn);
     }
 
-    pub fn next(&self) -> Option<Duration> {
-        self.open.values().map(|o| o.ends).filter(|at| *at != Duration::MAX).min()
+    /// When the next call ends.
+    pub fn next_end(&self) -> Option<Duration> {
+        self.open_calls.values().map(|call| call.ends).filter(|at| *at != Duration::MAX).min()
     }
 
-    /// Calls that have come to their end: whose, the answer, and how long each took.
-    pub fn due(&mut self, now: Duration) -> Vec<(ConnNo, Word, Duration)> {
-        self.count(now);
-        let done: Vec<ConnNo> = self.open.iter().filter(|(_, o)| o.ends <= now).map(|(c, _)| *c).collect();
-        let word = if self.state == State::Half { Word::Half } else { Word::Found };
-        self.warmed = self.warmed.saturating_add(done.len() as u32);
-        let mut ended = Vec::with_capacity(done.len());
-        for conn in done {
-            let Some(open) = self.open.remove(&conn) else { continue };
-            let took = now.saturating_sub(open.since);
-            let second = self.took.entry(now.as_secs()).or_default();
-            let times = took.as_secs_f64() / open.alone.as_secs_f64().max(1e-6);
-            *second = (second.0 + times, second.1 + 1);
-            ended.push((conn, word, took));
+    /// Takes the calls that have ended by `now`, by connection.
+    pub fn take_ended_calls(&mut self, now: Duration) -> Vec<EndedCall> {
+        self.integrate_open_calls(now);
+        let ended = self.open_calls.iter().filter(|(_, call)| call.ends <= now);
+        let conns: Vec<ConnNo> = ended.map(|(conn, _)| *conn).collect();
+        let truncating = self.state == IndexState::Truncating;
+        let answer = if truncating { IndexAnswer::Truncated } else { IndexAnswer::Found };
+        self.calls_since_cold = self.calls_since_cold.saturating_add(conns.len() as u32);
+        for conn in &conns {
+            let Some(call) = self.open_calls.remove(conn) else { continue };
+            let took = now.saturating_sub(call.since);
+            let second = self.seconds.entry(now.as_secs()).or_default();
+            second.slowdown_sum += took.as_secs_f64() / call.duration_alone.as_secs_f64().max(1e-6);
+            second.calls += 1;
         }
-        ended
+        conns.into_iter().map(|conn| EndedCall { conn, answer }).collect()
     }
 
-    /// It died: what it held is gone. Gives the connections to be reset.
-    pub fn drop_all(&mut self, now: Duration) -> Vec<ConnNo> {
-        self.count(now);
-        std::mem::take(&mut self.open).into_keys().collect()
+    /// Drops all open calls, as a crash does. Returns their connections, which are to be reset.
+    pub fn drop_open_calls(&mut self, now: Duration) -> Vec<ConnNo> {
+        self.integrate_open_calls(now);
+        std::mem::take(&mut self.open_calls).into_keys().collect()
     }
 
-    /// The calls in hand times seconds up to now.
-    pub fn held_by(&mut self, now: Duration) -> f64 {
-        self.count(now);
-        self.held
+    /// The number of open calls, integrated over time up to `now`, in call seconds.
+    pub fn open_call_seconds(&mut self, now: Duration) -> f64 {
+        self.integrate_open_calls(now);
+        self.open_call_seconds
     }
 }
--- a/crates/aldercrank-test-cluster/src/membership_stub.rs
+++ b/crates/aldercrank-test-cluster/src/membership_stub.rs
@@ -1,165 +1,219 @@
-//! The list service as a stand-in, without sockets: servers report to it, an entry lapses when its reports stop,
-//! and edge nodes see what it says a while late. It has a stated capacity, beyond which it queues and refuses.
+//! A stub of the membership service without sockets and clock. Servers send it load reports; an entry expires when its
+//! reports stop. It has a capacity, beyond which it queues reports and then rejects them.
 
 use crate::ids::{ConnNo, ServerNo};
 use aldercrank_protocol::membership::ENTRY_TTL;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The longest that a report may queue; beyond it is refused.
-const QUEUE: Duration = Duration::from_millis(500);
-/// What it says to those that it refuses.
-pub const COME_BACK: Duration = Duration::from_secs(1);
-/// How long what was said is remembered, for edge nodes that see it late.
-const PAST: Duration = Duration::from_secs(30);
-
+/// The longest that a report may queue; beyond it is rejected.
+const MAX_QUEUE: Duration = Duration::from_millis(500);
+/// The `Retry-After` of rejected reports.
+pub const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// How long past reports are kept, for edge nodes that see the membership late.
+const HISTORY: Duration = Duration::from_secs(30);
+const TENTH_OF_A_SECOND: Duration = Duration::from_millis(100);
+const SECOND: Duration = Duration::from_secs(1);
+/// The smallest capacity, in reports a second.
+const MIN_CAPACITY: f64 = 0.1;
+
+/// The injected fault, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum MembershipState {
+    /// No fault.
     Up,
-    /// Refuses connections.
+    /// Connections are refused.
     Down,
-    /// Takes reports and never answers; they do not count.
+    /// Reports are read and neither counted nor answered.
     Silent,
-    /// Takes connections and closes them.
+    /// Connections are accepted and closed.
     Closing,
 }
 
-/// What becomes of a report.
+/// The answer to a report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReportAnswer {
+    /// 204, at this time.
+    AcceptedAt(Duration),
+    /// 503, with `RETRY_AFTER`.
+    Rejected,
+    /// No answer.
+    None,
+}
+
+/// A report that was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// Answered 204 at this moment.
-    Taken(Duration),
-    /// Answered 503, with when to come back.
-    Refused,
-    /// Not answered at all.
-    Nothing,
+pub struct ReportReceived {
+    /// When it was complete.
+    pub at: Duration,
+    /// The server that sent it.
+    pub server: ServerNo,
+    /// Whether it was accepted.
+    pub accepted: bool,
+}
+
+/// The most connections that were made within a window of each length.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionPeaks {
+    /// In any tenth of a second.
+    pub per_tenth: usize,
+    /// In any second.
+    pub per_second: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Said {
+struct Report {
     at: Duration,
     up: bool,
 }
 
+/// An outage; without an end while it lasts.
+struct Outage {
+    began: Duration,
+    ended: Option<Duration>,
+}
+
+impl Outage {
+    fn overlap(&self, from: Duration, to: Duration) -> Duration {
+        self.ended.unwrap_or(Duration::MAX).min(to).saturating_sub(self.began.max(from))
+    }
+}
+
+/// The membership service.
 pub struct MembershipStub {
     /// Reports a second.
     capacity: f64,
-    pub state: State,
-    said: BTreeMap<ServerNo, VecDeque<Said>>,
-    /// Spans in which it was down: nothing lapses then.
-    down: Vec<(Duration, Option<Duration>)>,
+    /// The injected fault.
+    state: MembershipState,
+    reports_by_server: BTreeMap<ServerNo, VecDeque<Report>>,
+    /// Outages; entries do not expire during one.
+    outages: Vec<Outage>,
     busy_until: Duration,
-    /// Times at which reports came whole: who, and whether it was taken.
-    pub reports: Vec<(Duration, ServerNo, bool)>,
-    /// When connections were made, of which some never ask.
+    /// All reports that were received.
+    pub reports: Vec<ReportReceived>,
+    /// When connections were made, including those without a report.
     pub connections: Vec<Duration>,
-    waiting: BTreeMap<(Duration, ConnNo), ()>,
+    /// Connections that wait for the answer to a report, by its time.
+    pending_answers: BTreeSet<(Duration, ConnNo)>,
 }
 
 impl MembershipStub {
+    /// An empty membership service with a capacity in reports a second.
     pub fn new(capacity: f64) -> MembershipStub {
         MembershipStub {
-            capacity: capacity.max(0.1),
-            state: State::Up,
-            said: BTreeMap::new(),
-            down: Vec::new(),
+            capacity: capacity.max(MIN_CAPACITY),
+            state: MembershipState::Up,
+            reports_by_server: BTreeMap::new(),
+            outages: Vec::new(),
             busy_until: Duration::ZERO,
             reports: Vec::new(),
             connections: Vec::new(),
-            waiting: BTreeMap::new(),
+            pending_answers: BTreeSet::new(),
         }
     }
 
+    /// Sets the capacity in reports a second.
     pub fn set_capacity(&mut self, capacity: f64) {
-        self.capacity = capacity.max(0.1);
+        self.capacity = capacity.max(MIN_CAPACITY);
+    }
+
+    /// The injected fault.
+    pub fn state(&self) -> MembershipState {
+        self.state
     }
 
-    pub fn turn(&mut self, now: Duration, state: State) {
-        let (was, is) = (self.state != State::Up, state != State::Up);
-        if is && !was {
-            self.down.push((now, None));
-        } else if let Some(last) = self.down.last_mut().filter(|_| was && !is) {
-            last.1 = Some(now);
+    /// Sets the injected fault.
+    pub fn set_state(&mut self, now: Duration, state: MembershipState) {
+        let was_out = self.state != MembershipState::Up;
+        let is_out = state != MembershipState::Up;
+        if is_out && !was_out {
+            self.outages.push(Outage { began: now, ended: None });
+        } else if let Some(last) = self.outages.last_mut().filter(|_| was_out && !is_out) {
+            last.ended = Some(now);
         }
         self.state = state;
     }
 
-    /// It has started again and knows nobody.
-    pub fn forget(&mut self) {
-        self.said.clear();
+    /// Drops all entries, as a restart does.
+    pub fn forget_entries(&mut self) {
+        self.reports_by_server.clear();
     }
 
-    /// A report has come whole on this connection.
-    pub fn report(&mut self, now: Duration, conn: ConnNo, server: ServerNo, up: bool) -> Word {
-        if self.state != State::Up {
-            self.reports.push((now, server, false));
-            return Word::Nothing;
+    /// A report has been received in full. `up` is the state that the server reports of itself.
+    pub fn report_received(
+        &mut self,
+        now: Duration,
+        conn: ConnNo,
+        server: ServerNo,
+        up: bool,
+    ) -> ReportAnswer {
+        if self.state != MembershipState::Up {
+            self.reports.push(ReportReceived { at: now, server, accepted: false });
+            return ReportAnswer::None;
         }
         let begins = self.busy_until.max(now);
-        if begins - now > QUEUE {
-            self.reports.push((now, server, false));
-            return Word::Refused;
+        if begins - now > MAX_QUEUE {
+            self.reports.push(ReportReceived { at: now, server, accepted: false });
+            return ReportAnswer::Rejected;
         }
         self.busy_until = begins + Duration::from_secs_f64(1.0 / self.capacity);
-        self.reports.push((now, server, true));
-        let said = self.said.entry(server).or_default();
-        said.push_back(Said { at: now, up });
-        while said.len() > 2 && said[1].at + PAST < now {
-            said.pop_front();
+        self.reports.push(ReportReceived { at: now, server, accepted: true });
+        let reports = self.reports_by_server.entry(server).or_default();
+        reports.push_back(Report { at: now, up });
+        while reports.len() > 2 && reports[1].at + HISTORY < now {
+            reports.pop_front();
         }
-        self.waiting.insert((self.busy_until, conn), ());
-        Word::Taken(self.busy_until)
-    }
-
-    /// When the next answer is due.
-    pub fn next(&self) -> Option<Duration> {
-        self.waiting.keys().next().map(|(at, _)| *at)
+        self.pending_answers.insert((self.busy_until, conn));
+        ReportAnswer::AcceptedAt(self.busy_until)
     }
 
-    /// Reports whose answer is due.
-    pub fn due(&mut self, now: Duration) -> Vec<ConnNo> {
+    /// Takes the connections whose answer is due at `now`.
+    pub fn take_due_answers(&mut self, now: Duration) -> Vec<ConnNo> {
         let mut conns = Vec::new();
-        while let Some(((_, conn), ())) = self.waiting.first_key_value().filter(|((at, _), ())| *at <= now) {
-            conns.push(*conn);
-            self.waiting.pop_first();
+        while let Some((_, conn)) = self.pending_answers.first().copied().filter(|(at, _)| *at <= now) {
+            conns.push(conn);
+            self.pending_answers.pop_first();
         }
         conns
     }
 
-    /// How much of this span it was down.
-    fn down_in(&self, from: Duration, to: Duration) -> Duration {
-        let part = |(began, ended): &(Duration, Option<Duration>)| {
-            ended.unwrap_or(Duration::MAX).min(to).saturating_sub((*began).max(from))
-        };
-        self.down.iter().map(part).sum()
+    fn outage_within(&self, from: Duration, to: Duration) -> Duration {
+        self.outages.iter().map(|outage| outage.overlap(from, to)).sum()
     }
 
-    /// Whether a server stood in the list at that moment.
-    pub fn listed(&self, server: ServerNo, at: Duration) -> bool {
-        let said = self.said.get(&server);
-        let last = said.and_then(|s| s.iter().rev().find(|s| s.at <= at));
-        last.is_some_and(|s| s.up && at.saturating_sub(s.at) < ENTRY_TTL + self.down_in(s.at, at))
+    /// Whether the membership contained a server at `at`, which may be in the past.
+    pub fn is_listed(&self, server: ServerNo, at: Duration) -> bool {
+        let reports = self.reports_by_server.get(&server);
+        let last = reports.and_then(|reports| reports.iter().rev().find(|report| report.at <= at));
+        last.is_some_and(|report| {
+            report.up && at.saturating_sub(report.at) < ENTRY_TTL + self.outage_within(report.at, at)
+        })
     }
 
-    /// The most connections in any tenth of a second, and in any second, within this span.
-    pub fn crowd(&self, from: Duration, to: Duration) -> (usize, usize) {
-        let within: Vec<Duration> =
-            self.connections.iter().copied().filter(|at| *at >= from && *at < to).collect();
-        let most = |span: Duration| {
-            let (mut first, mut most) = (0, 0);
-            for (last, at) in within.iter().enumerate() {
-                while within[first] + span <= *at {
-                    first += 1;
-                }
-                most = most.max(last + 1 - first);
-            }
-            most
-        };
-        (most(Duration::from_millis(100)), most(Duration::from_secs(1)))
+    /// The peaks of new connections from `from` until `to`.
+    pub fn connection_peaks(&self, from: Duration, to: Duration) -> ConnectionPeaks {
+        let within = self.connections.iter().copied().filter(|at| *at >= from && *at < to);
+        let times: Vec<Duration> = within.collect();
+        ConnectionPeaks {
+            per_tenth: most_within(&times, TENTH_OF_A_SECOND),
+            per_second: most_within(&times, SECOND),
+        }
     }
 
-    /// Those listed at that moment, in their order.
-    pub fn view(&self, at: Duration) -> Vec<ServerNo> {
-        self.said.keys().copied().filter(|s| self.listed(*s, at)).collect()
+    /// The servers that the membership contained at `at`, in their order.
+    pub fn listed_servers(&self, at: Duration) -> Vec<ServerNo> {
+        self.reports_by_server.keys().copied().filter(|server| self.is_listed(*server, at)).collect()
+    }
+}
+
+/// The most of these ascending times within any window of this length.
+fn most_within(times: &[Duration], window: Duration) -> usize {
+    let (mut first, mut most) = (0, 0);
+    for (last, at) in times.iter().enumerate() {
+        while times[first] + window <= *at {
+            first += 1;
+        }
+        most = most.max(last + 1 - first);
     }
+    most
 }
--- a/crates/aldercrank-test-cluster/src/scenario.rs
+++ b/crates/aldercrank-test-cluster/src/scenario.rs
@@ -3,11 +3,12 @@
 
 use crate::edge_nodes::{CallerPolicy, ServerChoice};
 use crate::ids::{RemoteEndpoint, ServerNo};
-use crate::index_stub;
+use crate::index_stub::{IndexSettings, IndexState};
 use crate::invariant_checker::Effect;
 use crate::kdl_properties::NodeProperties;
+use crate::membership_stub::MembershipState;
+use crate::random::RandomStream;
 use crate::relayed_link::Corruption;
-use crate::{membership_stub, random::RandomStream};
 use aldercrank_service_config::Reader;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -134,10 +135,10 @@
     Pair(RemoteEndpoint, Option<Corruption>, Option<Corruption>),
     /// The pair's connections are refused.
     Refuse(RemoteEndpoint),
-    Index(index_stub::State),
+    Index(IndexState),
     /// The index's caches are empty.
     IndexCold,
-    MembershipStub(membership_stub::State),
+    MembershipStub(MembershipState),
     /// It has started again and knows nobody.
     ListForgets,
     ListCapacity(f64),
@@ -274,7 +275,7 @@
     pub fleet: Fleet,
     pub classes: Vec<RequestClass>,
     pub callers: Callers,
-    pub index: index_stub::Terms,
+    pub index: IndexSettings,
     pub list_capacity: f64,
     pub rules: Option<RuleBook>,
     /// How servers start, by their service file.
@@ -365,7 +366,13 @@
                 lag: secs(1.0),
                 learn: ms(500.0),
             },
-            index: index_stub::Terms { slots: 64.0, limit: 128.0, take: ms(10.0), cold: 4.0, warming: 400 },
+            index: IndexSettings {
+                slots: 64.0,
+                limit: 128.0,
+                call_duration: ms(10.0),
+                cold_slowdown: 4.0,
+                warming: 400,
+            },
             list_capacity: 400.0,
             rules: None,
             start: aldercrank_service_config::Start::default(),
--- a/crates/aldercrank-test-cluster/src/scenario/read.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/read.rs
@@ -107,8 +107,8 @@
             "index" => {
                 set(&mut self.index.slots, properties.number("slots", 1.0, 1e6));
                 set(&mut self.index.limit, properties.number("limit", 1.0, 1e6));
-                set(&mut self.index.take, properties.number("take-ms", 0.1, 1e5).map(ms));
-                set(&mut self.index.cold, properties.number("cold", 1.0, 100.0));
+                set(&mut self.index.call_duration, properties.number("take-ms", 0.1, 1e5).map(ms));
+                set(&mut self.index.cold_slowdown, properties.number("cold", 1.0, 100.0));
                 set(&mut self.index.warming, properties.number("warming", 1.0, 1e6).map(|n| n as u32));
             }
             "list" => {
@@ -293,11 +293,7 @@
             "index" => index_state(properties).map(Fault::Index),
             "index-cold" => Some(Fault::IndexCold),
             "list" => {
-                let kinds = [
-                    membership_stub::State::Down,
-                    membership_stub::State::Silent,
-                    membership_stub::State::Closing,
-                ];
+                let kinds = [MembershipState::Down, MembershipState::Silent, MembershipState::Closing];
                 let state = properties.word("state", &["down", "silent", "closing"]);
                 if state.is_none() {
                     properties.fault("needs state=\"down\", \"silent\" or \"closing\"");
@@ -456,7 +452,7 @@
     value
 }
 
-fn index_state(properties: &mut NodeProperties) -> Option<index_stub::State> {
+fn index_state(properties: &mut NodeProperties) -> Option<IndexState> {
     let words = ["slow", "hung", "shedding", "half", "dead"];
     let by = properties.number("by", 1.0, 1000.0);
     let Some(state) = properties.word("state", &words) else {
@@ -467,8 +463,8 @@
         properties.fault("slow needs by=, how many times as long a call takes");
         return None;
     }
-    use index_stub::State::*;
-    Some([Slow(by.unwrap_or(1.0)), Hung, Shedding, Half, Dead][state])
+    use IndexState::*;
+    Some([Slow(by.unwrap_or(1.0)), Hung, Shedding, Truncating, Dead][state])
 }
 
 /// What spoils a pair.
--- a/crates/aldercrank-test-cluster/src/testbed.rs
+++ b/crates/aldercrank-test-cluster/src/testbed.rs
@@ -10,6 +10,7 @@
 use crate::run_record::RunRecord;
 use crate::sockets::{Event, Net, PortNo};
 use crate::version_checker::Act;
+use crate::worker_pool_stub::InvalidCommand;
 use aldercrank_protocol::msgpack_rpc::MessageId;
 use aldercrank_protocol::worker_pool::AttemptId;
 use std::cmp::Reverse;
@@ -84,7 +85,7 @@
     /// The step of this index resets a server's link to its worker pool.
     ResetPoolLink(usize, ServerNo),
     /// Long polls of the configuration store time out.
-    ConfigStore,
+    ConfigReadTimeout,
     /// The step of this index publishes its next configuration version.
     PublishVersion(usize),
 }
@@ -430,7 +431,7 @@
     }
 
     /// Records that a server sent its worker pool bytes that are no command, unless a fault corrupts that link.
-    pub fn record_invalid_pool_command(&mut self, now: Duration, server: ServerNo, why: &str) {
+    pub fn record_invalid_pool_command(&mut self, now: Duration, server: ServerNo, why: &InvalidCommand) {
         if !self.is_link_corrupted(LinkId { server, remote: RemoteEndpoint::WorkerPool }) {
             let what = format!("it told its pool what is no command: {why}");
             self.checker.breaks(now, Rule::Mixed, None, Some(server), what);
--- a/crates/aldercrank-test-cluster/src/worker_pool_stub.rs
+++ b/crates/aldercrank-test-cluster/src/worker_pool_stub.rs
@@ -1,276 +1,293 @@
-//! A worker pool as a stand-in, without sockets: cores shared evenly among the runs on them, cold at first,
-//! slow, late or dead when told so; its notices are numbered, kept, and said again on a new link.
+//! A stub worker pool without sockets and clock: processor sharing among the runs on its cores, with slow start and
+//! injected slowness or a late start. Its notices are numbered, and those that a new link has missed are sent again.
 
 use aldercrank_protocol::worker_pool::{self, AttemptId, CommandHandler, NoticeNumber, RunEnd};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Notices kept for a new link.
-const KEPT: usize = 4000;
-/// Nothing runs slower than this share of its speed: a run has to end.
-const LEAST: f64 = 0.01;
+/// How many notices are kept for a new link.
+const MAX_KEPT_NOTICES: usize = 4000;
+/// No run progresses slower than this share of full speed, so that each run ends.
+const MIN_RATE: f64 = 0.01;
+/// A run with less work left than this many seconds is done; it absorbs rounding.
+const WORK_EPSILON_SECONDS: f64 = 1e-7;
 
-/// What one run is.
+/// The plan of one run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunPlan {
-    /// Time on a warm core of its own.
+    /// Time that it takes on a warm core of its own.
     pub work: Duration,
-    /// Halfway it waits for a call.
-    pub calls: bool,
+    /// Halfway through its work it waits for a call to an upstream dependency.
+    pub makes_call: bool,
     /// It ends at once, with an error.
-    pub errs: bool,
+    pub fails: bool,
 }
 
-/// Who tells a pool what its runs are, and sees what becomes of them.
-pub trait PoolHost {
-    /// What this run is; nothing where no such txn came to this server with this body.
-    fn spawned(&mut self, attempt: AttemptId, class: &str, body: &[u8]) -> Option<RunPlan>;
-    /// What the run's call is to carry.
+/// Supplies the runs of a pool and observes them.
+pub trait WorkerPoolHost {
+    /// The plan of a run that was just started; `None` if no such request came to this server with this body.
+    fn plan_run(&mut self, attempt: AttemptId, class: &str, body: &[u8]) -> Option<RunPlan>;
+    /// The body of the run's call.
     fn call_body(&mut self, attempt: AttemptId) -> Vec<u8>;
-    fn supplied(&mut self, attempt: AttemptId, reply: &[u8]);
-    /// The run is over; for one that went well, gives its result.
-    fn ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8>;
+    /// The result of the run's call was delivered.
+    fn call_result_delivered(&mut self, attempt: AttemptId, reply: &[u8]);
+    /// The run has ended. Returns its result, which is empty for a run that did not complete.
+    fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8>;
 }
 
+/// The bytes on the link are no command; the link must be closed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct InvalidCommand(String);
+
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     OnCore,
-    /// At a call that this notice asked for.
-    Waiting(NoticeNumber),
+    /// At the call that this notice asked for.
+    WaitingForCall(NoticeNumber),
 }
 
 struct Run {
-    job: RunPlan,
-    began: Duration,
+    plan: RunPlan,
+    started: Duration,
     /// Seconds of work left until it ends, or comes to its call.
-    left: f64,
+    work_left: f64,
     called: bool,
-    /// Its txn is over: it ends where it would next wait for a call.
-    over: bool,
+    /// Its request is over: it is halted where it would next wait for a call.
+    request_over: bool,
     stage: Stage,
 }
 
-/// How quick the cores are.
+/// The cores of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cores {
+    /// How many there are.
     pub count: f64,
-    /// The share of its speed that a cold one starts with, and how long it takes to warm up.
-    pub cold_from: f64,
-    pub warm_after: Duration,
+    /// The share of full speed at which a cold core starts.
+    pub cold_speed: f64,
+    /// How long a cold core takes to reach full speed.
+    pub warm_up: Duration,
 }
 
-pub struct Pool {
+/// A worker pool.
+pub struct WorkerPoolStub {
     cores: Cores,
-    began: Duration,
+    started: Duration,
     cold: bool,
-    /// Not up before this; until then a link is taken and nothing is said on it.
+    /// Until this time links are accepted and not answered.
     up_at: Duration,
-    /// The share of its speed that a fault leaves it.
+    /// The share of full speed that an injected fault leaves; 1 without a fault.
     pub speed: f64,
     runs: BTreeMap<AttemptId, Run>,
-    at: Duration,
+    /// Up to when the runs have been advanced.
+    advanced_to: Duration,
     notices: u64,
-    kept: VecDeque<(NoticeNumber, Vec<u8>)>,
-    /// Bound on the link that stands, and what a link that came too early said.
+    kept_notices: VecDeque<(NoticeNumber, Vec<u8>)>,
+    /// The current link is bound.
     linked: bool,
-    early: Option<NoticeNumber>,
-    /// What is to be said on the link.
-    pub out: Vec<u8>,
-    /// Seconds that cores were busy, and the sum of runs on the cores over time.
-    pub busy: f64,
-    pub crowd: f64,
+    /// The last notice number of a link that asked to be bound before the pool was up.
+    early_bind: Option<NoticeNumber>,
+    /// Bytes to send on the link.
+    pub output: Vec<u8>,
+    /// The number of runs on the cores, integrated over time in seconds.
+    pub run_seconds: f64,
 }
 
-impl Pool {
-    pub fn new(cores: Cores, now: Duration, cold: bool, late: Duration) -> Pool {
-        Pool {
+impl WorkerPoolStub {
+    /// A pool that is started at `now` and up after `start_delay`.
+    pub fn new(cores: Cores, now: Duration, cold: bool, start_delay: Duration) -> WorkerPoolStub {
+        WorkerPoolStub {
             cores,
-            began: now + late,
+            started: now + start_delay,
             cold,
-            up_at: now + late,
+            up_at: now + start_delay,
             speed: 1.0,
             runs: BTreeMap::new(),
-            at: now,
+            advanced_to: now,
             notices: 0,
-            kept: VecDeque::new(),
+            kept_notices: VecDeque::new(),
             linked: false,
-            early: None,
-            out: Vec::new(),
-            busy: 0.0,
-            crowd: 0.0,
+            early_bind: None,
+            output: Vec::new(),
+            run_seconds: 0.0,
         }
     }
 
-    pub fn up(&self, now: Duration) -> bool {
+    fn is_up(&self, now: Duration) -> bool {
         now >= self.up_at
     }
 
-    pub fn on_cores(&self) -> usize {
-        self.runs.values().filter(|r| r.stage == Stage::OnCore).count()
+    fn runs_on_cores(&self) -> usize {
+        self.runs.values().filter(|run| run.stage == Stage::OnCore).count()
     }
 
-    /// How warm it is, as a share of its speed.
+    /// The share of full speed that warming up allows at `now`.
     pub fn warmth(&self, now: Duration) -> f64 {
         if !self.cold {
             return 1.0;
         }
-        let age = now.saturating_sub(self.began).as_secs_f64();
-        let share = (age / self.cores.warm_after.as_secs_f64().max(1e-9)).min(1.0);
-        self.cores.cold_from + (1.0 - self.cores.cold_from) * share
+        let age = now.saturating_sub(self.started).as_secs_f64();
+        let progress = (age / self.cores.warm_up.as_secs_f64().max(1e-9)).min(1.0);
+        self.cores.cold_speed + (1.0 - self.cores.cold_speed) * progress
     }
 
-    /// Seconds of work that each run on the cores gets in one second.
+    /// Seconds of work that each run on the cores gets done in one second.
     fn rate(&self, now: Duration) -> f64 {
-        let runs = self.on_cores().max(1) as f64;
-        ((self.cores.count / runs).min(1.0) * self.speed * self.warmth(now)).max(LEAST)
+        let runs = self.runs_on_cores().max(1) as f64;
+        ((self.cores.count / runs).min(1.0) * self.speed * self.warmth(now)).max(MIN_RATE)
+    }
+
+    fn least_work_left(&self) -> Option<f64> {
+        let on_core = self.runs.values().filter(|run| run.stage == Stage::OnCore);
+        on_core.map(|run| run.work_left).min_by(f64::total_cmp)
     }
 
-    /// The link broke, or a new one replaced it. Runs go on.
-    pub fn unlinked(&mut self) {
-        (self.linked, self.early) = (false, None);
-        self.out.clear();
+    /// The link was closed, or a new one replaced it. Runs continue.
+    pub fn unlink(&mut self) {
+        (self.linked, self.early_bind) = (false, None);
+        self.output.clear();
     }
 
-    /// Something of a command came on the link. An error closes it, as bytes that are no command do.
-    pub fn hear(
+    /// Executes the first command in `buf`. Returns its length, or `None` if it is incomplete.
+    ///
+    /// # Errors
+    /// If the bytes are no command.
+    pub fn receive(
         &mut self,
         now: Duration,
         buf: &[u8],
-        host: &mut impl PoolHost,
-    ) -> Result<Option<usize>, &'static str> {
+        host: &mut impl WorkerPoolHost,
+    ) -> Result<Option<usize>, InvalidCommand> {
         self.advance(now, host);
-        worker_pool::read_command(buf, &mut Hearing { pool: self, now, host })
+        worker_pool::read_command(buf, &mut CommandReceiver { pool: self, now, host })
+            .map_err(|e| InvalidCommand(e.to_string()))
     }
 
-    /// When something will end or come to its call, or a late pool comes up.
-    pub fn next(&self, now: Duration) -> Option<Duration> {
-        let on_core = self.runs.values().filter(|r| r.stage == Stage::OnCore);
-        let least = on_core.map(|r| r.left).min_by(f64::total_cmp);
+    /// When the next run ends or comes to its call, or a late pool with a waiting link is up.
+    pub fn next_event(&self, now: Duration) -> Option<Duration> {
+        let least = self.least_work_left();
         let end = least.map(|left| now + Duration::from_secs_f64(left.max(0.0) / self.rate(now)));
-        let up = (self.early.is_some() && !self.up(now)).then_some(self.up_at);
+        let up = (self.early_bind.is_some() && !self.is_up(now)).then_some(self.up_at);
         end.into_iter().chain(up).min()
     }
 
-    /// Time has passed: runs get on, and end.
-    pub fn advance(&mut self, now: Duration, host: &mut impl PoolHost) {
-        if let Some(last) = self.early.filter(|_| self.up(now)) {
-            self.early = None;
-            self.answer_bind(now, last);
+    /// Advances all runs to `now`.
+    pub fn advance(&mut self, now: Duration, host: &mut impl WorkerPoolHost) {
+        if let Some(last_seen) = self.early_bind.filter(|_| self.is_up(now)) {
+            self.early_bind = None;
+            self.answer_bind(now, last_seen);
         }
-        while self.at < now {
-            let rate = self.rate(self.at);
-            let on_core = self.on_cores();
-            let least = self
-                .runs
-                .values()
-                .filter(|r| r.stage == Stage::OnCore)
-                .map(|r| r.left)
-                .min_by(f64::total_cmp);
-            let left = (now - self.at).as_secs_f64();
-            let step = least.map_or(left, |least| left.min((least / rate).max(0.0)));
-            for run in self.runs.values_mut().filter(|r| r.stage == Stage::OnCore) {
-                run.left -= step * rate;
+        while self.advanced_to < now {
+            let rate = self.rate(self.advanced_to);
+            let on_cores = self.runs_on_cores();
+            let left = (now - self.advanced_to).as_secs_f64();
+            let step = self.least_work_left().map_or(left, |least| left.min((least / rate).max(0.0)));
+            for run in self.runs.values_mut().filter(|run| run.stage == Stage::OnCore) {
+                run.work_left -= step * rate;
             }
-            self.busy += step * (on_core as f64).min(self.cores.count);
-            self.crowd += step * on_core as f64;
-            let at = self.at + Duration::from_secs_f64(step);
-            self.at = if step >= left { now } else { at };
-            self.turn(host);
+            self.run_seconds += step * on_cores as f64;
+            let step_end = self.advanced_to + Duration::from_secs_f64(step);
+            self.advanced_to = if step >= left { now } else { step_end };
+            self.finish_stages(host);
         }
     }
 
-    /// Those that have nothing left go on to their call, or end.
-    fn turn(&mut self, host: &mut impl PoolHost) {
+    /// Runs that have no work left come to their call, or end.
+    fn finish_stages(&mut self, host: &mut impl WorkerPoolHost) {
         let done: Vec<AttemptId> = self
             .runs
             .iter()
-            .filter(|(_, r)| r.stage == Stage::OnCore && r.left <= 1e-7)
+            .filter(|(_, run)| run.stage == Stage::OnCore && run.work_left <= WORK_EPSILON_SECONDS)
             .map(|(attempt, _)| *attempt)
             .collect();
         for attempt in done {
             let Some(run) = self.runs.get_mut(&attempt) else { continue };
-            if run.job.calls && !run.called && run.over {
-                self.end(attempt, RunEnd::Halted, host);
-            } else if run.job.calls && !run.called {
+            let comes_to_call = run.plan.makes_call && !run.called;
+            if comes_to_call && run.request_over {
+                self.end_run(attempt, RunEnd::Halted, host);
+            } else if comes_to_call {
                 self.notices += 1;
-                run.stage = Stage::Waiting(NoticeNumber(self.notices));
-                let (at, body) = (NoticeNumber(self.notices), host.call_body(attempt));
-                self.notify(at, |into| worker_pool::write_run_blocked(into, at, attempt, &body));
+                let number = NoticeNumber(self.notices);
+                run.stage = Stage::WaitingForCall(number);
+                let body = host.call_body(attempt);
+                self.notify(number, |into| worker_pool::write_run_blocked(into, number, attempt, &body));
             } else {
-                let end = if run.job.errs { RunEnd::Failed } else { RunEnd::Ok };
-                self.end(attempt, end, host);
+                let end = if run.plan.fails { RunEnd::Failed } else { RunEnd::Ok };
+                self.end_run(attempt, end, host);
             }
         }
     }
 
-    /// A txn has been answered, or its caller is gone: a run that waits for its call has nothing to wait for.
-    pub fn request_over(&mut self, now: Duration, attempt: AttemptId, host: &mut impl PoolHost) {
+    /// The request was answered or its caller has gone: a run that waits for its call is halted.
+    pub fn request_over(&mut self, now: Duration, attempt: AttemptId, host: &mut impl WorkerPoolHost) {
         self.advance(now, host);
         let Some(run) = self.runs.get_mut(&attempt) else { return };
-        run.over = true;
-        if matches!(run.stage, Stage::Waiting(_)) {
-            self.end(attempt, RunEnd::Halted, host);
+        run.request_over = true;
+        if matches!(run.stage, Stage::WaitingForCall(_)) {
+            self.end_run(attempt, RunEnd::Halted, host);
         }
     }
 
-    fn end(&mut self, attempt: AttemptId, end: RunEnd, host: &mut impl PoolHost) {
+    fn end_run(&mut self, attempt: AttemptId, end: RunEnd, host: &mut impl WorkerPoolHost) {
         let Some(run) = self.runs.remove(&attempt) else { return };
         self.notices += 1;
-        let at = NoticeNumber(self.notices);
-        let took = self.at.saturating_sub(run.began);
-        let result = host.ended(attempt, end);
-        self.notify(at, |into| worker_pool::write_run_finished(into, at, attempt, end, took, &result));
+        let number = NoticeNumber(self.notices);
+        let took = self.advanced_to.saturating_sub(run.started);
+        let result = host.run_ended(attempt, end);
+        self.notify(number, |into| {
+            worker_pool::write_run_finished(into, number, attempt, end, took, &result);
+        });
     }
 
-    fn notify(&mut self, at: NoticeNumber, say: impl FnOnce(&mut Vec<u8>)) {
+    fn notify(&mut self, number: NoticeNumber, write: impl FnOnce(&mut Vec<u8>)) {
         let mut bytes = Vec::new();
-        say(&mut bytes);
+        write(&mut bytes);
         if self.linked {
-            self.out.extend_from_slice(&bytes);
+            self.output.extend_from_slice(&bytes);
         }
-        self.kept.push_back((at, bytes));
-        if self.kept.len() > KEPT {
-            self.kept.pop_front();
+        self.kept_notices.push_back((number, bytes));
+        if self.kept_notices.len() > MAX_KEPT_NOTICES {
+            self.kept_notices.pop_front();
         }
     }
 
-    fn answer_bind(&mut self, now: Duration, last: NoticeNumber) {
-        worker_pool::write_bound(&mut self.out, self.cold, now.saturating_sub(self.began));
+    fn answer_bind(&mut self, now: Duration, last_seen: NoticeNumber) {
+        worker_pool::write_bound(&mut self.output, self.cold, now.saturating_sub(self.started));
         self.linked = true;
-        for (_, bytes) in self.kept.iter().filter(|(at, _)| *at > last) {
-            self.out.extend_from_slice(bytes);
+        for (_, bytes) in self.kept_notices.iter().filter(|(number, _)| *number > last_seen) {
+            self.output.extend_from_slice(bytes);
         }
     }
 }
 
-/// A pool at the moment of hearing a command.
-struct Hearing<'a, H> {
-    pool: &'a mut Pool,
+/// Executes the command that is being read.
+struct CommandReceiver<'a, H> {
+    pool: &'a mut WorkerPoolStub,
     now: Duration,
     host: &'a mut H,
 }
 
-impl<H: PoolHost> Hearing<'_, H> {
-    /// The call that a run waits for is over: it goes on.
-    fn go_on(&mut self, attempt: AttemptId, at: Option<NoticeNumber>) -> bool {
-        let waits = |stage: Stage| match (stage, at) {
-            (Stage::Waiting(_), None) => true,
-            (Stage::Waiting(asked), Some(at)) => asked == at,
+impl<H: WorkerPoolHost> CommandReceiver<'_, H> {
+    /// Continues a run that waits for its call, or for the call of this notice alone. Returns whether it did wait.
+    fn resume_run(&mut self, attempt: AttemptId, call: Option<NoticeNumber>) -> bool {
+        let waits = |stage: Stage| match (stage, call) {
+            (Stage::WaitingForCall(_), None) => true,
+            (Stage::WaitingForCall(asked), Some(call)) => asked == call,
             _ => false,
         };
-        let Some(run) = self.pool.runs.get_mut(&attempt).filter(|r| waits(r.stage)) else { return false };
+        let Some(run) = self.pool.runs.get_mut(&attempt).filter(|run| waits(run.stage)) else { return false };
         (run.stage, run.called) = (Stage::OnCore, true);
-        run.left = run.job.work.as_secs_f64() / 2.0;
+        run.work_left = run.plan.work.as_secs_f64() / 2.0;
         true
     }
 }
 
-impl<H: PoolHost> CommandHandler for Hearing<'_, H> {
+impl<H: WorkerPoolHost> CommandHandler for CommandReceiver<'_, H> {
     fn bind(&mut self, last: NoticeNumber) {
-        if self.pool.up(self.now) {
+        if self.pool.is_up(self.now) {
             self.pool.answer_bind(self.now, last);
         } else {
-            self.pool.early = Some(last);
+            self.pool.early_bind = Some(last);
         }
     }
 
@@ -278,33 +295,40 @@
         if self.pool.runs.contains_key(&attempt) {
             return;
         }
-        let Some(job) = self.host.spawned(attempt, class, body) else {
-            return worker_pool::write_unknown_attempt(&mut self.pool.out, "spawn", attempt);
+        let Some(plan) = self.host.plan_run(attempt, class, body) else {
+            return worker_pool::write_unknown_attempt(&mut self.pool.output, "spawn", attempt);
+        };
+        let share = if plan.makes_call { 0.5 } else { 1.0 };
+        let work_left = if plan.fails { 0.0 } else { plan.work.as_secs_f64() * share };
+        let run = Run {
+            plan,
+            started: self.now,
+            work_left,
+            called: plan.fails,
+            request_over: false,
+            stage: Stage::OnCore,
         };
-        let share = if job.calls { 0.5 } else { 1.0 };
-        let left = if job.errs { 0.0 } else { job.work.as_secs_f64() * share };
-        let run = Run { job, began: self.now, left, called: job.errs, over: false, stage: Stage::OnCore };
         self.pool.runs.insert(attempt, run);
-        self.pool.turn(self.host);
+        self.pool.finish_stages(self.host);
     }
 
     fn stop_run(&mut self, attempt: AttemptId) {
-        self.pool.end(attempt, RunEnd::Halted, self.host);
+        self.pool.end_run(attempt, RunEnd::Halted, self.host);
     }
 
     fn deliver_call_result(&mut self, attempt: AttemptId, reply: &[u8]) {
-        if self.go_on(attempt, None) {
-            self.host.supplied(attempt, reply);
+        if self.resume_run(attempt, None) {
+            self.host.call_result_delivered(attempt, reply);
         }
     }
 
     fn skip_call(&mut self, attempt: AttemptId, at: NoticeNumber) {
-        self.go_on(attempt, Some(at));
+        self.resume_run(attempt, Some(at));
     }
 
     fn report_metrics(&mut self, tag: &str) {
-        let on_cores = self.pool.on_cores() as f64;
-        let busy = (on_cores / self.pool.cores.count).min(1.0);
-        worker_pool::write_metrics(&mut self.pool.out, tag, &[busy, on_cores]);
+        let on_cores = self.pool.runs_on_cores() as f64;
+        let utilization = (on_cores / self.pool.cores.count).min(1.0);
+        worker_pool::write_metrics(&mut self.pool.output, tag, &[utilization, on_cores]);
     }
 }
--- a/crates/aldercrank-test-cluster/tests/cores.rs
+++ b/crates/aldercrank-test-cluster/tests/cores.rs
@@ -12,13 +12,13 @@
 use aldercrank_protocol::msgpack_rpc::MessageId;
 use aldercrank_protocol::worker_pool::{AttemptId, RunEnd};
 use aldercrank_test_cluster::ids::{ClassNo, ConnNo, EdgeNo, Incarnation, RequestNo, ServerNo};
-use aldercrank_test_cluster::index_stub::{Index, State, Terms as IndexTerms, Word};
+use aldercrank_test_cluster::index_stub::{IndexAnswer, IndexSettings, IndexState, IndexStub};
 use aldercrank_test_cluster::invariant_checker::{self, Attempt, Effect, InvariantChecker, Rule};
-use aldercrank_test_cluster::membership_stub::{self, MembershipStub};
+use aldercrank_test_cluster::membership_stub::{MembershipState, MembershipStub, ReportAnswer};
 use aldercrank_test_cluster::random::RandomStream;
 use aldercrank_test_cluster::relayed_link::{Corruption, RelayedLink};
 use aldercrank_test_cluster::scenario::Scenario;
-use aldercrank_test_cluster::worker_pool_stub::{Cores, Pool, PoolHost, RunPlan};
+use aldercrank_test_cluster::worker_pool_stub::{Cores, RunPlan, WorkerPoolHost, WorkerPoolStub};
 use std::time::Duration;
 
 fn ms(n: u64) -> Duration {
@@ -88,16 +88,16 @@
 #[derive(Default)]
 struct Ends(Vec<(AttemptId, RunEnd)>);
 
-impl PoolHost for Ends {
-    fn spawned(&mut self, _rid: AttemptId, class: &str, _body: &[u8]) -> Option<RunPlan> {
+impl WorkerPoolHost for Ends {
+    fn plan_run(&mut self, _rid: AttemptId, class: &str, _body: &[u8]) -> Option<RunPlan> {
         let work = ms(class.parse().ok()?);
-        Some(RunPlan { work, calls: false, errs: false })
+        Some(RunPlan { work, makes_call: false, fails: false })
     }
     fn call_body(&mut self, _rid: AttemptId) -> Vec<u8> {
         Vec::new()
     }
-    fn supplied(&mut self, _rid: AttemptId, _reply: &[u8]) {}
-    fn ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8> {
+    fn call_result_delivered(&mut self, _rid: AttemptId, _reply: &[u8]) {}
+    fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8> {
         self.0.push((attempt, end));
         Vec::new()
     }
@@ -127,8 +127,8 @@
         let mut draw = RandomStream::of(seed, "jobs");
         let jobs: Vec<(u64, u64)> =
             (0..12).map(|n| (n * draw.below(30) as u64, 5 + draw.below(100) as u64)).collect();
-        let cores = Cores { count: 3.0, cold_from: 1.0, warm_after: ms(1) };
-        let (mut pool, mut ends) = (Pool::new(cores, ms(0), false, ms(0)), Ends::default());
+        let cores = Cores { count: 3.0, cold_speed: 1.0, warm_up: ms(1) };
+        let (mut pool, mut ends) = (WorkerPoolStub::new(cores, ms(0), false, ms(0)), Ends::default());
         let mut order: Vec<usize> = (0..jobs.len()).collect();
         order.sort_by_key(|i| jobs[*i].0);
         let mut at = vec![0.0; jobs.len()];
@@ -140,17 +140,17 @@
             }
         };
         for i in order {
-            while let Some(next) = pool.next(now).filter(|next| *next <= ms(jobs[i].0)) {
+            while let Some(next) = pool.next_event(now).filter(|next| *next <= ms(jobs[i].0)) {
                 now = next;
                 pool.advance(now, &mut ends);
                 note(&mut ends, now);
             }
             now = ms(jobs[i].0);
             let line = format!("spawn {} {} 0\r\n\r\n", attempt(i as u32), jobs[i].1);
-            pool.hear(now, line.as_bytes(), &mut ends).unwrap();
+            pool.receive(now, line.as_bytes(), &mut ends).unwrap();
             note(&mut ends, now);
         }
-        while let Some(next) = pool.next(now) {
+        while let Some(next) = pool.next_event(now) {
             now = next;
             pool.advance(now, &mut ends);
             note(&mut ends, now);
@@ -163,55 +163,56 @@
 
 #[test]
 fn a_new_link_to_the_pool_hears_what_the_old_one_missed() {
-    let cores = Cores { count: 1.0, cold_from: 1.0, warm_after: ms(1) };
-    let (mut pool, mut ends) = (Pool::new(cores, ms(0), false, ms(0)), Ends::default());
-    pool.hear(ms(0), b"bind 0\r\n", &mut ends).unwrap();
+    let cores = Cores { count: 1.0, cold_speed: 1.0, warm_up: ms(1) };
+    let (mut pool, mut ends) = (WorkerPoolStub::new(cores, ms(0), false, ms(0)), Ends::default());
+    pool.receive(ms(0), b"bind 0\r\n", &mut ends).unwrap();
     for n in 0..2 {
         let line = format!("spawn {} 10 0\r\n\r\n", attempt(n));
-        pool.hear(ms(0), line.as_bytes(), &mut ends).unwrap();
+        pool.receive(ms(0), line.as_bytes(), &mut ends).unwrap();
     }
-    pool.unlinked();
+    pool.unlink();
     pool.advance(ms(100), &mut ends);
-    assert!(pool.out.is_empty());
-    pool.hear(ms(100), b"bind 1\r\n", &mut ends).unwrap();
-    let said = String::from_utf8(pool.out.clone()).unwrap();
+    assert!(pool.output.is_empty());
+    pool.receive(ms(100), b"bind 1\r\n", &mut ends).unwrap();
+    let said = String::from_utf8(pool.output.clone()).unwrap();
     assert!(said.starts_with("bound warm 100.000\r\n"), "{said}");
     assert!(!said.contains("finished 1 ") && said.contains("finished 2 "), "{said}");
-    assert!(pool.hear(ms(100), b"dance\r\n", &mut ends).is_err(), "what is no command ends the link");
+    assert!(pool.receive(ms(100), b"dance\r\n", &mut ends).is_err(), "what is no command ends the link");
 }
 
 #[test]
 fn the_index_slows_with_its_crowd_and_turns_away_beyond_it() {
-    let terms = IndexTerms { slots: 4.0, limit: 8.0, take: ms(10), cold: 1.0, warming: 1 };
-    let mut index = Index::new(terms);
+    let terms =
+        IndexSettings { slots: 4.0, limit: 8.0, call_duration: ms(10), cold_slowdown: 1.0, warming: 1 };
+    let mut index = IndexStub::new(terms);
     for n in 0..16 {
-        assert_eq!(index.called(ms(0), ConnNo(n)), None);
+        assert_eq!(index.call_received(ms(0), ConnNo(n)), None);
     }
-    assert_eq!(index.called(ms(0), ConnNo(16)), Some(Word::Shed));
-    assert_eq!(index.due(ms(10)).len(), 4, "those within the slots take what they take alone");
-    assert_eq!(index.due(ms(79)).len() + index.due(ms(81)).len(), 12);
-    index.state = State::Hung;
-    index.called(ms(100), ConnNo(20));
-    assert_eq!(index.next(), None);
-    assert_eq!(index.drop_all(ms(200)), [ConnNo(20)]);
-    assert!((index.held_by(ms(200)) - 1.09).abs() < 0.02, "{}", index.held);
+    assert_eq!(index.call_received(ms(0), ConnNo(16)), Some(IndexAnswer::Rejected));
+    assert_eq!(index.take_ended_calls(ms(10)).len(), 4, "those within the slots take what they take alone");
+    assert_eq!(index.take_ended_calls(ms(79)).len() + index.take_ended_calls(ms(81)).len(), 12);
+    index.state = IndexState::Hung;
+    index.call_received(ms(100), ConnNo(20));
+    assert_eq!(index.next_end(), None);
+    assert_eq!(index.drop_open_calls(ms(200)), [ConnNo(20)]);
+    assert!((index.open_call_seconds(ms(200)) - 1.09).abs() < 0.02, "{}", index.open_call_seconds(ms(200)));
 }
 
 #[test]
 fn a_list_entry_lapses_but_not_while_the_service_is_down() {
     let (mut list, n1) = (MembershipStub::new(10.0), ServerNo(0));
-    assert_eq!(list.report(ms(0), ConnNo(1), n1, true), membership_stub::Word::Taken(ms(100)));
-    assert!(list.listed(n1, ms(2999)) && !list.listed(n1, ms(3001)));
-    list.turn(ms(1000), membership_stub::State::Down);
-    assert_eq!(list.report(ms(1500), ConnNo(2), n1, true), membership_stub::Word::Nothing);
-    list.turn(ms(5000), membership_stub::State::Up);
-    assert!(list.listed(n1, ms(6999)) && !list.listed(n1, ms(7001)));
-    assert_eq!(list.view(ms(1)), [n1], "edge nodes see what stood there a while ago");
-    let refused =
-        (0..20).filter(|n| list.report(ms(8000), ConnNo(10 + n), n1, true) == membership_stub::Word::Refused);
+    assert_eq!(list.report_received(ms(0), ConnNo(1), n1, true), ReportAnswer::AcceptedAt(ms(100)));
+    assert!(list.is_listed(n1, ms(2999)) && !list.is_listed(n1, ms(3001)));
+    list.set_state(ms(1000), MembershipState::Down);
+    assert_eq!(list.report_received(ms(1500), ConnNo(2), n1, true), ReportAnswer::None);
+    list.set_state(ms(5000), MembershipState::Up);
+    assert!(list.is_listed(n1, ms(6999)) && !list.is_listed(n1, ms(7001)));
+    assert_eq!(list.listed_servers(ms(1)), [n1], "edge nodes see what stood there a while ago");
+    let refused = (0..20)
+        .filter(|n| list.report_received(ms(8000), ConnNo(10 + n), n1, true) == ReportAnswer::Rejected);
     assert_eq!(refused.count(), 14, "half a second of queue at ten a second, and the one that begins");
-    list.forget();
-    assert!(!list.listed(n1, ms(8000)));
+    list.forget_entries();
+    assert!(!list.is_listed(n1, ms(8000)));
 }
 
 fn checker() -> InvariantChecker {
@@ -396,24 +397,24 @@
 #[test]
 fn a_run_whose_txn_is_over_ends_at_its_call() {
     struct Calls(Vec<(AttemptId, RunEnd)>);
-    impl PoolHost for Calls {
-        fn spawned(&mut self, _rid: AttemptId, _class: &str, _body: &[u8]) -> Option<RunPlan> {
-            Some(RunPlan { work: ms(20), calls: true, errs: false })
+    impl WorkerPoolHost for Calls {
+        fn plan_run(&mut self, _rid: AttemptId, _class: &str, _body: &[u8]) -> Option<RunPlan> {
+            Some(RunPlan { work: ms(20), makes_call: true, fails: false })
         }
         fn call_body(&mut self, _rid: AttemptId) -> Vec<u8> {
             b"ask".to_vec()
         }
-        fn supplied(&mut self, _rid: AttemptId, _reply: &[u8]) {}
-        fn ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8> {
+        fn call_result_delivered(&mut self, _rid: AttemptId, _reply: &[u8]) {}
+        fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8> {
             self.0.push((attempt, end));
             Vec::new()
         }
     }
-    let cores = Cores { count: 2.0, cold_from: 1.0, warm_after: ms(1) };
-    let (mut pool, mut host) = (Pool::new(cores, ms(0), false, ms(0)), Calls(Vec::new()));
+    let cores = Cores { count: 2.0, cold_speed: 1.0, warm_up: ms(1) };
+    let (mut pool, mut host) = (WorkerPoolStub::new(cores, ms(0), false, ms(0)), Calls(Vec::new()));
     for n in 1..3 {
         let line = format!("spawn {} p 0\r\n\r\n", attempt(n));
-        pool.hear(ms(0), line.as_bytes(), &mut host).unwrap();
+        pool.receive(ms(0), line.as_bytes(), &mut host).unwrap();
     }
     pool.request_over(ms(5), attempt(1), &mut host);
     assert_eq!(host.0, [], "it runs on until it comes to its call");
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
@@ -1,9 +1,9 @@
 //! A scenario as plain text, by the names that scenario files use; spans in milliseconds.
 
 use aldercrank_test_cluster::edge_nodes::ServerChoice;
-use aldercrank_test_cluster::index_stub;
+use aldercrank_test_cluster::index_stub::IndexState;
 use aldercrank_test_cluster::invariant_checker::Effect;
-use aldercrank_test_cluster::membership_stub;
+use aldercrank_test_cluster::membership_stub::MembershipState;
 use aldercrank_test_cluster::relayed_link::Corruption;
 use aldercrank_test_cluster::scenario::{
     Bounds, Fault, InjectedViolation, RequestClass, Scenario, Spoilt, Step, Target,
@@ -122,8 +122,8 @@
         "index slots={} limit={} take-ms={} cold={} warming={}\nlist capacity={} lag-ms={} learn-ms={}\n",
         i.slots,
         i.limit,
-        millis(i.take),
-        i.cold,
+        millis(i.call_duration),
+        i.cold_slowdown,
         i.warming,
         scenario.list_capacity,
         millis(c.lag),
@@ -216,23 +216,23 @@
     )
 }
 
-fn index_state(state: index_stub::State) -> String {
+fn index_state(state: IndexState) -> String {
     match state {
-        index_stub::State::Well => "well".into(),
-        index_stub::State::Slow(by) => format!("slow by={by}"),
-        index_stub::State::Hung => "hung".into(),
-        index_stub::State::Shedding => "shedding".into(),
-        index_stub::State::Half => "half".into(),
-        index_stub::State::Dead => "dead".into(),
+        IndexState::Healthy => "well".into(),
+        IndexState::Slow(by) => format!("slow by={by}"),
+        IndexState::Hung => "hung".into(),
+        IndexState::Shedding => "shedding".into(),
+        IndexState::Truncating => "half".into(),
+        IndexState::Dead => "dead".into(),
     }
 }
 
-fn list_state(state: membership_stub::State) -> &'static str {
+fn list_state(state: MembershipState) -> &'static str {
     match state {
-        membership_stub::State::Up => "up",
-        membership_stub::State::Down => "down",
-        membership_stub::State::Silent => "silent",
-        membership_stub::State::Closing => "closing",
+        MembershipState::Up => "up",
+        MembershipState::Down => "down",
+        MembershipState::Silent => "silent",
+        MembershipState::Closing => "closing",
     }
 }
 
