--- /dev/null
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -0,0 +1,286 @@
+//! The versioned configuration of a run: publications by the timeline, the configuration store, each server's service
+//! file, and the relays between servers.
+
+use super::genesis::{genesis, with_items};
+use super::state::TestCluster;
+use super::stub_services::HttpRequest;
+use crate::config;
+use crate::config_store_stub::{ConfigStoreStub, ReadAnswer, StoredVersion};
+use crate::ids::{ConnNo, ServerNo};
+use crate::membership_stub::MembershipState;
+use crate::scenario::{Fault, Published, RuleBook, Spoilt};
+use crate::testbed::{ConnectionOwner, Timer};
+use crate::version_checker::VersionChecker;
+use aldercrank_protocol::http;
+use aldercrank_service_config::Start;
+use aldercrank_versioned_config::{changes, Consistency, Number, VersionedConfig};
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// The file, in the run's directory, with the version that the cluster starts with.
+const GENESIS_FILE: &str = "rules.kdl";
+/// A text that is far longer than any version may be.
+const OVERLONG_BYTES: usize = 10_000_000;
+
+/// The state of a run with a versioned configuration.
+pub(super) struct ConfigVersions {
+    settings: RuleBook,
+    /// The newest version that was published.
+    newest: VersionedConfig,
+    /// The last version number that was given out.
+    last_number: u64,
+    pub(super) store: ConfigStoreStub,
+    pub(super) checker: VersionChecker,
+    /// The other half of each relayed connection.
+    relay_partners: HashMap<ConnNo, ConnNo>,
+    /// Where a server reaches a committee member: the address of their relay.
+    relay_addresses: HashMap<(ServerNo, ServerNo), SocketAddr>,
+    /// Messages between servers so far.
+    pub(super) peer_messages: u64,
+    /// How many alternatives each step has published, by its index.
+    alternatives_used: HashMap<usize, usize>,
+}
+
+/// Whether all differences may exist between servers.
+fn changes_free_items_only(from: &VersionedConfig, to: &VersionedConfig) -> bool {
+    changes(from, to).iter().all(|change| change.role == Consistency::Free)
+}
+
+impl TestCluster<'_> {
+    /// Writes the first version and opens the relays, where the scenario has a versioned configuration.
+    pub(super) fn prepare_versions(&mut self) -> io::Result<()> {
+        let Some(settings) = self.scenario.rules.clone() else { return Ok(()) };
+        let addresses: Vec<SocketAddr> = self.servers.iter().map(|server| server.addresses.listen).collect();
+        let newest = genesis(self.scenario, &settings, &addresses)?;
+        let relay_addresses = self.open_relays(settings.committee)?;
+        std::fs::write(self.options.dir.join(GENESIS_FILE), newest.text())?;
+        let classes = self.scenario.classes.iter().map(|class| class.name.clone()).collect();
+        let checker = VersionChecker::new(settings.within, classes, &newest);
+        self.versions = Some(ConfigVersions {
+            settings,
+            newest,
+            last_number: 1,
+            store: ConfigStoreStub::default(),
+            checker,
+            relay_partners: HashMap::new(),
+            relay_addresses,
+            peer_messages: 0,
+            alternatives_used: HashMap::new(),
+        });
+        Ok(())
+    }
+
+    /// Opens a relay from each server to each other one in the committee.
+    fn open_relays(&mut self, committee: usize) -> io::Result<HashMap<(ServerNo, ServerNo), SocketAddr>> {
+        let mut relay_addresses = HashMap::new();
+        for client in self.server_numbers() {
+            for member in self.server_numbers().take(committee) {
+                if client != member {
+                    let (port, address) = self.testbed.sockets.listen(&self.listen_ip)?;
+                    self.testbed.relays.insert(port, (client, member));
+                    relay_addresses.insert((client, member), address);
+                }
+            }
+        }
+        Ok(relay_addresses)
+    }
+
+    /// Writes a server's service file; `None` if the scenario sets nothing in it.
+    pub(super) fn write_service_file(&self, number: ServerNo) -> io::Result<Option<PathBuf>> {
+        let mut text = String::new();
+        if self.scenario.start != Start::default() {
+            text += &config::start(&self.scenario.start);
+        }
+        if let Some(versions) = &self.versions {
+            let own_relays = versions.relay_addresses.iter().filter(|((client, _), _)| *client == number);
+            let reach = own_relays.map(|((_, member), address)| (*member, *address)).collect();
+            let has_disk = versions.settings.disks;
+            let dir = has_disk.then(|| self.options.dir.join(format!("{number}.rules")));
+            text += &config::service(&self.options.dir.join(GENESIS_FILE), dir.as_deref(), reach);
+        }
+        if text.is_empty() {
+            return Ok(None);
+        }
+        let file = self.options.dir.join(format!("{number}.service.kdl"));
+        std::fs::write(&file, text)?;
+        Ok(Some(file))
+    }
+
+    /// A server has connected to a relay: connects to the other server.
+    pub(super) fn connect_relay(&mut self, conn: ConnNo, client: ServerNo, member: ServerNo) {
+        let Some(versions) = &mut self.versions else { return };
+        let address = self.servers[member.0 as usize].addresses.listen;
+        let Ok(other) = self.testbed.sockets.connect(address) else {
+            return self.testbed.sockets.close(conn);
+        };
+        self.testbed.register(conn, ConnectionOwner::Peer(client));
+        self.testbed.register(other, ConnectionOwner::Peer(member));
+        versions.relay_partners.insert(conn, other);
+        versions.relay_partners.insert(other, conn);
+    }
+
+    /// Sends the bytes of one server to the other.
+    pub(super) fn relay_bytes(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
+        let Some(versions) = &mut self.versions else { return };
+        versions.peer_messages += 1;
+        self.testbed.record.second(now).words += 1;
+        if let Some(&other) = versions.relay_partners.get(&conn) {
+            self.testbed.send_to_process(now, other, bytes);
+        }
+    }
+
+    /// One half of a relayed connection has ended: closes the other.
+    pub(super) fn close_relay_partner(&mut self, conn: ConnNo) {
+        let Some(versions) = &mut self.versions else { return };
+        let Some(other) = versions.relay_partners.remove(&conn) else { return };
+        versions.relay_partners.remove(&other);
+        self.testbed.close_after_queued(other);
+        self.testbed.unregister(other);
+    }
+
+    /// Passes the decisions of the last turn to the version checker.
+    pub(super) fn check_decisions(&mut self) {
+        let Some(versions) = &mut self.versions else { return };
+        let delay = &self.testbed.checker.scheduling_delay;
+        for decision in self.testbed.decisions.drain(..) {
+            let waited_since = |since| delay.between(decision.server, since, decision.answered_at);
+            versions.checker.check(&decision, waited_since);
+        }
+    }
+
+    /// A step publishes its next version, and sets the timer for the one after.
+    pub(super) fn publish_next(&mut self, now: Duration, step_index: usize) {
+        let step = &self.scenario.timeline[step_index];
+        let Fault::Publish(published) = &step.fault else { return };
+        let begun = self.callers_began() + step.at;
+        if step.lasts.is_some_and(|lasts| now >= begun + lasts) || self.is_over {
+            return;
+        }
+        self.publish(now, step_index, published);
+        if let Some(interval) = published.every {
+            self.testbed.set_timer(now + interval, Timer::PublishVersion(step_index));
+        }
+    }
+
+    fn publish(&mut self, now: Duration, step_index: usize, published: &Published) {
+        let Some(versions) = &mut self.versions else { return };
+        let used = versions.alternatives_used.entry(step_index).or_default();
+        let alternatives: Vec<&str> = published.set.split('|').collect();
+        let assignments = alternatives[*used % alternatives.len()];
+        *used += 1;
+        versions.last_number += 1;
+        let number = versions.last_number;
+        let Ok(next) = with_items(&versions.newest, number, assignments) else { return };
+        let mut contents = vec![next.clone()];
+        if published.two {
+            let other = alternatives[*used % alternatives.len()];
+            contents.extend(with_items(&versions.newest, number, other).ok());
+        } else {
+            let free = changes_free_items_only(&versions.newest, &next);
+            versions.checker.published(now, &next, free);
+            versions.newest = next;
+        }
+        self.testbed.record.note(now, None, None, || format!("publishes version {number}: {assignments}"));
+        let stored = contents
+            .iter()
+            .map(|config| StoredVersion { tag: format!("{number}-{}", config.digest()), text: config.text() })
+            .collect();
+        self.store_versions(now, stored);
+    }
+
+    /// Stores a text that is no version.
+    pub(super) fn store_corrupted(&mut self, now: Duration, corruption: Spoilt) {
+        let Some(versions) = &mut self.versions else { return };
+        versions.last_number += 1;
+        let text = versions.newest.next(Number(versions.last_number), []).text();
+        let text = match corruption {
+            Spoilt::Cut => text[..text.len() / 2].to_string(),
+            Spoilt::Long => format!("{text}//{}", "x".repeat(OVERLONG_BYTES)),
+            Spoilt::Field => text.replacen("window-ms ", "window-ms \"long\" // ", 1),
+            Spoilt::Later => text.replacen("committee {", "quorum 2\n    committee {", 1),
+        };
+        self.store_versions(now, vec![StoredVersion { tag: "spoilt".to_string(), text }]);
+    }
+
+    /// Stores the version that the cluster started with.
+    pub(super) fn store_genesis(&mut self, now: Duration) -> io::Result<()> {
+        let text = std::fs::read_to_string(self.options.dir.join(GENESIS_FILE))?;
+        self.store_versions(now, vec![StoredVersion { tag: "old".to_string(), text }]);
+        Ok(())
+    }
+
+    /// Replaces the contents of the configuration store, and answers the long polls that waited for it.
+    pub(super) fn store_versions(&mut self, now: Duration, contents: Vec<StoredVersion>) {
+        let Some(versions) = &mut self.versions else { return };
+        for (conn, answer) in versions.store.put(contents) {
+            self.answer_config_read(now, conn, answer);
+        }
+    }
+
+    fn answer_config_read(&mut self, now: Duration, conn: ConnNo, answer: ReadAnswer) {
+        let mut bytes = Vec::new();
+        match answer {
+            ReadAnswer::Content(text) => {
+                http::write_response(&mut bytes, 200, false, None, text.as_bytes());
+            }
+            ReadAnswer::NotModified => http::write_response(&mut bytes, 304, false, None, b""),
+            ReadAnswer::NotFound => http::write_response(&mut bytes, 404, false, None, b""),
+        }
+        if let Some(versions) = &mut self.versions {
+            versions.store.read_bytes += bytes.len() as u64;
+        }
+        self.testbed.send_to_process(now, conn, &bytes);
+    }
+
+    pub(super) fn answer_timed_out_config_reads(&mut self, now: Duration) {
+        let Some(versions) = &mut self.versions else { return };
+        for conn in versions.store.take_timed_out(now) {
+            self.answer_config_read(now, conn, ReadAnswer::NotModified);
+        }
+        let next = self.versions.as_ref().and_then(|versions| versions.store.next_timeout());
+        if let Some(at) = next {
+            self.testbed.set_timer(at.max(now), Timer::ConfigReadTimeout);
+        }
+    }
+
+    /// A server, or an operator's command, has sent a request about the next version to the membership service.
+    pub(super) fn config_store_request(&mut self, now: Duration, conn: ConnNo, request: &HttpRequest) {
+        let is_up = self.testbed.membership.state() == MembershipState::Up;
+        let Some(versions) = self.versions.as_mut().filter(|_| is_up) else { return };
+        let status = match request.head.method.as_str() {
+            "GET" => {
+                let wait = request.head.wait.unwrap_or_default();
+                match versions.store.read(now, conn, request.head.have.clone(), wait) {
+                    Some(answer) => self.answer_config_read(now, conn, answer),
+                    None => self.testbed.set_timer(now + wait, Timer::ConfigReadTimeout),
+                }
+                return;
+            }
+            "PUT" => self.store_sent_version(now, &request.body),
+            _ => {
+                self.store_versions(now, Vec::new());
+                204
+            }
+        };
+        let mut bytes = Vec::new();
+        http::write_response(&mut bytes, status, false, None, b"");
+        self.testbed.send_to_process(now, conn, &bytes);
+    }
+
+    /// Stores the version in the body of a request. Returns the HTTP status.
+    fn store_sent_version(&mut self, now: Duration, body: &[u8]) -> u16 {
+        let Some(versions) = &mut self.versions else { return 400 };
+        let text = String::from_utf8_lossy(body).into_owned();
+        let Ok(config) = VersionedConfig::parse(&text) else { return 400 };
+        let free = changes_free_items_only(&versions.newest, &config);
+        versions.checker.published(now, &config, free);
+        versions.last_number = versions.last_number.max(config.number.0);
+        let tag = format!("{}-{}", config.number, config.digest());
+        versions.newest = config;
+        self.store_versions(now, vec![StoredVersion { tag, text }]);
+        204
+    }
+}
--- a/crates/aldercrank-test-cluster/src/cluster/edge_host.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/edge_host.rs
@@ -13,7 +13,7 @@
             return None;
         }
         // A wrong membership may name a server that never existed.
-        let conn = self.net.connect(*self.server_addresses.get(server.0 as usize)?).ok()?;
+        let conn = self.sockets.connect(*self.server_addresses.get(server.0 as usize)?).ok()?;
         self.register(conn, ConnectionOwner::Edge(edge, server));
         Some(conn)
     }
--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -1,277 +1,336 @@
-//! What goes wrong, as the timeline says: begun and ended.
+//! Begins and ends the faults of the timeline.
 
-use super::*;
-use crate::config_store_stub::StoredVersion;
+use super::start::{PoolStart, StartConfig};
+use super::state::TestCluster;
+use crate::ids::{EdgeNo, RemoteEndpoint, ServerNo};
+use crate::index_stub::IndexState;
+use crate::membership_stub::MembershipState;
+use crate::random::RandomStream;
+use crate::relayed_link::Corruption;
+use crate::scenario::{Fault, InjectedViolation};
+use crate::testbed::{LinkId, Timer};
+use std::io;
+use std::time::Duration;
+
+/// A fault without an end lasts longer than any run.
+const UNENDING: Duration = Duration::from_secs(86_400 * 30);
+
+/// Whether connections are accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Accepts {
+    Yes,
+    No,
+}
 
 impl TestCluster<'_> {
-    pub(super) fn tell_to_leave(&mut self, now: Duration, number: ServerNo) {
+    /// Asks a server to shut down.
+    pub(super) fn request_shutdown(&mut self, now: Duration, number: ServerNo) {
+        let injects = self.violation_is_pending(InjectedViolation::LateStart);
         let server = &mut self.servers[number.0 as usize];
-        let Some(process) = server.process.as_ref().filter(|_| !server.leaving) else { return };
-        process.leave();
-        server.leaving = true;
-        let late = self.scenario.sabotage == Some(InjectedViolation::LateStart) && !self.broken_on_purpose;
-        // Broken on purpose: as if it had been told long ago.
-        let told = if late { now.saturating_sub(self.scenario.fleet.grace * 4) } else { now };
-        self.testbed.checker.shutdown_requested(told, number, server.incarnation);
+        let Some(process) = server.process.as_ref().filter(|_| !server.draining) else { return };
+        process.request_shutdown();
+        server.draining = true;
+        // The injected violation: as if it had been asked long ago.
+        let asked_at = if injects { now.saturating_sub(self.scenario.fleet.grace * 4) } else { now };
+        self.testbed.checker.shutdown_requested(asked_at, number, server.incarnation);
         self.testbed.record.note(now, None, Some(number), || "told to leave".to_string());
     }
 
-    pub(super) fn undo_stop(&mut self, now: Duration, number: ServerNo) {
-        let server = &mut self.servers[number.0 as usize];
-        if std::mem::take(&mut server.stopped) {
+    /// Resumes a server if it is paused.
+    pub(super) fn resume_paused(&mut self, now: Duration, number: ServerNo) {
+        let server = self.server(number);
+        if std::mem::take(&mut server.paused) {
             if let Some(process) = &server.process {
-                process.go_on();
+                process.resume();
             }
             self.testbed.record.note(now, None, Some(number), || "continued".to_string());
         }
     }
 
-    pub(super) fn kill(&mut self, number: ServerNo) {
-        let server = &mut self.servers[number.0 as usize];
+    fn kill(&mut self, number: ServerNo) {
+        let server = self.server(number);
         if let Some(process) = &mut server.process {
             server.killed = true;
             process.kill();
         }
     }
 
-    pub(super) fn begin(&mut self, now: Duration, step: usize, number: ServerNo) -> io::Result<()> {
-        let plan = &self.scenario.timeline[step];
-        let begun = self.testbed.record.begun.unwrap_or_default();
-        let until = plan.lasts.map_or(begun + self.scenario.span, |lasts| now + lasts);
-        let since = |at: Duration| at.saturating_sub(begun).as_secs_f64();
-        let who = if plan.fault_is_shared() { String::new() } else { format!(" {number}") };
-        self.faults.push((since(now), since(until), format!("{}{who}", plan.word)));
-        self.testbed.record.note(now, None, Some(number), || format!("begins: {}", plan.word));
-        if plan.lasts.is_some() {
-            self.testbed.set_timer(until, Timer::EndStep(step, number));
+    /// Begins a step of the timeline for a server.
+    pub(super) fn begin_step(&mut self, now: Duration, index: usize, number: ServerNo) -> io::Result<()> {
+        let step = &self.scenario.timeline[index];
+        let begun = self.callers_began();
+        let until = step.lasts.map_or(begun + self.scenario.span, |lasts| now + lasts);
+        let seconds = |at: Duration| at.saturating_sub(begun).as_secs_f64();
+        let target = if step.fault_is_shared() { String::new() } else { format!(" {number}") };
+        self.faults.push((seconds(now), seconds(until), format!("{}{target}", step.word)));
+        self.testbed.record.note(now, None, Some(number), || format!("begins: {}", step.word));
+        if step.lasts.is_some() {
+            self.testbed.set_timer(until, Timer::EndStep(index, number));
+        }
+        if step.fault_is_shared() {
+            return self.begin_shared_fault(now, index);
+        }
+        let until = if step.lasts.is_some() { until } else { now + UNENDING };
+        match &step.fault {
+            Fault::Kill | Fault::Leave | Fault::Stop | Fault::BadConfig | Fault::BadStart => {
+                self.begin_process_fault(now, &step.fault, number, until)
+            }
+            Fault::Pair(remote, to_process, from_process) => {
+                let link = LinkId { server: number, remote: *remote };
+                if *remote == RemoteEndpoint::EdgeNodes {
+                    self.testbed.checker.add_fault_span(number, now, until);
+                }
+                self.testbed.set_corruption(now, link, to_process.clone(), from_process.clone());
+                Ok(())
+            }
+            Fault::Refuse(remote) => self.set_accepts(number, *remote, Accepts::No),
+            Fault::ListWrong => self.begin_shared_fault(now, index),
+            _ => {
+                self.begin_pool_fault(now, index, number);
+                Ok(())
+            }
         }
-        // What becomes of txns on a server that is killed or stopped, or cut off from edge nodes, is the rig's doing.
-        let whole = Duration::from_secs(86_400 * 30);
-        let until = if plan.lasts.is_some() { until } else { now + whole };
-        match &plan.fault {
+    }
+
+    /// Begins a fault of a server's process. What happens to its requests until `until` is the test cluster's doing.
+    fn begin_process_fault(
+        &mut self,
+        now: Duration,
+        fault: &Fault,
+        number: ServerNo,
+        until: Duration,
+    ) -> io::Result<()> {
+        match fault {
             Fault::Kill | Fault::BadStart => {
-                // An edge node may say something to it yet that nobody will hear.
                 self.testbed.checker.add_fault_span(number, now, until);
                 self.kill(number);
                 self.just_killed.push((number, now));
-                if plan.fault == Fault::BadStart {
-                    self.start(number, true, true)?;
-                    self.servers[number.0 as usize].killed = true;
+                if *fault == Fault::BadStart {
+                    self.start_server(number, PoolStart::Cold, StartConfig::Invalid)?;
+                    self.server(number).killed = true;
                 }
             }
             Fault::Leave => {
-                self.servers[number.0 as usize].again = true;
-                self.tell_to_leave(now, number);
+                self.server(number).restarts = true;
+                self.request_shutdown(now, number);
             }
             Fault::Stop => {
                 self.testbed.checker.add_fault_span(number, now, until);
-                let server = &mut self.servers[number.0 as usize];
+                let server = self.server(number);
                 if let Some(process) = &server.process {
-                    process.stop();
-                    server.stopped = true;
+                    process.pause();
+                    server.paused = true;
                 }
             }
             Fault::BadConfig => {
-                std::fs::write(self.play.dir.join(format!("{number}.json")), "{ not a configuration")?;
-                if let Some(process) = &self.servers[number.0 as usize].process {
-                    process.read_again();
+                let file = self.options.dir.join(format!("{number}.json"));
+                std::fs::write(file, "{ not a configuration")?;
+                if let Some(process) = &self.server(number).process {
+                    process.reload_config();
                 }
             }
-            Fault::Slow(to) => {
-                let to = *to;
-                self.with_pool(now, number, |pool, host| {
-                    pool.advance(now, host);
-                    pool.speed = to;
-                });
-            }
-            Fault::Err(share) => self.servers[number.0 as usize].errs = *share,
-            Fault::PoolGone => self.pool_gone(now, number),
-            Fault::PoolLate(by) => {
-                let (late, cores) = (*by, self.cores());
-                let cold = self.scenario.fleet.cold;
-                self.servers[number.0 as usize].pool = WorkerPoolStub::new(cores, now, cold, late);
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn begin_pool_fault(&mut self, now: Duration, index: usize, number: ServerNo) {
+        match self.scenario.timeline[index].fault {
+            Fault::Slow(speed) => self.set_pool_speed(now, number, speed),
+            Fault::Err(share) => self.server(number).failing_share = share,
+            Fault::PoolGone => self.remove_pool(now, number),
+            Fault::PoolLate(delay) => {
+                let pool = self.new_pool(now, self.scenario.fleet.cold, delay);
+                self.server(number).pool = pool;
                 self.with_pool(now, number, |pool, host| pool.advance(now, host));
             }
-            Fault::PoolResets(_) => self.pool_reset(now, step, number),
-            Fault::Pair(far, to, from) => {
-                if *far == RemoteEndpoint::EdgeNodes {
-                    self.testbed.checker.add_fault_span(number, now, until);
-                }
-                self.testbed.set_corruption(
-                    now,
-                    LinkId { server: number, remote: *far },
-                    to.clone(),
-                    from.clone(),
-                );
-            }
-            Fault::Refuse(far) => self.refuse(now, number, *far, true)?,
-            _ => self.begin_shared(now, step)?,
+            Fault::PoolResets(_) => self.reset_pool_link(now, index, number),
+            _ => {}
         }
-        Ok(())
     }
 
-    pub(super) fn begin_shared(&mut self, now: Duration, step: usize) -> io::Result<()> {
-        match &self.scenario.timeline[step].fault {
+    fn set_pool_speed(&mut self, now: Duration, number: ServerNo, speed: f64) {
+        self.with_pool(now, number, |pool, host| {
+            pool.advance(now, host);
+            pool.speed = speed;
+        });
+    }
+
+    /// Begins a fault of what all servers share.
+    fn begin_shared_fault(&mut self, now: Duration, index: usize) -> io::Result<()> {
+        match &self.scenario.timeline[index].fault {
             Fault::Index(state) => {
                 self.index.state = *state;
                 if *state == IndexState::Dead {
-                    for conn in self.index.drop_open_calls(now) {
-                        self.cut_off(now, conn);
-                    }
-                    self.refuse_all(now, RemoteEndpoint::Index, true)?;
+                    self.reset_index_calls(now);
+                    self.set_all_accept(RemoteEndpoint::Index, Accepts::No)?;
                 }
             }
             Fault::IndexCold => self.index.empty_caches(),
             Fault::MembershipStub(state) => {
                 self.testbed.membership.set_state(now, *state);
                 if *state == MembershipState::Down {
-                    self.refuse_all(now, RemoteEndpoint::MembershipService, true)?;
+                    self.set_all_accept(RemoteEndpoint::MembershipService, Accepts::No)?;
                 }
             }
             Fault::ListForgets => self.testbed.membership.forget_entries(),
-            Fault::ListCapacity(to) => self.testbed.membership.set_capacity(*to),
+            Fault::ListCapacity(capacity) => self.testbed.membership.set_capacity(*capacity),
             Fault::ListWrong => self.testbed.wrong_membership = true,
-            Fault::ListOld(by) => self.testbed.extra_membership_lag = *by,
-            Fault::EdgesRestart(share) => {
-                let all: Vec<u16> = (0..self.scenario.callers.edges as u16).collect();
-                let many = (all.len() as f64 * share).round() as usize;
-                for n in RandomStream::of(self.scenario.seed, &format!("edges {step}")).sample(&all, many) {
-                    self.edges.restart(now, EdgeNo(n), &mut self.testbed);
-                }
-            }
-            Fault::Rate(times) => self.rate = self.scenario.callers.rate * times,
-            Fault::Publish(_) => self.publish_again(now, step),
-            Fault::Withdraw => self.put(now, Vec::new()),
-            Fault::RulesBroken(how) => self.spoilt_book(now, *how),
-            Fault::RulesOld => {
-                let text = std::fs::read_to_string(self.play.dir.join("rules.kdl"))?;
-                self.put(now, vec![StoredVersion { tag: "old".to_string(), text }]);
-            }
+            Fault::ListOld(lag) => self.testbed.extra_membership_lag = *lag,
+            Fault::EdgesRestart(share) => self.restart_edges(now, index, *share),
+            Fault::Rate(times) => self.arrival_rate = self.scenario.callers.rate * times,
+            Fault::Publish(_) => self.publish_next(now, index),
+            Fault::Withdraw => self.store_versions(now, Vec::new()),
+            Fault::RulesBroken(corruption) => self.store_corrupted(now, *corruption),
+            Fault::RulesOld => self.store_genesis(now)?,
             _ => {}
         }
         Ok(())
     }
 
-    pub(super) fn end(&mut self, now: Duration, step: usize, number: ServerNo) -> io::Result<()> {
-        let plan = &self.scenario.timeline[step];
-        self.testbed.record.note(now, None, Some(number), || format!("ends: {}", plan.word));
-        match &plan.fault {
-            Fault::Kill | Fault::BadStart => self.start(number, true, false)?,
+    fn restart_edges(&mut self, now: Duration, index: usize, share: f64) {
+        let all: Vec<u16> = (0..self.scenario.callers.edges as u16).collect();
+        let count = (all.len() as f64 * share).round() as usize;
+        let mut random = RandomStream::of(self.scenario.seed, &format!("edges {index}"));
+        for edge in random.sample(&all, count) {
+            self.edges.restart(now, EdgeNo(edge), &mut self.testbed);
+        }
+    }
+
+    /// Ends a step of the timeline for a server.
+    pub(super) fn end_step(&mut self, now: Duration, index: usize, number: ServerNo) -> io::Result<()> {
+        let step = &self.scenario.timeline[index];
+        self.testbed.record.note(now, None, Some(number), || format!("ends: {}", step.word));
+        match &step.fault {
+            Fault::Kill | Fault::BadStart => {
+                self.start_server(number, PoolStart::Cold, StartConfig::Valid)?;
+            }
             Fault::Stop => {
                 self.testbed.checker.add_fault_span(number, now, now);
-                self.undo_stop(now, number);
+                self.resume_paused(now, number);
             }
-            Fault::Slow(_) => self.with_pool(now, number, |pool, host| {
-                pool.advance(now, host);
-                pool.speed = 1.0;
-            }),
-            Fault::Err(_) => self.servers[number.0 as usize].errs = 0.0,
+            Fault::Slow(_) => self.set_pool_speed(now, number, 1.0),
+            Fault::Err(_) => self.server(number).failing_share = 0.0,
             Fault::PoolGone => {
-                let port = self.servers[number.0 as usize].ports[&RemoteEndpoint::WorkerPool];
-                self.servers[number.0 as usize].pool =
-                    WorkerPoolStub::new(self.cores(), now, true, Duration::ZERO);
-                self.servers[number.0 as usize].crowd = 0.0;
-                self.testbed.net.admit(port)?;
+                let pool = self.new_pool(now, true, Duration::ZERO);
+                let server = self.server(number);
+                (server.pool, server.run_seconds) = (pool, 0.0);
+                let port = server.ports[&RemoteEndpoint::WorkerPool];
+                self.testbed.sockets.reopen_listener(port)?;
             }
-            Fault::Pair(far, to, from) => {
-                // What a half-dead connection has lost does not come back: it ends with the fault.
-                let lossy = |s: &Corruption| s.silent_after_bytes.is_some() || s.bit_flip_probability > 0.0;
-                let loses = to.iter().chain(from).any(lossy);
-                if *far == RemoteEndpoint::EdgeNodes {
-                    self.testbed.checker.add_fault_span(number, now, now);
-                }
-                let none = |s: &Option<Corruption>| s.as_ref().map(|_| Corruption::default());
-                self.testbed.set_corruption(
-                    now,
-                    LinkId { server: number, remote: *far },
-                    none(to),
-                    none(from),
-                );
-                if loses {
-                    for conn in self.testbed.connections_of(LinkId { server: number, remote: *far }) {
-                        self.cut_off(now, conn);
-                    }
-                }
+            Fault::Pair(remote, to_process, from_process) => {
+                let link = LinkId { server: number, remote: *remote };
+                self.end_corruption(now, link, to_process.as_ref(), from_process.as_ref());
             }
-            Fault::Refuse(far) => self.refuse(now, number, *far, false)?,
+            Fault::Refuse(remote) => self.set_accepts(number, *remote, Accepts::Yes)?,
+            _ => self.end_shared_fault(now, &step.fault)?,
+        }
+        Ok(())
+    }
+
+    fn end_shared_fault(&mut self, now: Duration, fault: &Fault) -> io::Result<()> {
+        match fault {
             Fault::Index(_) => {
-                let dead = self.index.state == IndexState::Dead;
+                let was_dead = self.index.state == IndexState::Dead;
                 self.index.state = IndexState::Healthy;
-                if dead {
+                if was_dead {
                     self.index.empty_caches();
-                    self.refuse_all(now, RemoteEndpoint::Index, false)?;
-                }
-                // What it hung on is answered by nobody: those connections end.
-                for conn in self.index.drop_open_calls(now) {
-                    self.cut_off(now, conn);
+                    self.set_all_accept(RemoteEndpoint::Index, Accepts::Yes)?;
                 }
+                // Calls that hang are never answered.
+                self.reset_index_calls(now);
             }
             Fault::MembershipStub(_) => {
                 self.testbed.membership.set_state(now, MembershipState::Up);
-                self.refuse_all(now, RemoteEndpoint::MembershipService, false)?;
+                self.set_all_accept(RemoteEndpoint::MembershipService, Accepts::Yes)?;
             }
             Fault::ListCapacity(_) => self.testbed.membership.set_capacity(self.scenario.list_capacity),
             Fault::ListWrong => self.testbed.wrong_membership = false,
             Fault::ListOld(_) => self.testbed.extra_membership_lag = Duration::ZERO,
-            Fault::Rate(_) => self.rate = self.scenario.callers.rate,
+            Fault::Rate(_) => self.arrival_rate = self.scenario.callers.rate,
             _ => {}
         }
         Ok(())
     }
 
-    /// The pool's process is gone, with all that it ran.
-    pub(super) fn pool_gone(&mut self, now: Duration, number: ServerNo) {
-        let server = &mut self.servers[number.0 as usize];
-        self.testbed.net.refuse(server.ports[&RemoteEndpoint::WorkerPool]);
+    fn end_corruption(
+        &mut self,
+        now: Duration,
+        link: LinkId,
+        to_process: Option<&Corruption>,
+        from_process: Option<&Corruption>,
+    ) {
+        if link.remote == RemoteEndpoint::EdgeNodes {
+            self.testbed.checker.add_fault_span(link.server, now, now);
+        }
+        let none = |corruption: Option<&Corruption>| corruption.map(|_| Corruption::default());
+        self.testbed.set_corruption(now, link, none(to_process), none(from_process));
+        // Lost and changed bytes do not come again, so these connections end with the fault.
+        let loses_bytes = |corruption: &Corruption| {
+            corruption.silent_after_bytes.is_some() || corruption.bit_flip_probability > 0.0
+        };
+        if to_process.into_iter().chain(from_process).any(loses_bytes) {
+            for conn in self.testbed.connections_of(link) {
+                self.reset_connection(now, conn);
+            }
+        }
+    }
+
+    fn reset_index_calls(&mut self, now: Duration) {
+        for conn in self.index.drop_open_calls(now) {
+            self.reset_connection(now, conn);
+        }
+    }
+
+    /// The worker pool's process ends, with all runs.
+    fn remove_pool(&mut self, now: Duration, number: ServerNo) {
+        let server = &self.servers[number.0 as usize];
+        self.testbed.sockets.close_listener(server.ports[&RemoteEndpoint::WorkerPool]);
         if let Some(link) = server.link {
-            self.cut_off(now, link);
+            self.reset_connection(now, link);
         }
-        let cores = self.cores();
-        let server = &mut self.servers[number.0 as usize];
-        server.replies.clear();
-        server.pool = WorkerPoolStub::new(cores, now, true, Duration::ZERO);
-        server.crowd = 0.0;
+        let pool = self.new_pool(now, true, Duration::ZERO);
+        let server = self.server(number);
+        server.call_results.clear();
+        (server.pool, server.run_seconds) = (pool, 0.0);
     }
 
-    pub(super) fn pool_reset(&mut self, now: Duration, step: usize, number: ServerNo) {
-        let plan = &self.scenario.timeline[step];
-        let Fault::PoolResets(every) = plan.fault else { return };
-        let begun = self.testbed.record.begun.unwrap_or_default();
-        let until = plan.lasts.map_or(begun + self.scenario.span, |l| begun + plan.at + l);
+    /// Resets the link to a worker pool, and sets the timer for the next reset.
+    pub(super) fn reset_pool_link(&mut self, now: Duration, index: usize, number: ServerNo) {
+        let step = &self.scenario.timeline[index];
+        let Fault::PoolResets(interval) = step.fault else { return };
+        let begun = self.callers_began();
+        let until = step.lasts.map_or(begun + self.scenario.span, |lasts| begun + step.at + lasts);
         if now >= until {
             return;
         }
-        if let Some(link) = self.servers[number.0 as usize].link {
-            self.cut_off(now, link);
+        if let Some(link) = self.server(number).link {
+            self.reset_connection(now, link);
         }
-        self.testbed.set_timer(now + every, Timer::ResetPoolLink(step, number));
+        self.testbed.set_timer(now + interval, Timer::ResetPoolLink(index, number));
     }
 
-    pub(super) fn refuse(
-        &mut self,
-        _now: Duration,
-        number: ServerNo,
-        far: RemoteEndpoint,
-        refused: bool,
-    ) -> io::Result<()> {
-        let Some(&port) = self.servers[number.0 as usize].ports.get(&far) else {
-            self.testbed.unreachable.retain(|s| *s != number);
-            if refused {
-                self.testbed.unreachable.insert(number);
-            }
+    /// Sets whether a server's connections to a stub service, or those of edge nodes to it, are accepted.
+    fn set_accepts(&mut self, number: ServerNo, remote: RemoteEndpoint, accepts: Accepts) -> io::Result<()> {
+        let Some(&port) = self.server(number).ports.get(&remote) else {
+            match accepts {
+                Accepts::Yes => self.testbed.unreachable.remove(&number),
+                Accepts::No => self.testbed.unreachable.insert(number),
+            };
             return Ok(());
         };
-        if refused {
-            self.testbed.net.refuse(port);
-            Ok(())
-        } else {
-            self.testbed.net.admit(port)
+        match accepts {
+            Accepts::Yes => self.testbed.sockets.reopen_listener(port),
+            Accepts::No => {
+                self.testbed.sockets.close_listener(port);
+                Ok(())
+            }
         }
     }
 
-    pub(super) fn refuse_all(&mut self, now: Duration, far: RemoteEndpoint, refused: bool) -> io::Result<()> {
-        for n in 0..self.servers.len() {
-            self.refuse(now, ServerNo(n as u16), far, refused)?;
+    fn set_all_accept(&mut self, remote: RemoteEndpoint, accepts: Accepts) -> io::Result<()> {
+        for number in self.server_numbers() {
+            self.set_accepts(number, remote, accepts)?;
         }
         Ok(())
     }
--- /dev/null
+++ b/crates/aldercrank-test-cluster/src/cluster/genesis.rs
@@ -0,0 +1,93 @@
+//! The versions of a run's versioned configuration: the one that the cluster starts with, and changes of it.
+
+use crate::ids::ServerNo;
+use crate::invariant_checker::Effect;
+use crate::scenario::{zone_name, RuleBook, Scenario};
+use aldercrank_versioned_config::book::Path as Item;
+use aldercrank_versioned_config::{Number, Value, VersionedConfig};
+use std::io;
+use std::net::SocketAddr;
+
+/// Assignments that make no version.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum AssignmentError {
+    /// Not of the form `ITEM=VALUE`.
+    #[error("{0} is no ITEM=VALUE")]
+    NoAssignment(String),
+    /// The item is not of the form `CLASS.ITEM`.
+    #[error("{0} is no PRODUCT.ITEM, shares.ZONE or limits.ITEM")]
+    NoItem(String),
+    /// The version with these items is invalid.
+    #[error("{0}")]
+    Invalid(String),
+}
+
+fn effect_word(effect: Effect) -> &'static str {
+    match effect {
+        Effect::Idempotent => "inquiry-like",
+        Effect::Keyed => "referenced",
+        Effect::Unsafe => "once-only",
+    }
+}
+
+/// The version that the cluster starts with. `addresses` are where the servers listen.
+pub(super) fn genesis(
+    scenario: &Scenario,
+    settings: &RuleBook,
+    addresses: &[SocketAddr],
+) -> io::Result<VersionedConfig> {
+    let mut text = "rules 1 {\n".to_string();
+    let (within, alone) = (settings.within.as_millis(), settings.alone.as_millis());
+    text += &format!("agree-within-ms {within}\nalone-for-ms {alone}\n");
+    text += "committee {\n";
+    for (n, address) in addresses.iter().take(settings.committee).enumerate() {
+        text += &format!("{} \"{address}\"\n", ServerNo(n as u16));
+    }
+    text += "}\n";
+    for class in &scenario.classes {
+        let (effect, window) = (effect_word(class.effect), class.window.as_millis());
+        text += &format!(
+            "product {:?} {{ effect \"{effect}\"; window-ms {window}; offered #true }}\n",
+            class.name
+        );
+    }
+    text += "servers {\n";
+    for zone in 0..scenario.fleet.zones {
+        let in_zone = (0..scenario.fleet.servers).filter(|n| n % scenario.fleet.zones == zone);
+        let names: Vec<String> = in_zone.map(|n| format!("\"{}\"", ServerNo(n as u16))).collect();
+        text += &format!("{} {}\n", zone_name(zone), names.join(" "));
+    }
+    text += "}\n}\n";
+    let config = VersionedConfig::parse(&text).map_err(|faults| io::Error::other(format!("{faults:?}")))?;
+    let first = with_items(&config, 1, &settings.set);
+    first.map_err(|why| io::Error::other(format!("rules set=: {why}")))
+}
+
+/// A version of this number that differs from `config` in the given items, `CLASS.ITEM=VALUE` separated by spaces.
+pub(super) fn with_items(
+    config: &VersionedConfig,
+    number: u64,
+    assignments: &str,
+) -> Result<VersionedConfig, AssignmentError> {
+    let mut items = Vec::new();
+    for assignment in assignments.split_whitespace() {
+        let (item, value) = assignment
+            .split_once('=')
+            .ok_or_else(|| AssignmentError::NoAssignment(assignment.to_string()))?;
+        let (section, name) =
+            item.split_once('.').ok_or_else(|| AssignmentError::NoItem(item.to_string()))?;
+        let path = match section {
+            "shares" => Item::new("shares", "", name),
+            "limits" => Item::new("limits", "", name),
+            class => Item::new("product", class, name),
+        };
+        let value = match value.parse::<f64>() {
+            Ok(n) => Value::Number(n),
+            Err(_) if value == "yes" || value == "no" => Value::Flag(value == "yes"),
+            Err(_) => Value::Word(value.to_string()),
+        };
+        items.push((path, Some(value)));
+    }
+    let next = config.next(Number(number), items);
+    VersionedConfig::parse(&next.text()).map_err(|faults| AssignmentError::Invalid(faults[0].to_string()))
+}
--- /dev/null
+++ b/crates/aldercrank-test-cluster/src/cluster/state.rs
@@ -0,0 +1,141 @@
+//! The state of a test cluster during a run.
+
+use super::config_versions::ConfigVersions;
+use crate::config::Places;
+use crate::edge_nodes::EdgeNodes;
+use crate::ids::{ConnNo, Incarnation, RemoteEndpoint, ServerNo};
+use crate::index_stub::IndexStub;
+use crate::process::{Process, Program};
+use crate::random::RandomStream;
+use crate::run_record::ListLoad;
+use crate::scenario::Scenario;
+use crate::sockets::PortNo;
+use crate::testbed::Testbed;
+use crate::worker_pool_stub::WorkerPoolStub;
+use aldercrank_protocol::worker_pool::AttemptId;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::path::PathBuf;
+use std::time::{Duration, Instant};
+
+/// How a run is played.
+#[derive(Clone, Debug)]
+pub struct RunOptions {
+    /// The program under test.
+    pub program: Program,
+    /// Where configurations, logs and the record are written. It is created, and removed unless `keep` is set.
+    pub dir: PathBuf,
+    /// Keeps `dir`, and records a trace in it.
+    pub keep: bool,
+    /// Writes a line of figures a second to standard error.
+    pub verbose: bool,
+}
+
+/// A run of a scenario.
+pub struct TestCluster<'a> {
+    pub(super) scenario: &'a Scenario,
+    pub(super) options: &'a RunOptions,
+    pub(super) testbed: Testbed,
+    pub(super) edges: EdgeNodes,
+    pub(super) servers: Vec<ServerState>,
+    pub(super) index: IndexStub,
+    /// Received bytes that are no complete message yet, of connections to stub services.
+    pub(super) inputs: HashMap<ConnNo, Vec<u8>>,
+    pub(super) arrivals: RandomStream,
+    /// Requests a second.
+    pub(super) arrival_rate: f64,
+    /// When the next request is due. Arrivals keep to their own schedule, however late a turn is.
+    pub(super) next_arrival: Duration,
+    pub(super) started: Instant,
+    /// The index's open call seconds at the last sample.
+    pub(super) index_call_seconds: f64,
+    /// Requests arrive.
+    pub(super) callers_active: bool,
+    /// The run is over: nothing is started any more.
+    pub(super) is_over: bool,
+    /// How much longer than `TURN_ALLOWANCE` the turns so far took, in all.
+    pub(super) turn_overrun: Duration,
+    pub(super) totals: RunTotals,
+    /// The steps that have begun: from, until (in seconds since the callers began), and text.
+    pub(super) faults: Vec<(f64, f64, String)>,
+    /// The scenario's injected violation has happened.
+    pub(super) violation_injected: bool,
+    /// Servers that were killed in this turn, and when. What is sent to them until the ends of their connections are
+    /// read is lost.
+    pub(super) just_killed: Vec<(ServerNo, Duration)>,
+    /// Where the test cluster listens.
+    pub(super) listen_ip: String,
+    /// The versioned configuration, where the scenario has one.
+    pub(super) versions: Option<ConfigVersions>,
+}
+
+/// A server of a test cluster.
+pub(super) struct ServerState {
+    pub(super) addresses: Places,
+    pub(super) process: Option<Process>,
+    pub(super) pool: WorkerPoolStub,
+    /// The server's current link to its pool.
+    pub(super) link: Option<ConnNo>,
+    /// The listeners of the stub services for this server.
+    pub(super) ports: BTreeMap<RemoteEndpoint, PortNo>,
+    pub(super) incarnation: Incarnation,
+    /// It was asked to shut down.
+    pub(super) draining: bool,
+    /// The test cluster killed it.
+    pub(super) killed: bool,
+    /// It is paused by SIGSTOP.
+    pub(super) paused: bool,
+    /// It is started again after its exit.
+    pub(super) restarts: bool,
+    /// The share of its runs that fail.
+    pub(super) failing_share: f64,
+    /// Call results that were delivered to open runs.
+    pub(super) call_results: HashMap<AttemptId, Vec<u8>>,
+    /// The pool's run seconds at the last check of limits.
+    pub(super) run_seconds: f64,
+    /// What its process waited for a core so far.
+    pub(super) waited: Duration,
+}
+
+/// Totals and maxima of a run.
+#[derive(Default)]
+pub(super) struct RunTotals {
+    pub(super) peak_memory_kb: u64,
+    pub(super) descriptors: usize,
+    pub(super) starts: u32,
+    /// Until all servers were listed for the first time.
+    pub(super) start_duration: Duration,
+    pub(super) membership_load: ListLoad,
+    /// The servers that are listed.
+    pub(super) listed: BTreeSet<ServerNo>,
+    /// CPU time of the test cluster while requests arrived.
+    pub(super) cluster_cpu: Duration,
+    /// CPU time of the servers' processes while requests arrived.
+    pub(super) servers_cpu: Duration,
+}
+
+impl TestCluster<'_> {
+    /// Time since the start of the run.
+    pub(super) fn now(&self) -> Duration {
+        self.started.elapsed()
+    }
+
+    pub(super) fn server(&mut self, server: ServerNo) -> &mut ServerState {
+        &mut self.servers[server.0 as usize]
+    }
+
+    pub(super) fn server_numbers(&self) -> impl Iterator<Item = ServerNo> {
+        (0..self.servers.len()).map(|n| ServerNo(n as u16))
+    }
+
+    /// When the callers began.
+    pub(super) fn callers_began(&self) -> Duration {
+        self.testbed.record.begun.unwrap_or_default()
+    }
+}
+
+/// A directory of its own for one run, in the system's directory for temporary files. It is not created.
+pub fn run_dir(word: &str) -> PathBuf {
+    static RUNS: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(1);
+    let run = RUNS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+    std::env::temp_dir().join(format!("aldercrank-fleet-{}-{run}-{word}", std::process::id()))
+}
--- a/crates/aldercrank-test-cluster/src/process.rs
+++ b/crates/aldercrank-test-cluster/src/process.rs
@@ -1,5 +1,5 @@
-//! Processes of the program: started, signalled, seen to end. Only those that were started here are touched, by
-//! their id; and each ends with the thread that started it, also when the rig itself is killed.
+//! Processes of the program under test: starting, signalling and collecting them. Each one ends with the thread that
+//! started it, also when the test cluster itself is killed.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::File;
@@ -14,34 +14,38 @@
 pub struct Program {
     /// `aldercrank`, of this build or of another.
     pub path: PathBuf,
-    /// What it is told before anything else.
+    /// Its first arguments.
     pub first: Vec<String>,
-    /// A program of ours that takes `hold PARENT PROGRAM ...` and hands it to `hold`.
+    /// A program of this repository whose command `hold PARENT PROGRAM ...` calls [`hold`].
     pub holder: PathBuf,
-    /// The word in place of `hold`, and what stands before the program, where it is looked at as well.
+    /// The holder's command in place of `hold`, and the arguments before the program, for a holder that also observes.
     pub verb: (String, Vec<String>),
 }
 
 impl Program {
+    /// The program at `path`, started by the holder's command `hold`.
     pub fn new(path: PathBuf, holder: PathBuf) -> Program {
         Program { path, first: Vec::new(), holder, verb: ("hold".to_string(), Vec::new()) }
     }
 }
 
-/// Sees to it that the kernel ends this process with the one that started it.
+/// Makes the kernel kill this process when its parent ends.
+///
+/// # Errors
+/// If the kernel refuses, or the parent has ended already.
 pub fn end_with(parent: u32) -> io::Result<()> {
     rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?;
-    // It may have gone before the kernel was told.
-    let own = rustix::process::getppid().map(|p| p.as_raw_nonzero().get() as u32);
-    if own == Some(parent) {
+    // The parent may have ended before the kernel was asked.
+    let current_parent = rustix::process::getppid().map(|pid| pid.as_raw_nonzero().get() as u32);
+    if current_parent == Some(parent) {
         Ok(())
     } else {
         Err(io::Error::other("the rig that asked for this program has gone"))
     }
 }
 
-/// Becomes the program named first, having seen to it that the kernel ends it with its parent. Returns only where
-/// that could not be.
+/// Becomes the program that `words` names first, after making the kernel kill it with its parent. Returns only on
+/// failure.
 pub fn hold(parent: u32, words: &[String]) -> io::Error {
     let Some((program, args)) = words.split_first() else {
         return io::Error::other("hold needs a program");
@@ -52,63 +56,80 @@
     Command::new(program).args(args).exec()
 }
 
+/// The exit of a process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Exit {
+    /// The exit code; `None` if a signal ended it.
+    pub code: Option<i32>,
+}
+
+/// A started process. Dropping it kills it.
 pub struct Process {
     child: Child,
-    ended: Option<Option<i32>>,
+    exit: Option<Exit>,
 }
 
 impl Process {
+    /// Starts the program with its output in a log file.
+    ///
+    /// # Errors
+    /// If the log can't be created or the holder can't be started.
     pub fn start(program: &Program, args: &[&str], log: &Path) -> io::Result<Process> {
-        let said = File::create(log)?;
+        let log = File::create(log)?;
         let mut command = Command::new(&program.holder);
         command.arg(&program.verb.0).arg(std::process::id().to_string()).args(&program.verb.1);
-        // What follows is for the program, flags and all.
+        // What follows `--` is for the program, flags included.
         command.arg("--").arg(&program.path).args(&program.first).args(args);
-        let child = command.stdin(Stdio::null()).stdout(said.try_clone()?).stderr(said).spawn()?;
-        Ok(Process { child, ended: None })
+        let child = command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log).spawn()?;
+        Ok(Process { child, exit: None })
     }
 
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
     fn signal(&self, signal: Signal) {
-        // One whose end has been taken may have given its number to another.
-        if let Some(pid) = Pid::from_raw(self.child.id() as i32).filter(|_| self.ended.is_none()) {
+        // The id of a collected process may belong to another one.
+        if let Some(pid) = Pid::from_raw(self.child.id() as i32).filter(|_| self.exit.is_none()) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    pub fn leave(&self) {
+    /// Asks it to shut down, by SIGTERM.
+    pub fn request_shutdown(&self) {
         self.signal(Signal::TERM);
     }
 
-    pub fn stop(&self) {
+    /// Pauses it, by SIGSTOP.
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    pub fn go_on(&self) {
+    /// Resumes it, by SIGCONT.
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    pub fn read_again(&self) {
+    /// Asks it to read its configuration again, by SIGHUP.
+    pub fn reload_config(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Ends it at once and takes its end.
+    /// Kills it and waits for its exit.
     pub fn kill(&mut self) {
-        if self.ended.is_none() {
+        if self.exit.is_none() {
             let _ = self.child.kill();
-            self.ended = self.child.wait().ok().map(|status| status.code());
+            self.exit = self.child.wait().ok().map(|status| Exit { code: status.code() });
         }
     }
 
-    /// How it has ended, once it has: with a code, or by a signal.
-    pub fn ended(&mut self) -> Option<Option<i32>> {
-        if self.ended.is_none() {
-            self.ended = self.child.try_wait().ok().flatten().map(|status| status.code());
+    /// Its exit; `None` while it runs.
+    pub fn exit(&mut self) -> Option<Exit> {
+        if self.exit.is_none() {
+            self.exit = self.child.try_wait().ok().flatten().map(|status| Exit { code: status.code() });
         }
-        self.ended
+        self.exit
     }
 }
 
@@ -118,23 +139,46 @@
     }
 }
 
-/// What a thread has run and has waited for a core so far.
-pub fn on_core(path: &str) -> (Duration, Duration) {
+/// What a thread spent on a core, and waiting for one, since it started.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CpuTime {
+    /// On a core.
+    pub ran: Duration,
+    /// Ready to run, and waiting for a core.
+    pub waited: Duration,
+}
+
+fn read_schedstat(path: &str) -> CpuTime {
     let text = std::fs::read_to_string(path).unwrap_or_default();
-    let mut words = text.split_whitespace().map(|w| Duration::from_nanos(w.parse().unwrap_or_default()));
-    (words.next().unwrap_or_default(), words.next().unwrap_or_default())
+    let mut fields = text.split_whitespace().map(|w| Duration::from_nanos(w.parse().unwrap_or_default()));
+    CpuTime { ran: fields.next().unwrap_or_default(), waited: fields.next().unwrap_or_default() }
+}
+
+/// The CPU time of the calling thread.
+pub fn own_cpu_time() -> CpuTime {
+    read_schedstat("/proc/thread-self/schedstat")
+}
+
+/// The CPU time of a process's first thread; zero once it has ended.
+pub fn cpu_time(pid: u32) -> CpuTime {
+    read_schedstat(&format!("/proc/{pid}/task/{pid}/schedstat"))
 }
 
-/// The same of a process's first thread.
-pub fn waited(pid: u32) -> (Duration, Duration) {
-    on_core(&format!("/proc/{pid}/task/{pid}/schedstat"))
+/// The resources of a process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ProcessSize {
+    /// The most memory that was resident so far.
+    pub peak_memory_kb: u64,
+    /// Open descriptors.
+    pub descriptors: usize,
 }
 
-/// The most memory that a process has had resident, in KB, and its descriptors now.
-pub fn size(pid: u32) -> (u64, usize) {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-    let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-    let kb = line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0);
-    let open = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
-    (kb, open)
+/// The resources of a process; zero once it has ended.
+pub fn size(pid: u32) -> ProcessSize {
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
+    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+    let peak_memory_kb =
+        line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or_default();
+    let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
+    ProcessSize { peak_memory_kb, descriptors }
 }
--- a/crates/aldercrank-test-cluster/src/testbed.rs
+++ b/crates/aldercrank-test-cluster/src/testbed.rs
@@ -8,7 +8,7 @@
 use crate::random::RandomStream;
 use crate::relayed_link::{Corruption, RelayedLink};
 use crate::run_record::RunRecord;
-use crate::sockets::{Event, Net, PortNo};
+use crate::sockets::{PortNo, SocketEvent, SocketSet};
 use crate::version_checker::VersionedDecision;
 use crate::worker_pool_stub::InvalidCommand;
 use aldercrank_protocol::worker_pool::AttemptId;
@@ -121,9 +121,9 @@
 /// The shared state of a run.
 pub struct Testbed {
     /// All sockets.
-    pub net: Net,
+    pub sockets: SocketSet,
     /// Socket events of the current turn; kept to reuse its memory.
-    pub events: Vec<Event>,
+    pub events: Vec<SocketEvent>,
     timers: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
     /// The earliest pending time of each coalesced timer; later ones are not queued.
     coalesced_timers: BTreeMap<Timer, Duration>,
@@ -180,7 +180,7 @@
         random: RandomStream,
     ) -> io::Result<Testbed> {
         Ok(Testbed {
-            net: Net::new()?,
+            sockets: SocketSet::new()?,
             events: Vec::new(),
             timers: BinaryHeap::new(),
             coalesced_timers: BTreeMap::new(),
@@ -251,7 +251,7 @@
     pub fn register(&mut self, conn: ConnNo, owner: ConnectionOwner) {
         self.owners.insert(conn, owner);
         if self.corruptions.get(&owner.link()).is_some_and(|corruption| corruption.from_process.unread) {
-            self.net.pause(conn, true);
+            self.sockets.set_paused(conn, true);
         }
     }
 
@@ -266,7 +266,7 @@
         let closes_later = self.links.get(&conn).is_some_and(|links| links.closing);
         if !closes_later {
             self.links.remove(&conn);
-            self.net.close(conn);
+            self.sockets.close(conn);
         }
         self.owners.remove(&conn)
     }
@@ -276,7 +276,7 @@
         let queued = self.links.get_mut(&conn).filter(|links| !links.to_process.is_empty());
         match queued {
             Some(links) => links.closing = true,
-            None => self.net.close(conn),
+            None => self.sockets.close(conn),
         }
     }
 
@@ -322,7 +322,7 @@
             self.corruptions.remove(&link);
         }
         for conn in self.connections_of(link) {
-            self.net.pause(conn, unread);
+            self.sockets.set_paused(conn, unread);
             self.set_timer(now, Timer::RelayedLink(conn));
         }
     }
@@ -334,9 +334,9 @@
         }
         let corruption = self.corruption_of(conn).map_or_else(Corruption::default, |c| c.to_process.clone());
         match self.links.get(&conn) {
-            None if corruption.is_none() => return self.net.send(conn, bytes),
+            None if corruption.is_none() => return self.sockets.send(conn, bytes),
             Some(links) if links.to_process.is_transparent(&corruption) => {
-                return self.net.send(conn, bytes);
+                return self.sockets.send(conn, bytes);
             }
             _ => {}
         }
@@ -361,7 +361,7 @@
         link.push(now, bytes, &corruption, &mut self.random);
         let (full, next_release) = (link.is_full(), link.next_release(&corruption));
         if full {
-            self.net.pause(conn, true);
+            self.sockets.set_paused(conn, true);
         }
         if let Some(at) = next_release {
             self.set_timer(at, Timer::RelayedLink(conn));
@@ -375,12 +375,12 @@
         match self.links.get_mut(&conn) {
             Some(links) if !links.from_process.is_empty() || blocked => {
                 links.closed_by_process = true;
-                self.net.deaf(conn);
+                self.sockets.stop_polling(conn);
                 true
             }
             None if blocked => {
                 self.links.entry(conn).or_default().closed_by_process = true;
-                self.net.deaf(conn);
+                self.sockets.stop_polling(conn);
                 true
             }
             _ => false,
@@ -408,14 +408,14 @@
         let closes_now = links.closing && links.to_process.is_empty();
         let may_read =
             !links.from_process.is_full() && !links.closed_by_process && !corruption.from_process.unread;
-        self.net.send(conn, &to_process);
+        self.sockets.send(conn, &to_process);
         if closes_now {
             self.links.remove(&conn);
-            self.net.close(conn);
+            self.sockets.close(conn);
             return ReleaseAction::KeepOpen;
         }
         if may_read {
-            self.net.pause(conn, false);
+            self.sockets.set_paused(conn, false);
         }
         if let Some(at) = next_release {
             self.set_timer(at.max(now), Timer::RelayedLink(conn));
