--- a/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -8,7 +8,7 @@
 use crate::config_store_stub::{ConfigStoreStub, ReadAnswer, StoredVersion};
 use crate::ids::{ConnNo, ServerNo};
 use crate::membership_stub::MembershipState;
-use crate::scenario::{Fault, Published, RuleBook, Spoilt};
+use crate::scenario::{ConfigCorruption, Fault, Publication, VersionedConfigSettings};
 use crate::testbed::{ConnectionOwner, Timer};
 use crate::version_checker::VersionChecker;
 use aldercrank_protocol::http;
@@ -27,7 +27,7 @@
 
 /// The state of a run with a versioned configuration.
 pub(super) struct ConfigVersions {
-    settings: RuleBook,
+    settings: VersionedConfigSettings,
     /// The newest version that was published.
     newest: VersionedConfig,
     /// The last version number that was given out.
@@ -58,7 +58,7 @@
         let relay_addresses = self.open_relays(settings.committee)?;
         std::fs::write(self.options.dir.join(GENESIS_FILE), newest.text())?;
         let classes = self.scenario.classes.iter().map(|class| class.name.clone()).collect();
-        let checker = VersionChecker::new(settings.within, classes, &newest);
+        let checker = VersionChecker::new(settings.decision_bound, classes, &newest);
         self.versions = Some(ConfigVersions {
             settings,
             newest,
@@ -97,7 +97,7 @@
         if let Some(versions) = &self.versions {
             let own_relays = versions.relay_addresses.iter().filter(|((client, _), _)| *client == number);
             let reach = own_relays.map(|((_, member), address)| (*member, *address)).collect();
-            let has_disk = versions.settings.disks;
+            let has_disk = versions.settings.has_disks;
             let dir = has_disk.then(|| self.options.dir.join(format!("{number}.rules")));
             text += &config::service(&self.options.dir.join(GENESIS_FILE), dir.as_deref(), reach);
         }
@@ -154,28 +154,28 @@
     /// A step publishes its next version, and sets the timer for the one after.
     pub(super) fn publish_next(&mut self, now: Duration, step_index: usize) {
         let step = &self.scenario.timeline[step_index];
-        let Fault::Publish(published) = &step.fault else { return };
+        let Fault::Publish(publication) = &step.fault else { return };
         let begun = self.callers_began() + step.at;
         if step.lasts.is_some_and(|lasts| now >= begun + lasts) || self.is_over {
             return;
         }
-        self.publish(now, step_index, published);
-        if let Some(interval) = published.every {
+        self.publish(now, step_index, publication);
+        if let Some(interval) = publication.interval {
             self.testbed.set_timer(now + interval, Timer::PublishVersion(step_index));
         }
     }
 
-    fn publish(&mut self, now: Duration, step_index: usize, published: &Published) {
+    fn publish(&mut self, now: Duration, step_index: usize, publication: &Publication) {
         let Some(versions) = &mut self.versions else { return };
         let used = versions.alternatives_used.entry(step_index).or_default();
-        let alternatives: Vec<&str> = published.set.split('|').collect();
+        let alternatives: Vec<&str> = publication.items.split('|').collect();
         let assignments = alternatives[*used % alternatives.len()];
         *used += 1;
         versions.last_number += 1;
         let number = versions.last_number;
         let Ok(next) = with_items(&versions.newest, number, assignments) else { return };
         let mut contents = vec![next.clone()];
-        if published.two {
+        if publication.contradictory {
             let other = alternatives[*used % alternatives.len()];
             contents.extend(with_items(&versions.newest, number, other).ok());
         } else {
@@ -192,15 +192,15 @@
     }
 
     /// Stores a text that is no version.
-    pub(super) fn store_corrupted(&mut self, now: Duration, corruption: Spoilt) {
+    pub(super) fn store_corrupted(&mut self, now: Duration, corruption: ConfigCorruption) {
         let Some(versions) = &mut self.versions else { return };
         versions.last_number += 1;
         let text = versions.newest.next(Number(versions.last_number), []).text();
         let text = match corruption {
-            Spoilt::Cut => text[..text.len() / 2].to_string(),
-            Spoilt::Long => format!("{text}//{}", "x".repeat(OVERLONG_BYTES)),
-            Spoilt::Field => text.replacen("window-ms ", "window-ms \"long\" // ", 1),
-            Spoilt::Later => text.replacen("committee {", "quorum 2\n    committee {", 1),
+            ConfigCorruption::Truncated => text[..text.len() / 2].to_string(),
+            ConfigCorruption::Overlong => format!("{text}//{}", "x".repeat(OVERLONG_BYTES)),
+            ConfigCorruption::InvalidField => text.replacen("window-ms ", "window-ms \"long\" // ", 1),
+            ConfigCorruption::LaterFormat => text.replacen("committee {", "quorum 2\n    committee {", 1),
         };
         self.store_versions(now, vec![StoredVersion { tag: "spoilt".to_string(), text }]);
     }
--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -31,7 +31,7 @@
         process.request_shutdown();
         server.draining = true;
         // The injected violation: as if it had been asked long ago.
-        let asked_at = if injects { now.saturating_sub(self.scenario.fleet.grace * 4) } else { now };
+        let asked_at = if injects { now.saturating_sub(self.scenario.fleet.drain_grace * 4) } else { now };
         self.testbed.checker.shutdown_requested(asked_at, number, server.incarnation);
         self.testbed.record.note(now, None, Some(number), || "told to leave".to_string());
     }
@@ -61,30 +61,30 @@
         let begun = self.callers_began();
         let until = step.lasts.map_or(begun + self.scenario.span, |lasts| now + lasts);
         let seconds = |at: Duration| at.saturating_sub(begun).as_secs_f64();
-        let target = if step.fault_is_shared() { String::new() } else { format!(" {number}") };
+        let target = if step.fault.is_shared() { String::new() } else { format!(" {number}") };
         self.faults.push((seconds(now), seconds(until), format!("{}{target}", step.word)));
         self.testbed.record.note(now, None, Some(number), || format!("begins: {}", step.word));
         if step.lasts.is_some() {
             self.testbed.set_timer(until, Timer::EndStep(index, number));
         }
-        if step.fault_is_shared() {
+        if step.fault.is_shared() {
             return self.begin_shared_fault(now, index);
         }
         let until = if step.lasts.is_some() { until } else { now + UNENDING };
         match &step.fault {
-            Fault::Kill | Fault::Leave | Fault::Stop | Fault::BadConfig | Fault::BadStart => {
+            Fault::Kill | Fault::Leave | Fault::Pause | Fault::InvalidConfig | Fault::InvalidStart => {
                 self.begin_process_fault(now, &step.fault, number, until)
             }
-            Fault::Pair(remote, to_process, from_process) => {
+            Fault::CorruptLink { remote, to_server, from_server } => {
                 let link = LinkId { server: number, remote: *remote };
                 if *remote == RemoteEndpoint::EdgeNodes {
                     self.testbed.checker.add_fault_span(number, now, until);
                 }
-                self.testbed.set_corruption(now, link, to_process.clone(), from_process.clone());
+                self.testbed.set_corruption(now, link, to_server.clone(), from_server.clone());
                 Ok(())
             }
-            Fault::Refuse(remote) => self.set_accepts(number, *remote, Accepts::No),
-            Fault::ListWrong => self.begin_shared_fault(now, index),
+            Fault::RefuseConnections(remote) => self.set_accepts(number, *remote, Accepts::No),
+            Fault::MembershipWrong => self.begin_shared_fault(now, index),
             _ => {
                 self.begin_pool_fault(now, index, number);
                 Ok(())
@@ -101,11 +101,11 @@
         until: Duration,
     ) -> io::Result<()> {
         match fault {
-            Fault::Kill | Fault::BadStart => {
+            Fault::Kill | Fault::InvalidStart => {
                 self.testbed.checker.add_fault_span(number, now, until);
                 self.kill(number);
                 self.just_killed.push((number, now));
-                if *fault == Fault::BadStart {
+                if *fault == Fault::InvalidStart {
                     self.start_server(number, PoolStart::Cold, StartConfig::Invalid)?;
                     self.server(number).killed = true;
                 }
@@ -114,7 +114,7 @@
                 self.server(number).restarts = true;
                 self.request_shutdown(now, number);
             }
-            Fault::Stop => {
+            Fault::Pause => {
                 self.testbed.checker.add_fault_span(number, now, until);
                 let server = self.server(number);
                 if let Some(process) = &server.process {
@@ -122,7 +122,7 @@
                     server.paused = true;
                 }
             }
-            Fault::BadConfig => {
+            Fault::InvalidConfig => {
                 let file = self.options.dir.join(format!("{number}.json"));
                 std::fs::write(file, "{ not a configuration")?;
                 if let Some(process) = &self.server(number).process {
@@ -136,15 +136,15 @@
 
     fn begin_pool_fault(&mut self, now: Duration, index: usize, number: ServerNo) {
         match self.scenario.timeline[index].fault {
-            Fault::Slow(speed) => self.set_pool_speed(now, number, speed),
-            Fault::Err(share) => self.server(number).failing_share = share,
-            Fault::PoolGone => self.remove_pool(now, number),
-            Fault::PoolLate(delay) => {
-                let pool = self.new_pool(now, self.scenario.fleet.cold, delay);
+            Fault::SlowPool(speed) => self.set_pool_speed(now, number, speed),
+            Fault::FailingRuns(share) => self.server(number).failing_share = share,
+            Fault::PoolCrash => self.remove_pool(now, number),
+            Fault::PoolDelayed(delay) => {
+                let pool = self.new_pool(now, self.scenario.fleet.starts_cold, delay);
                 self.server(number).pool = pool;
                 self.with_pool(now, number, |pool, host| pool.advance(now, host));
             }
-            Fault::PoolResets(_) => self.reset_pool_link(now, index, number),
+            Fault::PoolLinkResets(_) => self.reset_pool_link(now, index, number),
             _ => {}
         }
     }
@@ -166,23 +166,23 @@
                     self.set_all_accept(RemoteEndpoint::Index, Accepts::No)?;
                 }
             }
-            Fault::IndexCold => self.index.empty_caches(),
-            Fault::MembershipStub(state) => {
+            Fault::IndexCachesEmptied => self.index.empty_caches(),
+            Fault::MembershipService(state) => {
                 self.testbed.membership.set_state(now, *state);
                 if *state == MembershipState::Down {
                     self.set_all_accept(RemoteEndpoint::MembershipService, Accepts::No)?;
                 }
             }
-            Fault::ListForgets => self.testbed.membership.forget_entries(),
-            Fault::ListCapacity(capacity) => self.testbed.membership.set_capacity(*capacity),
-            Fault::ListWrong => self.testbed.wrong_membership = true,
-            Fault::ListOld(lag) => self.testbed.extra_membership_lag = *lag,
-            Fault::EdgesRestart(share) => self.restart_edges(now, index, *share),
-            Fault::Rate(times) => self.arrival_rate = self.scenario.callers.rate * times,
+            Fault::MembershipForgets => self.testbed.membership.forget_entries(),
+            Fault::MembershipCapacity(capacity) => self.testbed.membership.set_capacity(*capacity),
+            Fault::MembershipWrong => self.testbed.wrong_membership = true,
+            Fault::MembershipStale(lag) => self.testbed.extra_membership_lag = *lag,
+            Fault::EdgeNodesRestart(share) => self.restart_edges(now, index, *share),
+            Fault::ArrivalRate(times) => self.arrival_rate = self.scenario.callers.rate * times,
             Fault::Publish(_) => self.publish_next(now, index),
             Fault::Withdraw => self.store_versions(now, Vec::new()),
-            Fault::RulesBroken(corruption) => self.store_corrupted(now, *corruption),
-            Fault::RulesOld => self.store_genesis(now)?,
+            Fault::StoreCorruptConfig(corruption) => self.store_corrupted(now, *corruption),
+            Fault::StoreGenesis => self.store_genesis(now)?,
             _ => {}
         }
         Ok(())
@@ -202,27 +202,27 @@
         let step = &self.scenario.timeline[index];
         self.testbed.record.note(now, None, Some(number), || format!("ends: {}", step.word));
         match &step.fault {
-            Fault::Kill | Fault::BadStart => {
+            Fault::Kill | Fault::InvalidStart => {
                 self.start_server(number, PoolStart::Cold, StartConfig::Valid)?;
             }
-            Fault::Stop => {
+            Fault::Pause => {
                 self.testbed.checker.add_fault_span(number, now, now);
                 self.resume_paused(now, number);
             }
-            Fault::Slow(_) => self.set_pool_speed(now, number, 1.0),
-            Fault::Err(_) => self.server(number).failing_share = 0.0,
-            Fault::PoolGone => {
+            Fault::SlowPool(_) => self.set_pool_speed(now, number, 1.0),
+            Fault::FailingRuns(_) => self.server(number).failing_share = 0.0,
+            Fault::PoolCrash => {
                 let pool = self.new_pool(now, true, Duration::ZERO);
                 let server = self.server(number);
                 (server.pool, server.run_seconds) = (pool, 0.0);
                 let port = server.ports[&RemoteEndpoint::WorkerPool];
                 self.testbed.sockets.reopen_listener(port)?;
             }
-            Fault::Pair(remote, to_process, from_process) => {
+            Fault::CorruptLink { remote, to_server, from_server } => {
                 let link = LinkId { server: number, remote: *remote };
-                self.end_corruption(now, link, to_process.as_ref(), from_process.as_ref());
+                self.end_corruption(now, link, to_server.as_ref(), from_server.as_ref());
             }
-            Fault::Refuse(remote) => self.set_accepts(number, *remote, Accepts::Yes)?,
+            Fault::RefuseConnections(remote) => self.set_accepts(number, *remote, Accepts::Yes)?,
             _ => self.end_shared_fault(now, &step.fault)?,
         }
         Ok(())
@@ -240,14 +240,14 @@
                 // Calls that hang are never answered.
                 self.reset_index_calls(now);
             }
-            Fault::MembershipStub(_) => {
+            Fault::MembershipService(_) => {
                 self.testbed.membership.set_state(now, MembershipState::Up);
                 self.set_all_accept(RemoteEndpoint::MembershipService, Accepts::Yes)?;
             }
-            Fault::ListCapacity(_) => self.testbed.membership.set_capacity(self.scenario.list_capacity),
-            Fault::ListWrong => self.testbed.wrong_membership = false,
-            Fault::ListOld(_) => self.testbed.extra_membership_lag = Duration::ZERO,
-            Fault::Rate(_) => self.arrival_rate = self.scenario.callers.rate,
+            Fault::MembershipCapacity(_) => self.testbed.membership.set_capacity(self.scenario.list_capacity),
+            Fault::MembershipWrong => self.testbed.wrong_membership = false,
+            Fault::MembershipStale(_) => self.testbed.extra_membership_lag = Duration::ZERO,
+            Fault::ArrivalRate(_) => self.arrival_rate = self.scenario.callers.rate,
             _ => {}
         }
         Ok(())
@@ -298,7 +298,7 @@
     /// Resets the link to a worker pool, and sets the timer for the next reset.
     pub(super) fn reset_pool_link(&mut self, now: Duration, index: usize, number: ServerNo) {
         let step = &self.scenario.timeline[index];
-        let Fault::PoolResets(interval) = step.fault else { return };
+        let Fault::PoolLinkResets(interval) = step.fault else { return };
         let begun = self.callers_began();
         let until = step.lasts.map_or(begun + self.scenario.span, |lasts| begun + step.at + lasts);
         if now >= until {
--- a/crates/aldercrank-test-cluster/src/cluster/genesis.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/genesis.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::ServerNo;
 use crate::invariant_checker::Effect;
-use crate::scenario::{zone_name, RuleBook, Scenario};
+use crate::scenario::{zone_name, Scenario, VersionedConfigSettings};
 use aldercrank_versioned_config::book::Path as Item;
 use aldercrank_versioned_config::{Number, Value, VersionedConfig};
 use std::io;
@@ -33,11 +33,11 @@
 /// The version that the cluster starts with. `addresses` are where the servers listen.
 pub(super) fn genesis(
     scenario: &Scenario,
-    settings: &RuleBook,
+    settings: &VersionedConfigSettings,
     addresses: &[SocketAddr],
 ) -> io::Result<VersionedConfig> {
     let mut text = "rules 1 {\n".to_string();
-    let (within, alone) = (settings.within.as_millis(), settings.alone.as_millis());
+    let (within, alone) = (settings.decision_bound.as_millis(), settings.alone_for.as_millis());
     text += &format!("agree-within-ms {within}\nalone-for-ms {alone}\n");
     text += "committee {\n";
     for (n, address) in addresses.iter().take(settings.committee).enumerate() {
@@ -45,7 +45,7 @@
     }
     text += "}\n";
     for class in &scenario.classes {
-        let (effect, window) = (effect_word(class.effect), class.window.as_millis());
+        let (effect, window) = (effect_word(class.effect), class.dedup_window.as_millis());
         text += &format!(
             "product {:?} {{ effect \"{effect}\"; window-ms {window}; offered #true }}\n",
             class.name
@@ -59,7 +59,7 @@
     }
     text += "}\n}\n";
     let config = VersionedConfig::parse(&text).map_err(|faults| io::Error::other(format!("{faults:?}")))?;
-    let first = with_items(&config, 1, &settings.set);
+    let first = with_items(&config, 1, &settings.initial_items);
     first.map_err(|why| io::Error::other(format!("rules set=: {why}")))
 }
 
--- a/crates/aldercrank-test-cluster/src/cluster/pool_host.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/pool_host.rs
@@ -48,7 +48,7 @@
         let mut random = RandomStream::of(self.scenario.seed, &format!("work {}", request.0));
         RequestWork {
             work: class.work.mul_f64(0.5 + random.unit()),
-            makes_call: random.chance(class.calls),
+            makes_call: random.chance(class.call_probability),
             failure_rank: random.unit(),
         }
     }
--- a/crates/aldercrank-test-cluster/src/cluster/prepare.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/prepare.rs
@@ -79,10 +79,10 @@
 /// them. The version checker goes by the version of each run.
 fn checked_class(scenario: &Scenario, class: &RequestClass) -> CheckedClass {
     let published = scenario.timeline.iter().filter_map(|step| match &step.fault {
-        Fault::Publish(published) => Some(&published.set),
+        Fault::Publish(publication) => Some(&publication.items),
         _ => None,
     });
-    let (mut effect, mut dedup_window) = (class.effect, class.window);
+    let (mut effect, mut dedup_window) = (class.effect, class.dedup_window);
     for assignment in published.flat_map(|set| set.split(['|', ' '])) {
         let Some((item, value)) = assignment.split_once('=') else { continue };
         if item == format!("{}.effect", class.name) {
@@ -100,12 +100,12 @@
         name: class.name.clone(),
         effect: class.effect,
         value: class.value,
-        late_share: class.late,
-        degraded_share: class.without,
+        late_share: class.late_share,
+        degraded_share: class.degraded_share,
         latency_target: class.latency_target,
         deadline: class.deadline,
         memory_kb: class.memory_kb,
-        body_length: class.body,
+        body_length: class.body_length,
     }
 }
 
@@ -116,15 +116,15 @@
 ) -> io::Result<Testbed> {
     let settings = CheckerSettings {
         classes: scenario.classes.iter().map(|class| checked_class(scenario, class)).collect(),
-        slack: scenario.fleet.slack,
-        drain_grace: scenario.fleet.grace,
-        stop_timeout: scenario.fleet.stop,
+        slack: scenario.fleet.answer_slack,
+        drain_grace: scenario.fleet.drain_grace,
+        stop_timeout: scenario.fleet.stop_timeout,
     };
     Testbed::new(
         InvariantChecker::new(settings),
         RunRecord::new(classes, keeps_trace),
         MembershipStub::new(scenario.list_capacity),
-        scenario.callers.lag,
+        scenario.callers.membership_lag,
         scenario.fleet.servers,
         RandomStream::of(scenario.seed, "links"),
     )
@@ -138,8 +138,13 @@
         let classes: Vec<edge_nodes::RequestClass> = scenario.classes.iter().map(callers_class).collect();
         let testbed = new_testbed(scenario, classes.clone(), options.keep)?;
         let callers = &scenario.callers;
-        let edges =
-            EdgeNodes::new(callers.policy.clone(), classes, callers.edges, callers.learn, scenario.seed);
+        let edges = EdgeNodes::new(
+            callers.policy.clone(),
+            classes,
+            callers.edges,
+            callers.membership_refresh,
+            scenario.seed,
+        );
         let mut cluster = TestCluster {
             scenario,
             options,
@@ -190,7 +195,7 @@
         Ok(ServerState {
             addresses: Places { listen, pool: pool.address, index: index.address, list: membership.address },
             process: None,
-            pool: self.new_pool(Duration::ZERO, self.scenario.fleet.cold, Duration::ZERO),
+            pool: self.new_pool(Duration::ZERO, self.scenario.fleet.starts_cold, Duration::ZERO),
             link: None,
             ports: BTreeMap::from([
                 (RemoteEndpoint::WorkerPool, pool.port),
@@ -212,8 +217,8 @@
     /// A worker pool of the scenario's cores.
     pub(super) fn new_pool(&self, now: Duration, cold: bool, start_delay: Duration) -> WorkerPoolStub {
         let fleet = &self.scenario.fleet;
-        let warm_up = fleet.warm_after.mul_f64(fleet.warms_times);
-        let cores = Cores { count: fleet.cores, cold_speed: fleet.cold_from, warm_up };
+        let warm_up = fleet.warm_up.mul_f64(fleet.warm_up_factor);
+        let cores = Cores { count: fleet.cores, cold_speed: fleet.cold_speed, warm_up };
         WorkerPoolStub::new(cores, now, cold, start_delay)
     }
 }
--- a/crates/aldercrank-test-cluster/src/cluster/run.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/run.rs
@@ -63,7 +63,8 @@
         let cluster_cpu = process::own_cpu_time().ran;
         let servers_cpu = self.servers_cpu_time();
         // Edge nodes see the membership late, and begin with those servers that are listed.
-        let lag = if self.scenario.from_start { Duration::ZERO } else { self.scenario.callers.lag };
+        let lag =
+            if self.scenario.from_start { Duration::ZERO } else { self.scenario.callers.membership_lag };
         self.turn_until(self.now() + lag, |_| true)?;
         let began = self.now();
         self.begin_timeline(began);
@@ -86,7 +87,7 @@
         self.edges.start(now, &mut self.testbed);
         for (index, step) in self.scenario.timeline.iter().enumerate() {
             for (place, server) in self.scenario.reached(index).into_iter().enumerate() {
-                if step.fault_is_shared() && place > 0 {
+                if step.fault.is_shared() && place > 0 {
                     break;
                 }
                 let at = now + step.at + step.each * place as u32;
@@ -128,7 +129,7 @@
             self.server(number).restarts = false;
             self.request_shutdown(now, number);
         }
-        self.turn_until(now + self.scenario.fleet.stop + KILL_ALLOWANCE, |cluster| {
+        self.turn_until(now + self.scenario.fleet.stop_timeout + KILL_ALLOWANCE, |cluster| {
             cluster.servers.iter().any(|server| server.process.is_some())
         })?;
         let now = self.now();
--- a/crates/aldercrank-test-cluster/src/cluster/sample.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/sample.rs
@@ -98,11 +98,11 @@
         self.totals.peak_memory_kb = self.totals.peak_memory_kb.max(size.peak_memory_kb);
         self.totals.descriptors = self.totals.descriptors.max(size.descriptors);
         let checker = &mut self.testbed.checker;
-        if size.peak_memory_kb as f64 > fleet.memory_mb * 1000.0 {
+        if size.peak_memory_kb as f64 > fleet.process_memory_mb * 1000.0 {
             let what = format!("{} KB of memory, over its limit", size.peak_memory_kb);
             checker.record_violation(now, Rule::Fall, None, Some(number), what);
         }
-        if size.descriptors > fleet.sockets {
+        if size.descriptors > fleet.max_sockets {
             let what = format!("{} descriptors, over its limit", size.descriptors);
             checker.record_violation(now, Rule::Fall, None, Some(number), what);
         }
--- a/crates/aldercrank-test-cluster/src/cluster/start.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/start.rs
@@ -27,7 +27,7 @@
 
 impl TestCluster<'_> {
     pub(super) fn start_all(&mut self) -> io::Result<()> {
-        let pool = if self.scenario.fleet.cold { PoolStart::Cold } else { PoolStart::Warm };
+        let pool = if self.scenario.fleet.starts_cold { PoolStart::Cold } else { PoolStart::Warm };
         for number in self.server_numbers() {
             self.start_server(number, pool, StartConfig::Valid)?;
         }
--- a/crates/aldercrank-test-cluster/src/config.rs
+++ b/crates/aldercrank-test-cluster/src/config.rs
@@ -42,29 +42,29 @@
         .iter()
         .map(|p| {
             json!({"name": p.name, "effect": effect(p.effect), "goal_time": us(p.latency_target), "give_up": us(p.deadline),
-                "points": p.value, "late_worth": p.late, "window": us(p.window)})
+                "points": p.value, "late_worth": p.late_share, "window": us(p.dedup_window)})
         })
         .collect();
     let zones: Vec<String> = (0..fleet.zones).map(zone_name).collect();
     json!({
         "name": server.to_string(), "listen": at.listen, "pool": at.pool, "members": at.list, "index": at.index,
-        "seed": format!("{:x}", s.seed), "stop_ms": fleet.stop.as_millis() as u64,
-        "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
+        "seed": format!("{:x}", s.seed), "stop_ms": fleet.stop_timeout.as_millis() as u64,
+        "limits": {"cores": 1.0, "memory_mb": fleet.process_memory_mb, "sockets": fleet.max_sockets},
         "settings": {
             "azs": zones, "my_zone": zone_name(server.0 as usize % fleet.zones), "peers_total": fleet.servers,
             "family_info": {
-                "cores": fleet.cores, "memory_kb": fleet.memory_kb, "run_factor": 4.0, "key_kb": 0.5, "cold": cold,
+                "cores": fleet.cores, "memory_kb": fleet.admission_memory_kb, "run_factor": 4.0, "key_kb": 0.5, "cold": cold,
                 "advert": "share_of", "halt": "abort", "cancel_seen": true, "passes_deadline": true,
                 "readiness": true, "below": "shared", "calls_out": s.index.limit / fleet.servers as f64,
                 "calls_over": us(CALLS_OVER), "linger": 100_000, "fresh_for": 0, "heeded": 1_000_000,
                 "idle": us(s.callers.policy.idle_timeout), "upstreams": s.callers.edges,
-                "class_calls": s.classes.iter().map(|p| p.calls > 0.0).collect::<Vec<bool>>(),
-                "worth_without": s.classes.iter().map(|p| p.without).collect::<Vec<f64>>(),
+                "class_calls": s.classes.iter().map(|p| p.call_probability > 0.0).collect::<Vec<bool>>(),
+                "worth_without": s.classes.iter().map(|p| p.degraded_share).collect::<Vec<f64>>(),
                 "meters": ["cpu_busy", "runnable"]},
             "limits": {"retry_after": true, "max_retry_after": 1_000_000},
-            "rules": {"answer_slack": us(fleet.slack), "cold_from": fleet.cold_from,
-                "warm_after": us(fleet.warm_after), "fall": us(FALL_OVER), "fall_multiple": FALL,
-                "stop_sending_within": us(fleet.grace)},
+            "rules": {"answer_slack": us(fleet.answer_slack), "cold_from": fleet.cold_speed,
+                "warm_after": us(fleet.warm_up), "fall": us(FALL_OVER), "fall_multiple": FALL,
+                "stop_sending_within": us(fleet.drain_grace)},
             "profiles": classes}})
 }
 
--- a/crates/aldercrank-test-cluster/src/kdl_properties.rs
+++ b/crates/aldercrank-test-cluster/src/kdl_properties.rs
@@ -1,45 +1,56 @@
-//! The values of one KDL node, `node "text" name=value`, read with bounds; all that is wrong is a fault at its
-//! place, and what is not asked for is not known.
+//! Reads the values of one KDL node, `node "text" name=value`, with bounds. What is wrong becomes a fault at its place;
+//! what the caller has not asked for is unknown.
 
 use aldercrank_service_config::{kind, Reader};
 use kdl::{KdlNode, KdlValue};
 
+/// The values of a node that is being read.
 pub struct NodeProperties<'a, 'r, 't> {
     reader: &'r mut Reader<'t>,
     node: &'a KdlNode,
-    asked: Vec<&'static str>,
-    words: usize,
+    /// The names that the caller has asked for.
+    known_names: Vec<&'static str>,
+    /// How many values without a name the caller has read.
+    positional_read: usize,
 }
 
 impl<'a, 'r, 't> NodeProperties<'a, 'r, 't> {
-    pub fn of(reader: &'r mut Reader<'t>, node: &'a KdlNode) -> NodeProperties<'a, 'r, 't> {
-        NodeProperties { reader, node, asked: Vec::new(), words: 0 }
+    /// Begins to read a node.
+    pub fn new(reader: &'r mut Reader<'t>, node: &'a KdlNode) -> NodeProperties<'a, 'r, 't> {
+        NodeProperties { reader, node, known_names: Vec::new(), positional_read: 0 }
     }
 
-    fn at(&self) -> usize {
+    fn offset(&self) -> usize {
         self.node.name().span().offset()
     }
 
-    /// Something about the node as a whole is wrong.
+    /// Reports a fault of the node as a whole.
     pub fn fault(&mut self, what: impl Into<String>) {
         let what = format!("{}: {}", self.node.name().value(), what.into());
-        self.reader.fault(self.at(), what);
+        self.reader.fault(self.offset(), what);
     }
 
     fn named(&mut self, name: &'static str) -> Option<(&'a KdlValue, usize)> {
-        self.asked.push(name);
+        self.known_names.push(name);
         let entry = self.node.entries().iter().find(|e| e.name().is_some_and(|n| n.value() == name))?;
         Some((entry.value(), entry.span().offset()))
     }
 
     /// The next value without a name.
     fn positional(&mut self) -> Option<(&'a KdlValue, usize)> {
-        let entry = self.node.entries().iter().filter(|e| e.name().is_none()).nth(self.words)?;
-        self.words += 1;
+        let entry = self.node.entries().iter().filter(|e| e.name().is_none()).nth(self.positional_read)?;
+        self.positional_read += 1;
         Some((entry.value(), entry.span().offset()))
     }
 
-    fn real(&mut self, name: &str, value: &KdlValue, at: usize, least: f64, most: f64) -> Option<f64> {
+    fn number_of(
+        &mut self,
+        name: &str,
+        value: &KdlValue,
+        offset: usize,
+        least: f64,
+        most: f64,
+    ) -> Option<f64> {
         let number = match value {
             KdlValue::Integer(n) => Some(*n as f64),
             KdlValue::Float(n) => Some(*n),
@@ -48,99 +59,105 @@
         let fits = number.filter(|n| (least..=most).contains(n));
         if fits.is_none() {
             let found = kind(value);
-            self.reader.fault(at, format!("{name} takes a number from {least} to {most}, found {found}"));
+            self.reader.fault(offset, format!("{name} takes a number from {least} to {most}, found {found}"));
         }
         fits
     }
 
+    /// A number from `least` to `most`; `None` if it is absent or wrong.
     pub fn number(&mut self, name: &'static str, least: f64, most: f64) -> Option<f64> {
-        let (value, at) = self.named(name)?;
-        self.real(name, value, at, least, most)
+        let (value, offset) = self.named(name)?;
+        self.number_of(name, value, offset, least, most)
     }
 
-    /// A number without a name, which has to be there.
+    /// The next value without a name, a number from `least` to `most`. It is a fault if it is absent.
     pub fn first_number(&mut self, what: &str, least: f64, most: f64) -> Option<f64> {
-        let Some((value, at)) = self.positional() else {
+        let Some((value, offset)) = self.positional() else {
             self.fault(format!("needs {what}"));
             return None;
         };
-        self.real(what, value, at, least, most)
+        self.number_of(what, value, offset, least, most)
     }
 
-    fn string(&mut self, name: &str, value: &KdlValue, at: usize) -> Option<String> {
+    fn text_of(&mut self, name: &str, value: &KdlValue, offset: usize) -> Option<String> {
         if let KdlValue::String(text) = value {
             return Some(text.clone());
         }
         let found = kind(value);
-        self.reader.fault(at, format!("{name} takes a text, found {found}"));
+        self.reader.fault(offset, format!("{name} takes a text, found {found}"));
         None
     }
 
+    /// A text; `None` if it is absent or wrong.
     pub fn text(&mut self, name: &'static str) -> Option<String> {
-        let (value, at) = self.named(name)?;
-        self.string(name, value, at)
+        let (value, offset) = self.named(name)?;
+        self.text_of(name, value, offset)
     }
 
-    /// A text without a name, which has to be there.
+    /// The next value without a name, a text. It is a fault if it is absent.
     pub fn first_text(&mut self, what: &str) -> Option<String> {
-        let Some((value, at)) = self.positional() else {
+        let Some((value, offset)) = self.positional() else {
             self.fault(format!("needs {what}"));
             return None;
         };
-        self.string(what, value, at)
+        self.text_of(what, value, offset)
     }
 
-    /// One of these words; gives its place.
+    /// One of the `known` words, by its index; `None` if it is absent or wrong.
     pub fn word(&mut self, name: &'static str, known: &[&str]) -> Option<usize> {
-        let (value, at) = self.named(name)?;
-        let text = self.string(name, value, at)?;
-        self.place(&text, at, known)
+        let (value, offset) = self.named(name)?;
+        let text = self.text_of(name, value, offset)?;
+        self.index_of(&text, offset, known)
     }
 
-    /// One of these words without a name, which has to be there.
+    /// The next value without a name, one of the `known` words, by its index. It is a fault if it is absent.
     pub fn first_word(&mut self, what: &str, known: &[&str]) -> Option<usize> {
-        let Some((value, at)) = self.positional() else {
+        let Some((value, offset)) = self.positional() else {
             self.fault(format!("needs {what}: {}", known.join(", ")));
             return None;
         };
-        let text = self.string(what, value, at)?;
-        self.place(&text, at, known)
+        let text = self.text_of(what, value, offset)?;
+        self.index_of(&text, offset, known)
     }
 
-    fn place(&mut self, text: &str, at: usize, known: &[&str]) -> Option<usize> {
-        let place = known.iter().position(|k| *k == text);
-        if place.is_none() {
-            self.reader.unknown(at, text, known);
+    fn index_of(&mut self, text: &str, offset: usize, known: &[&str]) -> Option<usize> {
+        let index = known.iter().position(|k| *k == text);
+        if index.is_none() {
+            self.reader.unknown(offset, text, known);
         }
-        place
+        index
     }
 
+    /// `#true` or `#false`; `None` if it is absent or wrong.
     pub fn flag(&mut self, name: &'static str) -> Option<bool> {
-        let (value, at) = self.named(name)?;
+        let (value, offset) = self.named(name)?;
         if let KdlValue::Bool(flag) = value {
             return Some(*flag);
         }
         let found = kind(value);
-        self.reader.fault(at, format!("{name} takes #true or #false, found {found}"));
+        self.reader.fault(offset, format!("{name} takes #true or #false, found {found}"));
         None
     }
 
-    /// All that was there to be read has been: what else stands here is a fault.
-    pub fn done(self) {
-        let mut words = 0;
+    /// Reports the values that were not read as unknown.
+    pub fn finish(self) {
+        let mut positional = 0;
         for entry in self.node.entries() {
-            let at = entry.span().offset();
+            let offset = entry.span().offset();
             match entry.name() {
-                Some(name) if !self.asked.contains(&name.value()) => {
-                    self.reader.unknown(at, name.value(), &self.asked);
+                Some(name) if !self.known_names.contains(&name.value()) => {
+                    self.reader.unknown(offset, name.value(), &self.known_names);
                 }
                 Some(_) => {}
                 None => {
-                    words += 1;
-                    if words > self.words {
-                        let what =
-                            format!("{} takes {} without a name", self.node.name().value(), self.words);
-                        self.reader.fault(at, what);
+                    positional += 1;
+                    if positional > self.positional_read {
+                        let what = format!(
+                            "{} takes {} without a name",
+                            self.node.name().value(),
+                            self.positional_read
+                        );
+                        self.reader.fault(offset, what);
                     }
                 }
             }
--- a/crates/aldercrank-test-cluster/tests/cores.rs
+++ b/crates/aldercrank-test-cluster/tests/cores.rs
@@ -374,7 +374,8 @@
 fn all_that_is_wrong_in_a_scenario_is_said_at_its_place() {
     let text = "seconds 5\nfleet servers=4 zonse=2\nat 1 \"kil\" server=\"n1\"\nat 2 \"kill\" server=\"n9\"\n\
                 at 2 \"cut\" way=\"sideways\"\nat 2 \"index\" state=\"slow\"\ncallers rate=-1\nflet servers=1\n";
-    let wrong = Scenario::parse(text).unwrap_err().0;
+    let wrong: Vec<String> =
+        Scenario::parse(text).unwrap_err().0.iter().map(|error| error.to_string()).collect();
     let expect = [
         "2:17: zonse is not known; did you mean zones?",
         "3:6: kil is not known; did you mean kill?",
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
@@ -6,7 +6,7 @@
 use aldercrank_test_cluster::membership_stub::MembershipState;
 use aldercrank_test_cluster::relayed_link::Corruption;
 use aldercrank_test_cluster::scenario::{
-    Bounds, Fault, InjectedViolation, RequestClass, Scenario, Spoilt, Step, Target,
+    Bounds, ConfigCorruption, Fault, InjectedViolation, RequestClass, Scenario, Step, Target,
 };
 use std::fmt::{Debug, Write};
 use std::time::Duration;
@@ -52,16 +52,16 @@
         f.servers,
         f.zones,
         f.cores,
-        f.memory_kb,
-        f.cold,
-        f.cold_from,
-        millis(f.warm_after),
-        f.warms_times,
-        millis(f.stop),
-        millis(f.grace),
-        millis(f.slack),
-        f.memory_mb,
-        f.sockets
+        f.admission_memory_kb,
+        f.starts_cold,
+        f.cold_speed,
+        millis(f.warm_up),
+        f.warm_up_factor,
+        millis(f.stop_timeout),
+        millis(f.drain_grace),
+        millis(f.answer_slack),
+        f.process_memory_mb,
+        f.max_sockets
     )
 }
 
@@ -77,16 +77,16 @@
         p.name,
         p.share,
         p.value,
-        p.late,
+        p.late_share,
         millis(p.work),
-        p.calls,
-        p.without,
+        p.call_probability,
+        p.degraded_share,
         p.name,
         millis(p.latency_target),
         millis(p.deadline),
-        millis(p.window),
+        millis(p.dedup_window),
         p.memory_kb,
-        p.body
+        p.body_length
     )
 }
 
@@ -126,18 +126,18 @@
         i.cold_slowdown,
         i.warming,
         scenario.list_capacity,
-        millis(c.lag),
-        millis(c.learn)
+        millis(c.membership_lag),
+        millis(c.membership_refresh)
     );
     lines += &match &scenario.rules {
         None => "rules none\n".to_string(),
         Some(r) => format!(
             "rules committee={} within-ms={} alone-ms={} disks={} set={:?}\n",
             r.committee,
-            millis(r.within),
-            millis(r.alone),
-            r.disks,
-            r.set
+            millis(r.decision_bound),
+            millis(r.alone_for),
+            r.has_disks,
+            r.initial_items
         ),
     };
     lines
@@ -156,7 +156,7 @@
         step.word,
         millis_or_none(step.lasts),
         millis(step.each),
-        step.fault_is_shared(),
+        step.fault.is_shared(),
         fault(&step.fault)
     )
 }
@@ -165,38 +165,38 @@
     match fault {
         Fault::Kill => "kill".into(),
         Fault::Leave => "leave".into(),
-        Fault::Stop => "stop".into(),
-        Fault::BadConfig => "bad-config".into(),
-        Fault::BadStart => "bad-start".into(),
-        Fault::Slow(to) => format!("slow to={to}"),
-        Fault::Err(share) => format!("err share-of-runs={share}"),
-        Fault::PoolGone => "pool-gone".into(),
-        Fault::PoolLate(by) => format!("pool-late by-ms={}", millis(*by)),
-        Fault::PoolResets(every) => format!("pool-resets every-ms={}", millis(*every)),
-        Fault::Pair(with, to, from) => {
+        Fault::Pause => "stop".into(),
+        Fault::InvalidConfig => "bad-config".into(),
+        Fault::InvalidStart => "bad-start".into(),
+        Fault::SlowPool(to) => format!("slow to={to}"),
+        Fault::FailingRuns(share) => format!("err share-of-runs={share}"),
+        Fault::PoolCrash => "pool-gone".into(),
+        Fault::PoolDelayed(by) => format!("pool-late by-ms={}", millis(*by)),
+        Fault::PoolLinkResets(every) => format!("pool-resets every-ms={}", millis(*every)),
+        Fault::CorruptLink { remote, to_server, from_server } => {
             format!(
                 "pair with={} to=[{}] from=[{}]",
-                with.scenario_name(),
-                corruption(to.as_ref()),
-                corruption(from.as_ref())
+                remote.scenario_name(),
+                corruption(to_server.as_ref()),
+                corruption(from_server.as_ref())
             )
         }
-        Fault::Refuse(with) => format!("refuse with={}", with.scenario_name()),
+        Fault::RefuseConnections(with) => format!("refuse with={}", with.scenario_name()),
         Fault::Index(state) => format!("index state={}", index_state(*state)),
-        Fault::IndexCold => "index-cold".into(),
-        Fault::MembershipStub(state) => format!("list state={}", list_state(*state)),
-        Fault::ListForgets => "list-forgets".into(),
-        Fault::ListCapacity(to) => format!("list-capacity to={to}"),
-        Fault::ListWrong => "list-wrong".into(),
-        Fault::ListOld(by) => format!("list-old by-ms={}", millis(*by)),
-        Fault::EdgesRestart(share) => format!("edges-restart share-of-edges={share}"),
-        Fault::Rate(times) => format!("rate times={times}"),
+        Fault::IndexCachesEmptied => "index-cold".into(),
+        Fault::MembershipService(state) => format!("list state={}", list_state(*state)),
+        Fault::MembershipForgets => "list-forgets".into(),
+        Fault::MembershipCapacity(to) => format!("list-capacity to={to}"),
+        Fault::MembershipWrong => "list-wrong".into(),
+        Fault::MembershipStale(by) => format!("list-old by-ms={}", millis(*by)),
+        Fault::EdgeNodesRestart(share) => format!("edges-restart share-of-edges={share}"),
+        Fault::ArrivalRate(times) => format!("rate times={times}"),
         Fault::Publish(p) => {
-            format!("rules set={:?} every-ms={} two={}", p.set, millis_or_none(p.every), p.two)
+            format!("rules set={:?} every-ms={} two={}", p.items, millis_or_none(p.interval), p.contradictory)
         }
         Fault::Withdraw => "rules-withdraw".into(),
-        Fault::RulesBroken(kind) => format!("rules-broken kind={}", broken_kind(*kind)),
-        Fault::RulesOld => "rules-old".into(),
+        Fault::StoreCorruptConfig(kind) => format!("rules-broken kind={}", broken_kind(*kind)),
+        Fault::StoreGenesis => "rules-old".into(),
     }
 }
 
@@ -236,12 +236,12 @@
     }
 }
 
-fn broken_kind(kind: Spoilt) -> &'static str {
+fn broken_kind(kind: ConfigCorruption) -> &'static str {
     match kind {
-        Spoilt::Cut => "cut",
-        Spoilt::Long => "long",
-        Spoilt::Field => "field",
-        Spoilt::Later => "later",
+        ConfigCorruption::Truncated => "cut",
+        ConfigCorruption::Overlong => "long",
+        ConfigCorruption::InvalidField => "field",
+        ConfigCorruption::LaterFormat => "later",
     }
 }
 
