--- a/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -2,13 +2,13 @@
 //! file, and the relays between servers.
 
 use super::genesis::{genesis, with_items};
-use super::state::TestCluster;
+use super::state::{ConfigVersions, TestCluster};
 use super::stub_services::HttpRequest;
-use crate::config;
+use crate::config::{self, MemberAddress};
 use crate::config_store_stub::{ConfigStoreStub, ReadAnswer, StoredVersion};
 use crate::ids::{ConnNo, ServerNo};
 use crate::membership_stub::MembershipState;
-use crate::scenario::{ConfigCorruption, Fault, Publication, VersionedConfigSettings};
+use crate::scenario::{ConfigCorruption, Fault, Publication};
 use crate::testbed::{ConnectionOwner, Timer};
 use crate::version_checker::VersionChecker;
 use aldercrank_protocol::http;
@@ -25,25 +25,6 @@
 /// A text that is far longer than any version may be.
 const OVERLONG_BYTES: usize = 10_000_000;
 
-/// The state of a run with a versioned configuration.
-pub(super) struct ConfigVersions {
-    settings: VersionedConfigSettings,
-    /// The newest version that was published.
-    newest: VersionedConfig,
-    /// The last version number that was given out.
-    last_number: u64,
-    pub(super) store: ConfigStoreStub,
-    pub(super) checker: VersionChecker,
-    /// The other half of each relayed connection.
-    relay_partners: HashMap<ConnNo, ConnNo>,
-    /// Where a server reaches a committee member: the address of their relay.
-    relay_addresses: HashMap<(ServerNo, ServerNo), SocketAddr>,
-    /// Messages between servers so far.
-    pub(super) peer_messages: u64,
-    /// How many alternatives each step has published, by its index.
-    alternatives_used: HashMap<usize, usize>,
-}
-
 /// Whether all differences may exist between servers.
 fn changes_free_items_only(from: &VersionedConfig, to: &VersionedConfig) -> bool {
     changes(from, to).iter().all(|change| change.role == Consistency::Free)
@@ -92,14 +73,16 @@
     pub(super) fn write_service_file(&self, number: ServerNo) -> io::Result<Option<PathBuf>> {
         let mut text = String::new();
         if self.scenario.start != Start::default() {
-            text += &config::start(&self.scenario.start);
+            text += &config::start_section(&self.scenario.start);
         }
         if let Some(versions) = &self.versions {
             let own_relays = versions.relay_addresses.iter().filter(|((client, _), _)| *client == number);
-            let reach = own_relays.map(|((_, member), address)| (*member, *address)).collect();
+            let members: Vec<MemberAddress> = own_relays
+                .map(|((_, member), address)| MemberAddress { member: *member, address: *address })
+                .collect();
             let has_disk = versions.settings.has_disks;
             let dir = has_disk.then(|| self.options.dir.join(format!("{number}.rules")));
-            text += &config::service(&self.options.dir.join(GENESIS_FILE), dir.as_deref(), reach);
+            text += &config::rules_section(&self.options.dir.join(GENESIS_FILE), dir.as_deref(), &members);
         }
         if text.is_empty() {
             return Ok(None);
--- a/crates/aldercrank-test-cluster/src/cluster/edge_host.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/edge_host.rs
@@ -109,7 +109,7 @@
     }
 
     fn request_ended(&mut self, now: Duration, number: RequestNo, request: &Request, end: RequestEnd) {
-        self.record.ended(now, request, end);
+        self.record.request_ended(now, request, end);
         self.record.note(now, Some(number), None, || format!("over for its caller: {end:?}"));
     }
 }
--- a/crates/aldercrank-test-cluster/src/cluster/run.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/run.rs
@@ -239,7 +239,7 @@
         let class = class.unwrap_or(0);
         let priority = (self.arrivals.unit() * 0.999 + class as f64) / classes.len() as f64;
         let gap_seconds = self.arrivals.exponential() / self.arrival_rate.max(1e-6);
-        self.testbed.record.came(now, class);
+        self.testbed.record.request_arrived(now, class);
         self.edges.request_arrived(now, edge, ClassNo(class as u8), priority, &mut self.testbed);
         self.next_arrival += Duration::from_secs_f64(gap_seconds);
         self.testbed.set_timer(self.next_arrival, Timer::NextArrival);
--- a/crates/aldercrank-test-cluster/src/cluster/sample.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/sample.rs
@@ -108,7 +108,7 @@
         }
         let run_seconds = server.pool.run_seconds;
         let new_run_seconds = run_seconds - std::mem::replace(&mut server.run_seconds, run_seconds);
-        let limit = fleet.cores * (1.0 + (config::FALL - 1.0) * server.pool.warmth(now));
+        let limit = fleet.cores * (1.0 + (config::MAX_RUNS_PER_CORE - 1.0) * server.pool.warmth(now));
         if new_run_seconds > limit * LIMITS_INTERVAL.as_secs_f64() * CROWDING_ALLOWANCE {
             let what = format!("{new_run_seconds:.1} runs on its cores on average, over {limit:.1}");
             checker.record_violation(now, Rule::Fall, None, Some(number), what);
@@ -116,7 +116,7 @@
     }
 
     fn check_index_limit(&mut self, now: Duration) {
-        let window = config::CALLS_OVER.as_secs() as usize;
+        let window = config::INDEX_CALLS_WINDOW.as_secs() as usize;
         let seconds = &self.testbed.record.seconds;
         if seconds.len() <= window {
             return;
--- a/crates/aldercrank-test-cluster/src/cluster/state.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/state.rs
@@ -1,19 +1,22 @@
 //! The state of a test cluster during a run.
 
-use super::config_versions::ConfigVersions;
 use crate::config::Places;
+use crate::config_store_stub::ConfigStoreStub;
 use crate::edge_nodes::EdgeNodes;
 use crate::ids::{ConnNo, Incarnation, RemoteEndpoint, ServerNo};
 use crate::index_stub::IndexStub;
 use crate::process::{Process, Program};
 use crate::random::RandomStream;
 use crate::run_record::ListLoad;
-use crate::scenario::Scenario;
+use crate::scenario::{Scenario, VersionedConfigSettings};
 use crate::sockets::PortNo;
 use crate::testbed::Testbed;
+use crate::version_checker::VersionChecker;
 use crate::worker_pool_stub::WorkerPoolStub;
 use aldercrank_protocol::worker_pool::AttemptId;
+use aldercrank_versioned_config::VersionedConfig;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
@@ -96,6 +99,25 @@
     pub(super) waited: Duration,
 }
 
+/// The state of a run with a versioned configuration.
+pub(super) struct ConfigVersions {
+    pub(super) settings: VersionedConfigSettings,
+    /// The newest version that was published.
+    pub(super) newest: VersionedConfig,
+    /// The last version number that was given out.
+    pub(super) last_number: u64,
+    pub(super) store: ConfigStoreStub,
+    pub(super) checker: VersionChecker,
+    /// The other half of each relayed connection.
+    pub(super) relay_partners: HashMap<ConnNo, ConnNo>,
+    /// Where a server reaches a committee member: the address of their relay.
+    pub(super) relay_addresses: HashMap<(ServerNo, ServerNo), SocketAddr>,
+    /// Messages between servers so far.
+    pub(super) peer_messages: u64,
+    /// How many alternatives each step has published, by its index.
+    pub(super) alternatives_used: HashMap<usize, usize>,
+}
+
 /// Totals and maxima of a run.
 #[derive(Default)]
 pub(super) struct RunTotals {
--- a/crates/aldercrank-test-cluster/src/config.rs
+++ b/crates/aldercrank-test-cluster/src/config.rs
@@ -1,33 +1,48 @@
-//! What each server of a fleet is told: the platform's JSON, from the scenario.
+//! The configuration of each server: the platform's JSON settings and the service file, from the scenario.
 
 use crate::ids::ServerNo;
 use crate::invariant_checker::Effect;
-use crate::scenario::{zone_name, Scenario};
+use crate::scenario::{zone_name, RequestClass, Scenario};
+use aldercrank_service_config::Start;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
-/// How many more runs than cores a server survives, on the cores.
-pub const FALL: f64 = 5.0;
-/// Over how long that, and the index's calls, are averaged.
-pub const FALL_OVER: Duration = Duration::from_secs(2);
-pub const CALLS_OVER: Duration = Duration::from_secs(5);
+/// A server fails with more than this many runs per core, on average.
+pub const MAX_RUNS_PER_CORE: f64 = 5.0;
+/// How long the runs per core are averaged.
+const RUNS_PER_CORE_WINDOW: Duration = Duration::from_secs(2);
+/// How long the outstanding calls at the index are averaged.
+pub const INDEX_CALLS_WINDOW: Duration = Duration::from_secs(5);
 
-/// Where a server finds what it speaks to.
+/// The addresses of a server and of its neighbours.
 #[derive(Clone, Copy, Debug)]
 pub struct Places {
+    /// Where it listens.
     pub listen: SocketAddr,
+    /// Its worker pool.
     pub pool: SocketAddr,
+    /// The index.
     pub index: SocketAddr,
+    /// The membership service.
     pub list: SocketAddr,
 }
 
-fn us(span: Duration) -> u64 {
+/// Where a server reaches a committee member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemberAddress {
+    /// The member.
+    pub member: ServerNo,
+    /// The address.
+    pub address: SocketAddr,
+}
+
+fn microseconds(span: Duration) -> u64 {
     span.as_micros() as u64
 }
 
-fn effect(effect: Effect) -> &'static str {
+fn effect_name(effect: Effect) -> &'static str {
     match effect {
         Effect::Idempotent => "retryable",
         Effect::Keyed => "dedup",
@@ -35,50 +50,60 @@
     }
 }
 
-pub fn config(s: &Scenario, server: ServerNo, cold: bool, at: &Places) -> Value {
-    let fleet = &s.fleet;
-    let classes: Vec<Value> = s
-        .classes
-        .iter()
-        .map(|p| {
-            json!({"name": p.name, "effect": effect(p.effect), "goal_time": us(p.latency_target), "give_up": us(p.deadline),
-                "points": p.value, "late_worth": p.late_share, "window": us(p.dedup_window)})
-        })
-        .collect();
+fn class_settings(class: &RequestClass) -> Value {
+    json!({
+        "name": class.name, "effect": effect_name(class.effect),
+        "goal_time": microseconds(class.latency_target), "give_up": microseconds(class.deadline),
+        "points": class.value, "late_worth": class.late_share, "window": microseconds(class.dedup_window)
+    })
+}
+
+/// The JSON configuration of a server. `cold`: its worker pool starts cold.
+pub fn config(scenario: &Scenario, server: ServerNo, cold: bool, addresses: &Places) -> Value {
+    let fleet = &scenario.fleet;
+    let classes: Vec<Value> = scenario.classes.iter().map(class_settings).collect();
+    let makes_calls: Vec<bool> = scenario.classes.iter().map(|class| class.call_probability > 0.0).collect();
+    let degraded_shares: Vec<f64> = scenario.classes.iter().map(|class| class.degraded_share).collect();
     let zones: Vec<String> = (0..fleet.zones).map(zone_name).collect();
     json!({
-        "name": server.to_string(), "listen": at.listen, "pool": at.pool, "members": at.list, "index": at.index,
-        "seed": format!("{:x}", s.seed), "stop_ms": fleet.stop_timeout.as_millis() as u64,
+        "name": server.to_string(), "listen": addresses.listen, "pool": addresses.pool,
+        "members": addresses.list, "index": addresses.index,
+        "seed": format!("{:x}", scenario.seed), "stop_ms": fleet.stop_timeout.as_millis() as u64,
         "limits": {"cores": 1.0, "memory_mb": fleet.process_memory_mb, "sockets": fleet.max_sockets},
         "settings": {
-            "azs": zones, "my_zone": zone_name(server.0 as usize % fleet.zones), "peers_total": fleet.servers,
+            "azs": zones, "my_zone": zone_name(server.0 as usize % fleet.zones),
+            "peers_total": fleet.servers,
             "family_info": {
-                "cores": fleet.cores, "memory_kb": fleet.admission_memory_kb, "run_factor": 4.0, "key_kb": 0.5, "cold": cold,
-                "advert": "share_of", "halt": "abort", "cancel_seen": true, "passes_deadline": true,
-                "readiness": true, "below": "shared", "calls_out": s.index.limit / fleet.servers as f64,
-                "calls_over": us(CALLS_OVER), "linger": 100_000, "fresh_for": 0, "heeded": 1_000_000,
-                "idle": us(s.callers.policy.idle_timeout), "upstreams": s.callers.edges,
-                "class_calls": s.classes.iter().map(|p| p.call_probability > 0.0).collect::<Vec<bool>>(),
-                "worth_without": s.classes.iter().map(|p| p.degraded_share).collect::<Vec<f64>>(),
-                "meters": ["cpu_busy", "runnable"]},
+                "cores": fleet.cores, "memory_kb": fleet.admission_memory_kb, "run_factor": 4.0,
+                "key_kb": 0.5, "cold": cold, "advert": "share_of", "halt": "abort", "cancel_seen": true,
+                "passes_deadline": true, "readiness": true, "below": "shared",
+                "calls_out": scenario.index.limit / fleet.servers as f64,
+                "calls_over": microseconds(INDEX_CALLS_WINDOW), "linger": 100_000, "fresh_for": 0,
+                "heeded": 1_000_000, "idle": microseconds(scenario.callers.policy.idle_timeout),
+                "upstreams": scenario.callers.edges, "class_calls": makes_calls,
+                "worth_without": degraded_shares, "meters": ["cpu_busy", "runnable"]},
             "limits": {"retry_after": true, "max_retry_after": 1_000_000},
-            "rules": {"answer_slack": us(fleet.answer_slack), "cold_from": fleet.cold_speed,
-                "warm_after": us(fleet.warm_up), "fall": us(FALL_OVER), "fall_multiple": FALL,
-                "stop_sending_within": us(fleet.drain_grace)},
+            "rules": {
+                "answer_slack": microseconds(fleet.answer_slack), "cold_from": fleet.cold_speed,
+                "warm_after": microseconds(fleet.warm_up), "fall": microseconds(RUNS_PER_CORE_WINDOW),
+                "fall_multiple": MAX_RUNS_PER_CORE,
+                "stop_sending_within": microseconds(fleet.drain_grace)},
             "profiles": classes}})
 }
 
-/// A server's own settings as to how it starts.
-pub fn start(start: &aldercrank_service_config::Start) -> String {
+/// The `start` section of a server's service file.
+pub fn start_section(start: &Start) -> String {
     format!("start {{\n    tell-share #{}\n}}\n", start.tell_share)
 }
 
-/// A server's own settings: the rule book, where its votes are kept, and where it reaches the others.
-pub fn service(book: &Path, dir: Option<&Path>, reach: Vec<(ServerNo, SocketAddr)>) -> String {
+/// The `rules` section of a server's service file: the file of the first version, the directory of its durable state,
+/// and where it reaches the committee.
+pub fn rules_section(genesis: &Path, dir: Option<&Path>, members: &[MemberAddress]) -> String {
     let dir = dir.map_or(String::new(), |dir| format!("    dir {:?}\n", dir.to_string_lossy()));
-    let reach: String = reach.iter().map(|(server, at)| format!("        {server} \"{at}\"\n")).collect();
+    let reach = |at: &MemberAddress| format!("        {} \"{}\"\n", at.member, at.address);
+    let reach: String = members.iter().map(reach).collect();
     format!(
         "rules {{\n    book {:?}\n{dir}    read-list #true\n    reach {{\n{reach}    }}\n}}\n",
-        book.to_string_lossy()
+        genesis.to_string_lossy()
     )
 }
--- a/crates/aldercrank-test-cluster/src/edge_nodes/state.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/state.rs
@@ -146,7 +146,7 @@
         match timer {
             EdgeTimer::Deadline(request) => self.finish(now, request, RequestEnd::Expired, host),
             EdgeTimer::AttemptTimeout(request, attempt) => {
-                self.attempt_timed_out(now, request, attempt, host)
+                self.attempt_timed_out(now, request, attempt, host);
             }
             EdgeTimer::Cancel(request) => self.cancel_request(now, request, host),
             EdgeTimer::Retry(request) => self.start_attempt(now, request, host),
--- a/crates/aldercrank-test-cluster/src/fault_search.rs
+++ b/crates/aldercrank-test-cluster/src/fault_search.rs
@@ -1,213 +1,242 @@
-//! Looks for the worst day: draws timelines of faults, plays each against the same seed without them, and shrinks
-//! what breaks a rule, or loses the most, to the fewest steps that still do.
+//! Searches for the worst faults: plays random timelines against the same seed without faults, and shrinks those that
+//! violate an invariant, or lose the most value, to the fewest steps that still do.
 
 use crate::random::RandomStream;
 use crate::run_record::Outcome;
-use crate::scenario::Scenario;
+use crate::scenario::{Scenario, ScenarioErrors};
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Steps in a timeline at most, and finds that are kept.
-const STEPS: usize = 4;
-const KEPT: usize = 5;
-/// A find without a broken rule is worth keeping below this share of calm.
-const LOSS: f64 = 0.6;
-/// Shrinking may lose so much of what made it a find.
-const NEAR: f64 = 0.1;
-
-/// What the hunted fleets have in common.
-const FLEET: &str = "seconds 5\nfleet servers=6 zones=2 cores=4\ncallers rate=150 edges=3\n";
-/// And those that go by a rule book, whose versions change what is fenced all the time.
-const RULES: &str = "seconds 8\nfleet servers=7 zones=2 cores=4\ncallers rate=200 edges=3\n\
+/// The most steps of a timeline.
+const MAX_STEPS: usize = 4;
+/// How many findings are kept.
+const MAX_FINDINGS: usize = 5;
+/// A timeline without a violation is a finding below this share of the value without faults.
+const FINDING_SHARE: f64 = 0.6;
+/// A shrunk timeline may have a value share that is higher by this.
+const SHRINK_TOLERANCE: f64 = 0.1;
+
+const SERVERS_BASE: &str = "seconds 5\nfleet servers=6 zones=2 cores=4\ncallers rate=150 edges=3\n";
+/// Publishes versions that change more than free items all the time.
+const VERSIONS_BASE: &str = "seconds 8\nfleet servers=7 zones=2 cores=4\ncallers rate=200 edges=3\n\
     rules committee=3 within-ms=1000\nat 0.7 \"rules\" set=\"licence-buy.window-ms=5000|licence-buy.points=4|\
     licence-buy.window-ms=6000|licence-buy.effect=inquiry-like|licence-buy.effect=referenced\" every=0.45\n";
 
-/// What is hunted.
+/// What the faults are injected into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Game {
+    /// Servers without a versioned configuration.
     Servers,
-    /// Servers that go by a rule book.
+    /// Servers with a versioned configuration.
     Rules,
 }
 
 impl Game {
-    fn fleet(self) -> &'static str {
+    fn base(self) -> &'static str {
         match self {
-            Game::Servers => FLEET,
-            Game::Rules => RULES,
+            Game::Servers => SERVERS_BASE,
+            Game::Rules => VERSIONS_BASE,
+        }
+    }
+}
+
+/// A seed, and what the faults are injected into.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SearchStart {
+    /// The seed.
+    pub seed: u64,
+    /// What the faults are injected into.
+    pub game: Game,
+}
+
+impl SearchStart {
+    /// The document of a scenario with these steps.
+    fn document(self, steps: &[String]) -> String {
+        let SearchStart { seed, game } = self;
+        let base = game.base();
+        let mut text = format!("// Found by a hunt.\nname \"found with seed {seed}\"\nseed {seed}\n{base}");
+        for step in steps {
+            text += step;
+            text.push('\n');
         }
+        text
     }
 }
 
+/// A timeline that was played.
 #[derive(Clone, Debug)]
 pub struct Found {
     /// The scenario as a document.
     pub text: String,
+    /// Its value, as a share of that without faults.
     pub of_calm: f64,
+    /// How many violations there were.
     pub broken: u64,
-    /// Rules broken, in words.
+    /// The first violations.
     pub what: Vec<String>,
 }
 
-/// One step drawn, as a line of a scenario.
-fn step(draw: &mut RandomStream, game: Game) -> String {
-    let at = 0.5 + (draw.unit() * 30.0).round() / 10.0;
-    if game == Game::Rules && draw.chance(0.7) {
-        let later = (draw.unit() * 20.0).round() / 10.0;
-        return step_of_rules(draw, at + later);
+/// A random step for servers without a versioned configuration, or one in three with it, as a line of a document.
+fn random_step(random: &mut RandomStream, game: Game) -> String {
+    let at = 0.5 + (random.unit() * 30.0).round() / 10.0;
+    if game == Game::Rules && random.chance(0.7) {
+        let later = (random.unit() * 20.0).round() / 10.0;
+        return random_version_step(random, at + later);
     }
-    let lasts = 0.3 + (draw.unit() * 17.0).round() / 10.0;
-    let share = ["share=0.2", "share=0.34", "share=0.5", "zone=\"a\"", "server=\"n1\""][draw.below(5)];
-    let way = ["to", "from", "both"][draw.below(3)];
-    let with = ["pool", "index", "list", "edges"][draw.below(4)];
-    let bytes = 100 + draw.below(4000);
-    match draw.below(16) {
-        0 => format!("at {at} \"kill\" {share} for={lasts}"),
-        1 => format!("at {at} \"leave\" {share} each=0.2"),
-        2 | 3 => format!("at {at} \"stop\" {share} for={lasts}"),
-        4 => format!("at {at} \"cut\" {share} with=\"{with}\" way=\"{way}\" for={lasts}"),
-        5 => format!("at {at} \"half\" {share} with=\"{with}\" way=\"{way}\" after={bytes} for={lasts}"),
-        6 => format!("at {at} \"reset\" {share} with=\"{with}\" way=\"{way}\" after={bytes} for={lasts}"),
+    let lasts = 0.3 + (random.unit() * 17.0).round() / 10.0;
+    let targets = ["share=0.2", "share=0.34", "share=0.5", "zone=\"a\"", "server=\"n1\""];
+    let target = targets[random.below(targets.len())];
+    let way = ["to", "from", "both"][random.below(3)];
+    let with = ["pool", "index", "list", "edges"][random.below(4)];
+    let bytes = 100 + random.below(4000);
+    match random.below(16) {
+        0 => format!("at {at} \"kill\" {target} for={lasts}"),
+        1 => format!("at {at} \"leave\" {target} each=0.2"),
+        2 | 3 => format!("at {at} \"stop\" {target} for={lasts}"),
+        4 => format!("at {at} \"cut\" {target} with=\"{with}\" way=\"{way}\" for={lasts}"),
+        5 => format!("at {at} \"half\" {target} with=\"{with}\" way=\"{way}\" after={bytes} for={lasts}"),
+        6 => format!("at {at} \"reset\" {target} with=\"{with}\" way=\"{way}\" after={bytes} for={lasts}"),
         7 => {
-            let ms = 10 + draw.below(300);
-            format!("at {at} \"delay\" {share} with=\"{with}\" way=\"{way}\" ms={ms} jitter=1.0 for={lasts}")
-        }
-        8 => format!("at {at} \"unread\" {share} with=\"{with}\" for={lasts}"),
-        9 => format!("at {at} \"refuse\" {share} with=\"{with}\" for={lasts}"),
-        10 => {
-            let states = [
-                "state=\"slow\" by=10",
-                "state=\"hung\"",
-                "state=\"shedding\"",
-                "state=\"half\"",
-                "state=\"dead\"",
-            ];
-            format!("at {at} \"index\" {} for={lasts}", states[draw.below(5)])
+            let ms = 10 + random.below(300);
+            format!("at {at} \"delay\" {target} with=\"{with}\" way=\"{way}\" ms={ms} jitter=1.0 for={lasts}")
         }
+        8 => format!("at {at} \"unread\" {target} with=\"{with}\" for={lasts}"),
+        9 => format!("at {at} \"refuse\" {target} with=\"{with}\" for={lasts}"),
+        10 => format!("at {at} \"index\" {} for={lasts}", random_index_state(random)),
         11 => {
             let states = ["down", "silent", "closing"];
-            format!("at {at} \"list\" state=\"{}\" for={lasts}", states[draw.below(3)])
+            format!("at {at} \"list\" state=\"{}\" for={lasts}", states[random.below(states.len())])
         }
-        12 => format!("at {at} \"pool-resets\" {share} every=0.3 for={lasts}"),
-        13 => format!("at {at} \"pool-gone\" {share} for={lasts}"),
-        14 => format!("at {at} \"err\" {share} share-of-runs=0.7 for={lasts}"),
-        _ => format!("at {at} \"rate\" times={} for={lasts}", 2 + draw.below(4)),
+        12 => format!("at {at} \"pool-resets\" {target} every=0.3 for={lasts}"),
+        13 => format!("at {at} \"pool-gone\" {target} for={lasts}"),
+        14 => format!("at {at} \"err\" {target} share-of-runs=0.7 for={lasts}"),
+        _ => format!("at {at} \"rate\" times={} for={lasts}", 2 + random.below(4)),
     }
 }
 
-/// One step about servers that agree.
-fn step_of_rules(draw: &mut RandomStream, at: f64) -> String {
-    let lasts = 0.2 + (draw.unit() * 22.0).round() / 10.0;
-    let who = ["server=\"n1\"", "server=\"n2\"", "server=\"n3\"", "server=\"n6\"", "share=0.3", "zone=\"b\""];
-    let who = who[draw.below(6)];
-    let way = ["to", "from", "both"][draw.below(3)];
-    match draw.below(12) {
-        0..=2 => format!("at {at} \"cut\" {who} with=\"peers\" way=\"{way}\" for={lasts}"),
+fn random_index_state(random: &mut RandomStream) -> &'static str {
+    let states =
+        ["state=\"slow\" by=10", "state=\"hung\"", "state=\"shedding\"", "state=\"half\"", "state=\"dead\""];
+    states[random.below(states.len())]
+}
+
+/// A random step about the versioned configuration, as a line of a document.
+fn random_version_step(random: &mut RandomStream, at: f64) -> String {
+    let lasts = 0.2 + (random.unit() * 22.0).round() / 10.0;
+    let targets =
+        ["server=\"n1\"", "server=\"n2\"", "server=\"n3\"", "server=\"n6\"", "share=0.3", "zone=\"b\""];
+    let target = targets[random.below(targets.len())];
+    let way = ["to", "from", "both"][random.below(3)];
+    match random.below(12) {
+        0..=2 => format!("at {at} \"cut\" {target} with=\"peers\" way=\"{way}\" for={lasts}"),
         3 => {
-            format!("at {at} \"delay\" {who} with=\"peers\" ms={} jitter=2 for={lasts}", 5 + draw.below(200))
+            let ms = 5 + random.below(200);
+            format!("at {at} \"delay\" {target} with=\"peers\" ms={ms} jitter=2 for={lasts}")
+        }
+        4 => {
+            let bytes = 50 + random.below(2000);
+            format!("at {at} \"reset\" {target} with=\"peers\" after={bytes} for={lasts}")
         }
-        4 => format!("at {at} \"reset\" {who} with=\"peers\" after={} for={lasts}", 50 + draw.below(2000)),
-        5 => format!(
-            "at {at} \"half\" {who} with=\"peers\" way=\"{way}\" after={} for={lasts}",
-            50 + draw.below(2000)
-        ),
-        6 => format!("at {at} \"trickle\" {who} with=\"peers\" rate={} for={lasts}", 500 + draw.below(5000)),
-        7 | 8 => format!("at {at} \"stop\" {who} for={lasts}"),
-        9 => format!("at {at} \"kill\" {who} for={lasts}"),
+        5 => {
+            let bytes = 50 + random.below(2000);
+            format!("at {at} \"half\" {target} with=\"peers\" way=\"{way}\" after={bytes} for={lasts}")
+        }
+        6 => {
+            let rate = 500 + random.below(5000);
+            format!("at {at} \"trickle\" {target} with=\"peers\" rate={rate} for={lasts}")
+        }
+        7 | 8 => format!("at {at} \"stop\" {target} for={lasts}"),
+        9 => format!("at {at} \"kill\" {target} for={lasts}"),
         10 => format!("at {at} \"list\" state=\"down\" for={lasts}"),
         _ => format!("at {at} \"rules\" set=\"licence-buy.points=7|licence-buy.points=8\" two=#true"),
     }
 }
 
-fn text(seed: u64, steps: &[String], game: Game) -> String {
-    let fleet = game.fleet();
-    let mut text = format!("// Found by a hunt.\nname \"found with seed {seed}\"\nseed {seed}\n{fleet}");
-    for step in steps {
-        text += step;
-        text.push('\n');
-    }
-    text
-}
-
 type Player<'a> = dyn FnMut(&Scenario) -> io::Result<Outcome> + 'a;
 
-fn checker(
-    (seed, game): (u64, Game),
-    steps: &[String],
-    calm: &Outcome,
-    play: &mut Player,
-) -> io::Result<Found> {
-    let text = text(seed, steps, game);
-    let scenario = Scenario::parse(&text).map_err(|wrong| io::Error::other(wrong.to_string()))?;
+fn invalid_document(errors: &ScenarioErrors) -> io::Error {
+    io::Error::other(errors.to_string())
+}
+
+fn play_steps(start: SearchStart, steps: &[String], calm: &Outcome, play: &mut Player) -> io::Result<Found> {
+    let text = start.document(steps);
+    let scenario = Scenario::parse(&text).map_err(|errors| invalid_document(&errors))?;
     let outcome = play(&scenario)?;
     let of_calm = outcome.value / calm.value.max(1e-9);
-    let what = outcome.broken.iter().map(|b| format!("{:?}: {}", b.rule, b.what)).collect();
+    let violations = outcome.broken.iter();
+    let what = violations.map(|violation| format!("{:?}: {}", violation.rule, violation.what)).collect();
     Ok(Found { text, of_calm, broken: outcome.counts.broken, what })
 }
 
-/// The fewest of these steps that still make nearly as bad a day.
+/// Removes each step without which the timeline stays nearly as bad.
 fn shrink(
-    seed: (u64, Game),
+    start: SearchStart,
     mut steps: Vec<String>,
     mut found: Found,
     calm: &Outcome,
     play: &mut Player,
 ) -> io::Result<Found> {
-    let mut at = 0;
-    while at < steps.len() && steps.len() > 1 {
+    let mut index = 0;
+    while index < steps.len() && steps.len() > 1 {
         let mut fewer = steps.clone();
-        fewer.remove(at);
-        let less = checker(seed, &fewer, calm, play)?;
-        let as_bad = if found.broken > 0 { less.broken > 0 } else { less.of_calm <= found.of_calm + NEAR };
-        if as_bad {
-            (steps, found) = (fewer, less);
+        fewer.remove(index);
+        let shrunk = play_steps(start, &fewer, calm, play)?;
+        let is_as_bad = if found.broken > 0 {
+            shrunk.broken > 0
+        } else {
+            shrunk.of_calm <= found.of_calm + SHRINK_TOLERANCE
+        };
+        if is_as_bad {
+            (steps, found) = (fewer, shrunk);
         } else {
-            at += 1;
+            index += 1;
         }
     }
     Ok(found)
 }
 
-/// What breaks a rule first, then what loses the most; the rest goes.
-pub fn rank(finds: &mut Vec<Found>) {
-    finds.sort_by(|a, b| (a.broken == 0).cmp(&(b.broken == 0)).then(a.of_calm.total_cmp(&b.of_calm)));
-    finds.truncate(KEPT);
+/// Keeps the worst: those with violations first, then those with the least value.
+pub fn rank(findings: &mut Vec<Found>) {
+    findings.sort_by(|a, b| (a.broken == 0).cmp(&(b.broken == 0)).then(a.of_calm.total_cmp(&b.of_calm)));
+    findings.truncate(MAX_FINDINGS);
 }
 
-/// Hunts for so many seconds; the worst come first.
+/// Searches for `seconds`, with `report` called for each timeline. Returns the findings, the worst first.
+///
+/// # Errors
+/// If a run can't be played.
 pub fn hunt(
     seconds: u64,
-    (seed, game): (u64, Game),
+    start: SearchStart,
     play: &mut Player,
-    say: &dyn Fn(&str),
+    report: &dyn Fn(&str),
 ) -> io::Result<Vec<Found>> {
     let until = Instant::now() + Duration::from_secs(seconds);
-    let (mut finds, mut days): (Vec<Found>, u32) = (Vec::new(), 0);
+    let (mut findings, mut timelines): (Vec<Found>, u32) = (Vec::new(), 0);
     while Instant::now() < until {
-        days += 1;
-        let own = seed.wrapping_mul(1000).wrapping_add(u64::from(days));
-        let mut draw = RandomStream::of(own, "hunt");
-        let many = 1 + draw.below(STEPS);
-        let steps: Vec<String> = (0..many).map(|_| step(&mut draw, game)).collect();
-        let calm =
-            Scenario::parse(&text(own, &[], game)).map_err(|wrong| io::Error::other(wrong.to_string()))?;
-        let calm = play(&calm)?;
-        let found = checker((own, game), &steps, &calm, play)?;
-        say(&format!(
-            "seed {own}: {many} steps, value {:.3} of calm, {} rules broken{}",
+        timelines += 1;
+        let seed = start.seed.wrapping_mul(1000).wrapping_add(u64::from(timelines));
+        let start = SearchStart { seed, ..start };
+        let mut random = RandomStream::of(seed, "hunt");
+        let count = 1 + random.below(MAX_STEPS);
+        let steps: Vec<String> = (0..count).map(|_| random_step(&mut random, start.game)).collect();
+        let calm = play(&Scenario::parse(&start.document(&[])).map_err(|errors| invalid_document(&errors))?)?;
+        let found = play_steps(start, &steps, &calm, play)?;
+        report(&format!(
+            "seed {seed}: {count} steps, value {:.3} of calm, {} rules broken{}",
             found.of_calm,
             found.broken,
             found.what.iter().take(3).map(|what| format!("\n    {what}")).collect::<String>()
         ));
-        if found.broken > 0 || found.of_calm < LOSS {
-            let least = shrink((own, game), steps, found, &calm, play)?;
-            say(&format!(
+        if found.broken > 0 || found.of_calm < FINDING_SHARE {
+            let shrunk = shrink(start, steps, found, &calm, play)?;
+            report(&format!(
                 "shrunk, value {:.3} of calm, {} broken:\n{}",
-                least.of_calm, least.broken, least.text
+                shrunk.of_calm, shrunk.broken, shrunk.text
             ));
-            finds.push(least);
-            rank(&mut finds);
+            findings.push(shrunk);
+            rank(&mut findings);
         }
     }
-    Ok(finds)
+    Ok(findings)
 }
--- a/crates/aldercrank-test-cluster/src/lib.rs
+++ b/crates/aldercrank-test-cluster/src/lib.rs
@@ -1,13 +1,9 @@
-//! A live fleet: many processes of the program on loopback, stand-ins for all that they speak to, faults between
-//! them and of them, and checkers that see only what crosses the wire. It plays the program from outside; the
-//! program knows nothing of it.
+//! A test cluster: processes of the program on loopback, stub services for all that they connect to, faults between
+//! them and of them, and checkers that see only what crosses the wire. It runs the program from outside; the program
+//! knows nothing of it.
 //!
-//! The stand-ins (`pool`, `index`, `list`, `edges`), the lanes between processes (`lane`) and the checker (`checker`)
-//! have no sockets and no clock; `cluster` gives them both.
-
-// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
-#![allow(missing_docs, unreachable_pub)]
-#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
+//! The stub services, [`edge_nodes`], [`relayed_link`] and the checkers have neither sockets nor a clock;
+//! [`cluster`] provides both. [`scenario`] describes a run, [`run_record`] and [`report`] what came of it.
 
 pub mod cluster;
 pub mod config;
--- a/crates/aldercrank-test-cluster/src/report.rs
+++ b/crates/aldercrank-test-cluster/src/report.rs
@@ -1,13 +1,18 @@
-//! A run as one self-contained page: figures, and plots over time with the faults as bands.
+//! A run as one self-contained HTML page: figures, and plots over time with the faults as bands.
 
+use crate::edge_nodes::RequestEnd;
 use crate::run_record::{Outcome, Second};
 use minijinja::{context, Environment};
 use plotters::prelude::*;
+use serde::Serialize;
 
-const SIZE: (u32, u32) = (860, 240);
+/// Of a plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (860, 240);
+/// The vertical axis ends above the highest value by this factor.
+const HEADROOM: f64 = 1.08;
 
-/// Lines told apart in grey as well: by how dark they are, and by their width.
-const INKS: [(RGBColor, u32); 4] = [
+/// Colour and width of the lines, which differ in print without colour as well.
+const LINE_STYLES: [(RGBColor, u32); 4] = [
     (RGBColor(0, 60, 120), 3),
     (RGBColor(215, 120, 0), 2),
     (RGBColor(60, 150, 90), 1),
@@ -23,143 +28,238 @@
 </style></head><body>
 <h1>{{ o.scenario }}</h1>
 <p>{{ o.servers }} servers, {{ o.span_s }} s, seed {{ o.seed }}.
-{% if o.counts.broken == 0 %}No rule was broken.{% else %}<b class="bad">{{ o.counts.broken }} times a rule was broken.</b>{% endif %}</p>
+{% if o.counts.broken == 0 %}No invariant was violated.{% else %}<b class="bad">{{ o.counts.broken }} violations of invariants.</b>{% endif %}</p>
 <table><tr><th></th><th>this run</th>{% if calm %}<th>without faults</th>{% endif %}</tr>
-{% for row in rows %}<tr><td>{{ row[0] }}</td><td>{{ row[1] }}</td>{% if calm %}<td>{{ row[2] }}</td>{% endif %}</tr>
+{% for row in rows %}<tr><td>{{ row.name }}</td><td>{{ row.value }}</td>{% if calm %}<td>{{ row.calm }}</td>{% endif %}</tr>
 {% endfor %}</table>
-{% if o.broken %}<h2>Rules broken</h2><table><tr><th>rule</th><th>at, s</th><th>server</th><th>txn</th><th>what</th></tr>
+{% if o.broken %}<h2>Violations</h2><table><tr><th>rule</th><th>at, s</th><th>server</th><th>attempt</th><th>what</th></tr>
 {% for b in o.broken %}<tr><td>{{ b.rule }}</td><td>{{ b.at }}</td><td>{{ b.server or "" }}</td><td>{{ b.attempt or "" }}</td><td>{{ b.what }}</td></tr>
 {% endfor %}</table>{% endif %}
-{% for plot in plots %}<h2>{{ plot[0] }}</h2><figure>{{ plot[2]|safe }}<figcaption>{{ plot[1] }}</figcaption></figure>
+{% for plot in plots %}<h2>{{ plot.title }}</h2><figure>{{ plot.svg|safe }}<figcaption>{{ plot.caption }}</figcaption></figure>
 {% endfor %}
-<h2>What went wrong</h2><table><tr><th>what</th><th>from, s</th><th>until, s</th></tr>
+<h2>Faults</h2><table><tr><th>fault</th><th>from, s</th><th>until, s</th></tr>
 {% for f in o.faults %}<tr><td>{{ f[2] }}</td><td>{{ f[0]|round(2) }}</td><td>{{ f[1]|round(2) }}</td></tr>
 {% endfor %}</table>
-<p>The servers are processes of the program on loopback; callers, edge nodes, worker pools, index and list service are
-the laboratory's stand-ins. A txn counts in the second in which its caller came.</p>
+<p>The servers are processes of the program on loopback; callers, edge nodes, worker pools, index and membership service
+are stubs of the test cluster. A request counts in the second of its arrival.</p>
 </body></html>
 "#;
 
-type Series<'a> = (String, Box<dyn Fn(&Second) -> f64 + 'a>);
+/// Why a page could not be made.
+#[derive(Debug, thiserror::Error)]
+pub enum ReportError {
+    /// A plot could not be drawn.
+    #[error("{0}")]
+    Plot(String),
+    /// The page could not be rendered.
+    #[error("{0}")]
+    Page(#[from] minijinja::Error),
+}
+
+fn plot_error(error: impl std::fmt::Display) -> ReportError {
+    ReportError::Plot(error.to_string())
+}
+
+/// One line of a plot.
+struct Series<'a> {
+    name: String,
+    value: Box<dyn Fn(&Second) -> f64 + 'a>,
+}
+
+impl<'a> Series<'a> {
+    fn new(name: &str, value: impl Fn(&Second) -> f64 + 'a) -> Series<'a> {
+        Series { name: name.to_string(), value: Box::new(value) }
+    }
+
+    /// Requests that ended in one of these ways.
+    fn ended(name: &str, ends: &'static [RequestEnd]) -> Series<'a> {
+        Series::new(name, move |second| {
+            ends.iter().map(|end| second.ends.get(end).copied().unwrap_or(0) as f64).sum()
+        })
+    }
+}
 
-/// One plot over the seconds, with the faults as bands behind the lines.
-fn plot(o: &Outcome, unit: &str, series: &[Series]) -> Result<String, String> {
+/// What is drawn in a plot.
+struct PlotSpec<'a> {
+    title: &'static str,
+    caption: &'static str,
+    unit: &'static str,
+    series: Vec<Series<'a>>,
+}
+
+/// A plot on the page.
+#[derive(Serialize)]
+struct Plot {
+    title: &'static str,
+    caption: &'static str,
+    svg: String,
+}
+
+/// A row of the table of figures.
+#[derive(Serialize)]
+struct Row {
+    name: String,
+    value: String,
+    /// Of the run without faults; empty if there is none.
+    calm: String,
+}
+
+/// Draws the series over the seconds, with the faults as bands behind the lines.
+fn draw(outcome: &Outcome, spec: &PlotSpec) -> Result<String, ReportError> {
     let mut svg = String::new();
-    // What comes after the callers is the fleet's end.
-    let shown = &o.seconds[..o.seconds.len().min(o.span_s.ceil() as usize)];
+    // After the callers have ended, the cluster shuts down.
+    let shown = &outcome.seconds[..outcome.seconds.len().min(outcome.span_s.ceil() as usize)];
     let seconds = shown.len().max(1) as f64;
-    let most = shown.iter().flat_map(|s| series.iter().map(move |(_, of)| of(s))).fold(1e-9, f64::max);
-    {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(|e| e.to_string())?;
-        let mut chart = ChartBuilder::on(&area)
-            .margin(8)
-            .x_label_area_size(34)
-            .y_label_area_size(56)
-            .build_cartesian_2d(0.0..seconds, 0.0..most * 1.08)
-            .map_err(|e| e.to_string())?;
-        let bands = o.faults.iter().map(|(from, until, _)| {
-            Rectangle::new(
-                [(*from, 0.0), (until.min(seconds), most * 1.08)],
-                RGBColor(235, 225, 200).mix(0.5).filled(),
-            )
-        });
-        chart.draw_series(bands).map_err(|e| e.to_string())?;
-        let whole = |x: &f64| format!("{x:.0}");
-        let fine = |y: &f64| if most < 5.0 { format!("{y:.1}") } else { format!("{y:.0}") };
-        chart
-            .configure_mesh()
-            .x_desc("seconds since the callers came")
-            .y_desc(unit)
-            .y_labels(6)
-            .x_label_formatter(&whole)
-            .y_label_formatter(&fine)
-            .light_line_style(WHITE.mix(0.0))
-            .draw()
-            .map_err(|e| e.to_string())?;
-        for (n, (name, of)) in series.iter().enumerate() {
-            let (ink, width) = INKS[n % INKS.len()];
-            let style = ink.stroke_width(width);
-            let points = shown.iter().enumerate().map(|(at, s)| (at as f64 + 0.5, of(s)));
-            let line = LineSeries::new(points, style);
-            let drawn = chart.draw_series(line).map_err(|e| e.to_string())?;
-            drawn.label(name).legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], style));
-        }
-        chart
-            .configure_series_labels()
-            .position(SeriesLabelPosition::UpperRight)
-            .background_style(WHITE.mix(0.8))
-            .border_style(BLACK.mix(0.2))
-            .draw()
-            .map_err(|e| e.to_string())?;
-        area.present().map_err(|e| e.to_string())?;
+    let values = shown.iter().flat_map(|second| spec.series.iter().map(move |line| (line.value)(second)));
+    let highest = values.fold(1e-9, f64::max);
+    let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
+    area.fill(&WHITE).map_err(plot_error)?;
+    let mut chart = ChartBuilder::on(&area)
+        .margin(8)
+        .x_label_area_size(34)
+        .y_label_area_size(56)
+        .build_cartesian_2d(0.0..seconds, 0.0..highest * HEADROOM)
+        .map_err(plot_error)?;
+    let bands = outcome.faults.iter().map(|(from, until, _)| {
+        Rectangle::new(
+            [(*from, 0.0), (until.min(seconds), highest * HEADROOM)],
+            RGBColor(235, 225, 200).mix(0.5).filled(),
+        )
+    });
+    chart.draw_series(bands).map_err(plot_error)?;
+    chart
+        .configure_mesh()
+        .x_desc("seconds since the callers began")
+        .y_desc(spec.unit)
+        .y_labels(6)
+        .x_label_formatter(&|x: &f64| format!("{x:.0}"))
+        .y_label_formatter(&|y: &f64| if highest < 5.0 { format!("{y:.1}") } else { format!("{y:.0}") })
+        .light_line_style(WHITE.mix(0.0))
+        .draw()
+        .map_err(plot_error)?;
+    for (n, series) in spec.series.iter().enumerate() {
+        let (color, width) = LINE_STYLES[n % LINE_STYLES.len()];
+        let style = color.stroke_width(width);
+        let points = shown.iter().enumerate().map(|(at, second)| (at as f64 + 0.5, (series.value)(second)));
+        let line = chart.draw_series(LineSeries::new(points, style)).map_err(plot_error)?;
+        line.label(&series.name).legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], style));
     }
+    chart
+        .configure_series_labels()
+        .position(SeriesLabelPosition::UpperRight)
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK.mix(0.2))
+        .draw()
+        .map_err(plot_error)?;
+    area.present().map_err(plot_error)?;
+    drop(chart);
+    drop(area);
     Ok(svg)
 }
 
-fn plots(o: &Outcome) -> Result<Vec<(String, String, String)>, String> {
-    let by_class: Vec<Series> = o
-        .classes
-        .iter()
-        .enumerate()
-        .map(|(n, (name, _))| -> Series {
-            let of = move |s: &Second| if s.sought[n] > 0.0 { s.got[n] / s.sought[n] } else { 0.0 };
-            (name.clone(), Box::new(of))
-        })
-        .collect();
-    use crate::edge_nodes::RequestEnd::*;
-    let ended = |name: &str, kinds: &'static [crate::edge_nodes::RequestEnd]| -> Series<'static> {
-        let of = |s: &Second| kinds.iter().map(|k| s.ends.get(k).copied().unwrap_or(0) as f64).sum();
-        (name.to_string(), Box::new(of))
-    };
-    let ends = vec![
-        ended("settled in time", &[InTime]),
-        ended("settled late", &[Late]),
-        ended("declined", &[Rejected]),
-        ended("voided or no answer", &[Failed, Expired]),
-    ];
-    let of = |name: &str, of: fn(&Second) -> f64| -> Series<'static> { (name.to_string(), Box::new(of)) };
-    let list = vec![of("reports", |s| s.reports as f64), of("of them refused", |s| s.refused_reports as f64)];
-    let in_hand = vec![of("calls in hand", |s| s.in_hand)];
-    let made = vec![of("calls made", |s| s.calls as f64)];
-    let servers = vec![of("running", |s| s.up as f64), of("listed", |s| s.listed as f64)];
-    let text = |a: &str, b: &str| (a.to_string(), b.to_string());
-    let rows: [((String, String), &str, &[Series]); 6] = [
-        (
-            text("Value by product", "Value got of value sought, 1 is all. Bands: a fault lasts."),
-            "share",
-            &by_class,
-        ),
-        (text("How txns ended", "By the second in which their callers came."), "txns a second", &ends),
-        (text("Load on the list service", "Reports that came whole."), "reports a second", &list),
-        (text("Calls made to the index", "Of all servers together."), "calls a second", &made),
-        (text("Calls in hand at the index", "On average, of all servers together."), "calls", &in_hand),
-        (text("Servers", "At the end of each second."), "servers", &servers),
-    ];
-    rows.into_iter().map(|((title, what), unit, series)| Ok((title, what, plot(o, unit, series)?))).collect()
+fn value_by_class(outcome: &Outcome) -> Vec<Series<'_>> {
+    let classes = outcome.classes.iter().enumerate();
+    let series = classes.map(|(n, (name, _))| {
+        Series::new(
+            name,
+            move |second| {
+                if second.sought[n] > 0.0 {
+                    second.got[n] / second.sought[n]
+                } else {
+                    0.0
+                }
+            },
+        )
+    });
+    series.collect()
+}
+
+fn plot_specs(outcome: &Outcome) -> Vec<PlotSpec<'_>> {
+    vec![
+        PlotSpec {
+            title: "Value by request class",
+            caption: "Value got of value sought, 1 is all. Bands: a fault lasts.",
+            unit: "share",
+            series: value_by_class(outcome),
+        },
+        PlotSpec {
+            title: "How requests ended",
+            caption: "By the second of their arrival.",
+            unit: "requests a second",
+            series: vec![
+                Series::ended("completed in time", &[RequestEnd::InTime]),
+                Series::ended("completed late", &[RequestEnd::Late]),
+                Series::ended("rejected", &[RequestEnd::Rejected]),
+                Series::ended("failed or no response", &[RequestEnd::Failed, RequestEnd::Expired]),
+            ],
+        },
+        PlotSpec {
+            title: "Load on the membership service",
+            caption: "Complete load reports.",
+            unit: "reports a second",
+            series: vec![
+                Series::new("reports", |second| second.reports as f64),
+                Series::new("of them rejected", |second| second.refused_reports as f64),
+            ],
+        },
+        PlotSpec {
+            title: "Calls to the index",
+            caption: "Of all servers together.",
+            unit: "calls a second",
+            series: vec![Series::new("calls", |second| second.calls as f64)],
+        },
+        PlotSpec {
+            title: "Outstanding calls at the index",
+            caption: "On average, of all servers together.",
+            unit: "calls",
+            series: vec![Series::new("outstanding calls", |second| second.in_hand)],
+        },
+        PlotSpec {
+            title: "Servers",
+            caption: "At the end of each second.",
+            unit: "servers",
+            series: vec![
+                Series::new("running", |second| second.up as f64),
+                Series::new("listed", |second| second.listed as f64),
+            ],
+        },
+    ]
 }
 
-pub fn html(o: &Outcome, calm: Option<&Outcome>) -> Result<String, String> {
-    let row = |name: &str, of: &dyn Fn(&Outcome) -> String| {
-        [name.to_string(), of(o), calm.map(of).unwrap_or_default()]
+fn rows(outcome: &Outcome, calm: Option<&Outcome>) -> Vec<Row> {
+    let row = |name: &str, figure: &dyn Fn(&Outcome) -> String| Row {
+        name: name.to_string(),
+        value: figure(outcome),
+        calm: calm.map(figure).unwrap_or_default(),
     };
     let mut rows = vec![row("value got of value sought", &|o| format!("{:.3}", o.value))];
-    for (n, (name, _)) in o.classes.iter().enumerate() {
+    for (n, (name, _)) in outcome.classes.iter().enumerate() {
         rows.push(row(name, &|o| format!("{:.3}", o.classes[n].1)));
     }
     rows.extend([
-        row("settled, median, ms", &|o| format!("{:.1}", o.p50_ms)),
-        row("settled, 99th percentile, ms", &|o| format!("{:.1}", o.p99_ms)),
-        row("tries", &|o| o.counts.attempts.to_string()),
+        row("completed, median, ms", &|o| format!("{:.1}", o.p50_ms)),
+        row("completed, 99th percentile, ms", &|o| format!("{:.1}", o.p99_ms)),
+        row("attempts", &|o| o.counts.attempts.to_string()),
         row("runs", &|o| o.counts.runs.to_string()),
-        row("runs of one txn in several lives", &|o| o.counts.across.to_string()),
-        row("most calls in hand at the index", &|o| o.index_most.to_string()),
+        row("runs of one request in several incarnations", &|o| o.counts.across.to_string()),
+        row("most outstanding calls at the index", &|o| o.index_most.to_string()),
         row("most memory of a server, KB", &|o| o.memory_kb.to_string()),
     ]);
+    rows
+}
+
+/// The page of a run, beside the same run without faults if `calm` is given.
+///
+/// # Errors
+/// If a plot can't be drawn or the page can't be rendered.
+pub fn html(outcome: &Outcome, calm: Option<&Outcome>) -> Result<String, ReportError> {
     let mut page = Environment::new();
     page.set_auto_escape_callback(|_| minijinja::AutoEscape::Html);
-    page.add_template("run", PAGE).map_err(|e| e.to_string())?;
-    let template = page.get_template("run").map_err(|e| e.to_string())?;
-    let plots = plots(o)?;
-    template.render(context! { o, calm, rows, plots }).map_err(|e| e.to_string())
+    page.add_template("run", PAGE)?;
+    let template = page.get_template("run")?;
+    let plots = plot_specs(outcome)
+        .into_iter()
+        .map(|spec| Ok(Plot { title: spec.title, caption: spec.caption, svg: draw(outcome, &spec)? }))
+        .collect::<Result<Vec<Plot>, ReportError>>()?;
+    Ok(template.render(context! { o => outcome, calm, rows => rows(outcome, calm), plots })?)
 }
--- a/crates/aldercrank-test-cluster/src/sockets.rs
+++ b/crates/aldercrank-test-cluster/src/sockets.rs
@@ -46,7 +46,7 @@
 }
 
 /// A socket event.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketEvent {
     /// A connection was accepted.
     Accepted(PortNo, ConnNo),
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
@@ -2,7 +2,7 @@
 
 use crate::compare;
 use aldercrank_service_config::{parse, Start};
-use aldercrank_test_cluster::config::{service, start};
+use aldercrank_test_cluster::config::{rules_section, start_section, MemberAddress};
 use aldercrank_test_cluster::ids::ServerNo;
 use std::path::Path;
 
@@ -21,12 +21,15 @@
 #[test]
 fn the_service_files_that_the_fleet_writes_are_read_as_recorded() {
     let book = Path::new("/run/a \"b\"/rules.kdl");
-    let reach = |server: u16| (ServerNo(server), ([127, 0, 0, 1], 7100 + server).into());
+    let reach = |server: u16| MemberAddress {
+        member: ServerNo(server),
+        address: ([127, 0, 0, 1], 7100 + server).into(),
+    };
     let texts = [
-        start(&Start { tell_share: true }),
-        start(&Start { tell_share: false }),
-        service(book, None, Vec::new()),
-        service(book, Some(Path::new("/run/n1")), vec![reach(1), reach(2)]),
+        start_section(&Start { tell_share: true }),
+        start_section(&Start { tell_share: false }),
+        rules_section(book, None, &[]),
+        rules_section(book, Some(Path::new("/run/n1")), &[reach(1), reach(2)]),
     ];
     let both = format!("{}{}", texts[3], texts[0]);
     let all = texts.iter().chain([&both]);
