--- a/crates/aldercrank-testbench/src/fleet.rs
+++ b/crates/aldercrank-testbench/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::server::beside;
 use aldercrank_test_cluster::cluster::{run_dir, RunOptions, TestCluster};
-use aldercrank_test_cluster::fault_search::{self, Game};
+use aldercrank_test_cluster::fault_search::{self, Game, SearchStart};
 use aldercrank_test_cluster::ids::ServerNo;
 use aldercrank_test_cluster::process::Program;
 use aldercrank_test_cluster::report;
@@ -243,7 +243,7 @@
     let hunter = |n: u64| {
         fault_search::hunt(
             seconds,
-            (seed * HUNTERS + n, game),
+            SearchStart { seed: seed * HUNTERS + n, game },
             &mut |scenario| play(scenario, program, false),
             &|line| eprintln!("{line}"),
         )
