--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -33,7 +33,7 @@
         // The injected violation: as if it had been asked long ago.
         let asked_at = if injects { now.saturating_sub(self.scenario.fleet.drain_grace * 4) } else { now };
         self.testbed.checker.shutdown_requested(asked_at, number, server.incarnation);
-        self.testbed.record.note(now, None, Some(number), || "told to leave".to_string());
+        self.testbed.record.note(now, None, Some(number), || "asked to shut down".to_string());
     }
 
     /// Resumes a server if it is paused.
--- a/crates/aldercrank-test-cluster/src/cluster/pool_host.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/pool_host.rs
@@ -63,7 +63,7 @@
         let sent = self.testbed.checker.attempt(attempt);
         let sent = sent.map(|sent| (sent.request, sent.class, sent.idempotency_key));
         self.testbed.record.note(now, sent.map(|(request, _, _)| request), Some(server), || {
-            format!("told to run {attempt}, known: {known}")
+            format!("asked to run {attempt}, known: {known}")
         });
         let (request, class_no, idempotency_key) = sent.filter(|_| known)?;
         if idempotency_key.is_some() && std::mem::take(&mut self.report_twice) {
--- a/crates/aldercrank-test-cluster/src/invariant_checker/observation.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/observation.rs
@@ -1,4 +1,4 @@
-//! What the invariant checker is told: the scenario's limits, and what was seen on the wire.
+//! The input of the invariant checker: the scenario's limits, and what was seen on the wire.
 
 use crate::ids::{ClassNo, EdgeNo, Incarnation, ReplyTo, RequestNo, ServerNo};
 use aldercrank_protocol::worker_pool::AttemptId;
--- a/crates/aldercrank-test-cluster/src/report.rs
+++ b/crates/aldercrank-test-cluster/src/report.rs
@@ -105,7 +105,7 @@
 }
 
 /// Draws the series over the seconds, with the faults as bands behind the lines.
-fn draw(outcome: &Outcome, spec: &PlotSpec) -> Result<String, ReportError> {
+fn render_plot(outcome: &Outcome, spec: &PlotSpec) -> Result<String, ReportError> {
     let mut svg = String::new();
     // After the callers have ended, the cluster shuts down.
     let shown = &outcome.seconds[..outcome.seconds.len().min(outcome.span_s.ceil() as usize)];
@@ -259,7 +259,7 @@
     let template = page.get_template("run")?;
     let plots = plot_specs(outcome)
         .into_iter()
-        .map(|spec| Ok(Plot { title: spec.title, caption: spec.caption, svg: draw(outcome, &spec)? }))
+        .map(|spec| Ok(Plot { title: spec.title, caption: spec.caption, svg: render_plot(outcome, &spec)? }))
         .collect::<Result<Vec<Plot>, ReportError>>()?;
     Ok(template.render(context! { o => outcome, calm, rows => rows(outcome, calm), plots })?)
 }
--- a/crates/aldercrank-test-cluster/src/testbed.rs
+++ b/crates/aldercrank-test-cluster/src/testbed.rs
@@ -432,7 +432,7 @@
     /// Records that a server sent its worker pool bytes that are no command, unless a fault corrupts that link.
     pub fn record_invalid_pool_command(&mut self, now: Duration, server: ServerNo, why: &InvalidCommand) {
         if !self.is_link_corrupted(LinkId { server, remote: RemoteEndpoint::WorkerPool }) {
-            let what = format!("it told its pool what is no command: {why}");
+            let what = format!("it sent its pool an invalid command: {why}");
             self.checker.record_violation(now, Rule::Mixed, None, Some(server), what);
         }
     }
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/faults.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/faults.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn scenarios_without_sense_are_refused_as_recorded() {
+fn contradictory_scenarios_are_refused_as_recorded() {
     compare::check("scenarios/faults/senseless.txt", &blocks(&SENSELESS));
 }
 
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn included_files_are_read_and_their_faults_told_as_recorded() {
+fn included_files_are_read_and_their_faults_reported_as_recorded() {
     let files = [
         ("base.kdl", "name \"base\"\nseed 5\nfleet servers=6\n"),
         ("over-base.kdl", "include \"base.kdl\"\nname \"over\"\n"),
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_service_files_that_the_fleet_writes_are_read_as_recorded() {
+fn service_files_of_the_test_cluster_are_read_as_recorded() {
     let book = Path::new("/run/a \"b\"/rules.kdl");
     let reach = |server: u16| MemberAddress {
         member: ServerNo(server),
