--- a/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -5,11 +5,11 @@
 use super::state::{ConfigVersions, TestCluster};
 use super::stub_services::HttpRequest;
 use crate::config::{self, MemberAddress};
-use crate::config_store_stub::{ConfigStoreStub, ReadAnswer, StoredVersion};
+use crate::config_store_stub::{AnsweredRead, ConfigStoreStub, ReadAnswer, StoredVersion};
 use crate::ids::{ConnNo, ServerNo};
 use crate::membership_stub::MembershipState;
 use crate::scenario::{ConfigCorruption, Fault, Publication};
-use crate::testbed::{ConnectionOwner, Timer};
+use crate::testbed::{ConnectionOwner, RelayId, Timer};
 use crate::version_checker::VersionChecker;
 use aldercrank_protocol::http;
 use aldercrank_service_config::Start;
@@ -55,14 +55,15 @@
     }
 
     /// Opens a relay from each server to each other one in the committee.
-    fn open_relays(&mut self, committee: usize) -> io::Result<HashMap<(ServerNo, ServerNo), SocketAddr>> {
+    fn open_relays(&mut self, committee: usize) -> io::Result<HashMap<RelayId, SocketAddr>> {
         let mut relay_addresses = HashMap::new();
         for client in self.server_numbers() {
             for member in self.server_numbers().take(committee) {
                 if client != member {
-                    let (port, address) = self.testbed.sockets.listen(&self.listen_ip)?;
-                    self.testbed.relays.insert(port, (client, member));
-                    relay_addresses.insert((client, member), address);
+                    let listener = self.testbed.sockets.listen(&self.listen_ip)?;
+                    let relay = RelayId { client, member };
+                    self.testbed.relays.insert(listener.port, relay);
+                    relay_addresses.insert(relay, listener.address);
                 }
             }
         }
@@ -76,9 +77,9 @@
             text += &config::start_section(&self.scenario.start);
         }
         if let Some(versions) = &self.versions {
-            let own_relays = versions.relay_addresses.iter().filter(|((client, _), _)| *client == number);
+            let own_relays = versions.relay_addresses.iter().filter(|(relay, _)| relay.client == number);
             let members: Vec<MemberAddress> = own_relays
-                .map(|((_, member), address)| MemberAddress { member: *member, address: *address })
+                .map(|(relay, address)| MemberAddress { member: relay.member, address: *address })
                 .collect();
             let has_disk = versions.settings.has_disks;
             let dir = has_disk.then(|| self.options.dir.join(format!("{number}.rules")));
@@ -93,14 +94,14 @@
     }
 
     /// A server has connected to a relay: connects to the other server.
-    pub(super) fn connect_relay(&mut self, conn: ConnNo, client: ServerNo, member: ServerNo) {
+    pub(super) fn connect_relay(&mut self, conn: ConnNo, relay: RelayId) {
         let Some(versions) = &mut self.versions else { return };
-        let address = self.servers[member.0 as usize].addresses.listen;
+        let address = self.servers[relay.member.0 as usize].addresses.listen;
         let Ok(other) = self.testbed.sockets.connect(address) else {
             return self.testbed.sockets.close(conn);
         };
-        self.testbed.register(conn, ConnectionOwner::Peer(client));
-        self.testbed.register(other, ConnectionOwner::Peer(member));
+        self.testbed.register(conn, ConnectionOwner::Peer(relay.client));
+        self.testbed.register(other, ConnectionOwner::Peer(relay.member));
         versions.relay_partners.insert(conn, other);
         versions.relay_partners.insert(other, conn);
     }
@@ -198,7 +199,7 @@
     /// Replaces the contents of the configuration store, and answers the long polls that waited for it.
     pub(super) fn store_versions(&mut self, now: Duration, contents: Vec<StoredVersion>) {
         let Some(versions) = &mut self.versions else { return };
-        for (conn, answer) in versions.store.put(contents) {
+        for AnsweredRead { conn, answer } in versions.store.put(contents) {
             self.answer_config_read(now, conn, answer);
         }
     }
--- a/crates/aldercrank-test-cluster/src/cluster/connections.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/connections.rs
@@ -16,8 +16,8 @@
     pub(super) fn socket_event(&mut self, now: Duration, event: SocketEvent) {
         match event {
             SocketEvent::Accepted(port, conn) => {
-                if let Some(&(client, member)) = self.testbed.relays.get(&port) {
-                    return self.connect_relay(conn, client, member);
+                if let Some(&relay) = self.testbed.relays.get(&port) {
+                    return self.connect_relay(conn, relay);
                 }
                 let Some(&link) = self.testbed.ports.get(&port) else { return };
                 self.accepted(now, link, conn);
--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -1,7 +1,7 @@
 //! Begins and ends the faults of the timeline.
 
 use super::start::{PoolStart, StartConfig};
-use super::state::TestCluster;
+use super::state::{KilledServer, TestCluster};
 use crate::ids::{EdgeNo, RemoteEndpoint, ServerNo};
 use crate::index_stub::IndexState;
 use crate::membership_stub::MembershipState;
@@ -104,7 +104,7 @@
             Fault::Kill | Fault::InvalidStart => {
                 self.testbed.checker.add_fault_span(number, now, until);
                 self.kill(number);
-                self.just_killed.push((number, now));
+                self.just_killed.push(KilledServer { server: number, at: now });
                 if *fault == Fault::InvalidStart {
                     self.start_server(number, PoolStart::Cold, StartConfig::Invalid)?;
                     self.server(number).killed = true;
--- a/crates/aldercrank-test-cluster/src/cluster/prepare.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/prepare.rs
@@ -10,6 +10,7 @@
 use crate::random::RandomStream;
 use crate::run_record::RunRecord;
 use crate::scenario::{Fault, RequestClass, Scenario};
+use crate::sockets::OpenListener;
 use crate::testbed::{LinkId, Testbed};
 use crate::worker_pool_stub::{Cores, WorkerPoolStub};
 use socket2::{Domain, Socket, Type};
@@ -180,10 +181,10 @@
         Ok(cluster)
     }
 
-    fn listen_for(&mut self, server: ServerNo, remote: RemoteEndpoint) -> io::Result<ListenerAddress> {
-        let (port, address) = self.testbed.sockets.listen(&self.listen_ip)?;
-        self.testbed.ports.insert(port, LinkId { server, remote });
-        Ok(ListenerAddress { port, address })
+    fn listen_for(&mut self, server: ServerNo, remote: RemoteEndpoint) -> io::Result<OpenListener> {
+        let listener = self.testbed.sockets.listen(&self.listen_ip)?;
+        self.testbed.ports.insert(listener.port, LinkId { server, remote });
+        Ok(listener)
     }
 
     /// Opens the listeners of the stub services for a server that will listen on `listen`.
@@ -222,8 +223,3 @@
         WorkerPoolStub::new(cores, now, cold, start_delay)
     }
 }
-
-struct ListenerAddress {
-    port: crate::sockets::PortNo,
-    address: SocketAddr,
-}
--- a/crates/aldercrank-test-cluster/src/cluster/run.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/run.rs
@@ -1,14 +1,14 @@
 //! The course of a run: its phases, and the turns in which events and timers are handled.
 
 use super::start::{PoolStart, StartConfig};
-use super::state::{RunOptions, TestCluster};
+use super::state::{KilledServer, RunOptions, TestCluster};
 use crate::ids::{ClassNo, EdgeNo};
 use crate::index_stub::EndedCall;
 use crate::invariant_checker::Rule;
 use crate::process;
 use crate::run_record::Outcome;
 use crate::scenario::Scenario;
-use crate::testbed::Timer;
+use crate::testbed::{FinishedAttempt, Timer};
 use aldercrank_protocol::http;
 use std::io;
 use std::time::Duration;
@@ -166,8 +166,8 @@
             ));
         }
         let began = self.now();
-        for (server, killed_at) in std::mem::take(&mut self.just_killed) {
-            self.testbed.checker.add_fault_span(server, killed_at, began);
+        for KilledServer { server, at } in std::mem::take(&mut self.just_killed) {
+            self.testbed.checker.add_fault_span(server, at, began);
         }
         for event in events.drain(..) {
             let now = self.now();
@@ -177,7 +177,7 @@
         while let Some(timer) = self.testbed.pop_due_timer(began) {
             self.on_timer(began, timer)?;
         }
-        for (server, attempt) in std::mem::take(&mut self.testbed.finished_attempts) {
+        for FinishedAttempt { server, attempt } in std::mem::take(&mut self.testbed.finished_attempts) {
             self.with_pool(began, server, |pool, host| pool.request_over(began, attempt, host));
         }
         self.check_decisions();
--- a/crates/aldercrank-test-cluster/src/cluster/state.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/state.rs
@@ -10,7 +10,7 @@
 use crate::run_record::ListLoad;
 use crate::scenario::{Scenario, VersionedConfigSettings};
 use crate::sockets::PortNo;
-use crate::testbed::Testbed;
+use crate::testbed::{RelayId, Testbed};
 use crate::version_checker::VersionChecker;
 use crate::worker_pool_stub::WorkerPoolStub;
 use aldercrank_protocol::worker_pool::AttemptId;
@@ -62,15 +62,21 @@
     pub(super) faults: Vec<(f64, f64, String)>,
     /// The scenario's injected violation has happened.
     pub(super) violation_injected: bool,
-    /// Servers that were killed in this turn, and when. What is sent to them until the ends of their connections are
-    /// read is lost.
-    pub(super) just_killed: Vec<(ServerNo, Duration)>,
+    /// Servers that were killed in this turn. What is sent to them until the ends of their connections are read is
+    /// lost.
+    pub(super) just_killed: Vec<KilledServer>,
     /// Where the test cluster listens.
     pub(super) listen_ip: String,
     /// The versioned configuration, where the scenario has one.
     pub(super) versions: Option<ConfigVersions>,
 }
 
+/// A server that was killed.
+pub(super) struct KilledServer {
+    pub(super) server: ServerNo,
+    pub(super) at: Duration,
+}
+
 /// A server of a test cluster.
 pub(super) struct ServerState {
     pub(super) addresses: Places,
@@ -111,7 +117,7 @@
     /// The other half of each relayed connection.
     pub(super) relay_partners: HashMap<ConnNo, ConnNo>,
     /// Where a server reaches a committee member: the address of their relay.
-    pub(super) relay_addresses: HashMap<(ServerNo, ServerNo), SocketAddr>,
+    pub(super) relay_addresses: HashMap<RelayId, SocketAddr>,
     /// Messages between servers so far.
     pub(super) peer_messages: u64,
     /// How many alternatives each step has published, by its index.
--- a/crates/aldercrank-test-cluster/src/config_store_stub.rs
+++ b/crates/aldercrank-test-cluster/src/config_store_stub.rs
@@ -25,6 +25,15 @@
     pub text: String,
 }
 
+/// A long poll that is answered.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AnsweredRead {
+    /// The connection of the reader.
+    pub conn: ConnNo,
+    /// The answer.
+    pub answer: ReadAnswer,
+}
+
 struct LongPoll {
     tag: Option<String>,
     until: Duration,
@@ -45,13 +54,13 @@
 
 impl ConfigStoreStub {
     /// Replaces the contents. Returns the long polls that are now answered.
-    pub fn put(&mut self, versions: Vec<StoredVersion>) -> Vec<(ConnNo, ReadAnswer)> {
+    pub fn put(&mut self, versions: Vec<StoredVersion>) -> Vec<AnsweredRead> {
         self.versions = versions;
         let mut answers = Vec::new();
         for (conn, poll) in std::mem::take(&mut self.long_polls) {
             match self.answer(poll.tag.as_deref()) {
                 ReadAnswer::NotModified => drop(self.long_polls.insert(conn, poll)),
-                answer => answers.push((conn, answer)),
+                answer => answers.push(AnsweredRead { conn, answer }),
             }
         }
         answers
--- a/crates/aldercrank-test-cluster/src/sockets.rs
+++ b/crates/aldercrank-test-cluster/src/sockets.rs
@@ -24,6 +24,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PortNo(pub u32);
 
+/// A listener that was opened.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OpenListener {
+    /// Its number.
+    pub port: PortNo,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
 struct Port {
     /// `None` while connections are refused.
     listener: Option<TcpListener>,
@@ -108,13 +117,13 @@
     ///
     /// # Errors
     /// If the address can't be bound.
-    pub fn listen(&mut self, ip: &str) -> io::Result<(PortNo, SocketAddr)> {
+    pub fn listen(&mut self, ip: &str) -> io::Result<OpenListener> {
         let listener = TcpListener::bind((ip, 0))?;
         let address = listener.local_addr()?;
         let port = PortNo(self.ports.len() as u32);
         self.ports.push(Port { listener: None, address });
         self.open(port, listener)?;
-        Ok((port, address))
+        Ok(OpenListener { port, address })
     }
 
     fn open(&mut self, port: PortNo, listener: TcpListener) -> io::Result<()> {
--- a/crates/aldercrank-test-cluster/src/testbed.rs
+++ b/crates/aldercrank-test-cluster/src/testbed.rs
@@ -56,6 +56,24 @@
     pub remote: RemoteEndpoint,
 }
 
+/// A relay between two servers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RelayId {
+    /// The server that connects.
+    pub client: ServerNo,
+    /// The committee member that it connects to.
+    pub member: ServerNo,
+}
+
+/// An attempt that is over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FinishedAttempt {
+    /// The server that it was sent to.
+    pub server: ServerNo,
+    /// The attempt.
+    pub attempt: AttemptId,
+}
+
 /// What the test cluster does at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
@@ -137,8 +155,8 @@
     pub unreachable: BTreeSet<ServerNo>,
     /// Which server connects to which kind of stub service at each listener.
     pub ports: HashMap<PortNo, LinkId>,
-    /// Relays between servers: the client and the committee member that it connects to.
-    pub relays: HashMap<PortNo, (ServerNo, ServerNo)>,
+    /// Relays between servers, by listener.
+    pub relays: HashMap<PortNo, RelayId>,
     /// Where each server listens.
     pub server_addresses: Vec<SocketAddr>,
     /// The current incarnation of each server.
@@ -156,7 +174,7 @@
     /// A fault: edge nodes see each server twice, and one that never existed.
     pub wrong_membership: bool,
     /// Attempts that are over, answered or not, and not yet reported to their worker pools.
-    pub finished_attempts: Vec<(ServerNo, AttemptId)>,
+    pub finished_attempts: Vec<FinishedAttempt>,
     /// Decisions by a configuration version that are not yet reported to the version checker.
     pub decisions: Vec<VersionedDecision>,
     /// The parent attempt of each open call at the index.
@@ -211,7 +229,7 @@
     /// Notes that the attempt behind this reply-to is over, for its worker pool.
     pub fn finish_attempt(&mut self, reply_to: ReplyTo) {
         if let Some(attempt) = self.checker.attempt_at(reply_to) {
-            self.finished_attempts.push((attempt.server, attempt.attempt));
+            self.finished_attempts.push(FinishedAttempt { server: attempt.server, attempt: attempt.attempt });
         }
     }
 
