--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/faults.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/faults.rs
@@ -85,16 +85,16 @@
     "callers edges=400 connections=4",
 ];
 
-fn wrong(text: &str) -> String {
+fn errors_of(text: &str) -> String {
     match Scenario::parse(text) {
         Ok(_) => "  can be played\n".to_string(),
-        Err(wrong) => wrong.0.iter().map(|line| format!("  fault {line}\n")).collect(),
+        Err(errors) => errors.0.iter().map(|error| format!("  fault {error}\n")).collect(),
     }
 }
 
 fn blocks(texts: &[&str]) -> String {
     let each = texts.iter().enumerate();
-    each.map(|(n, text)| format!("== {}\n{text}\n--\n{}\n", n + 1, wrong(text))).collect()
+    each.map(|(n, text)| format!("== {}\n{text}\n--\n{}\n", n + 1, errors_of(text))).collect()
 }
 
 #[test]
@@ -121,11 +121,11 @@
 }
 
 fn loaded(folder: &Path, name: &str) -> String {
-    let said = match Scenario::load(&folder.join(name)) {
+    let decoded = match Scenario::load(&folder.join(name)) {
         Ok(s) => format!("  decoded: name {:?}, seed {}, servers {}\n", s.name, s.seed, s.fleet.servers),
-        Err(wrong) => wrong.0.iter().map(|line| format!("  fault {line}\n")).collect(),
+        Err(errors) => errors.0.iter().map(|error| format!("  fault {error}\n")).collect(),
     };
-    format!("== {name}\n{}\n", said.replace(folder.to_str().unwrap(), "FOLDER"))
+    format!("== {name}\n{}\n", decoded.replace(folder.to_str().unwrap(), "FOLDER"))
 }
 
 #[test]
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/main.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/main.rs
@@ -36,7 +36,7 @@
 fn check_each(folder: &str) {
     let scenarios = files(folder, "kdl");
     for (file, name) in scenarios.iter().zip(names(&scenarios)) {
-        let scenario = Scenario::load(file).unwrap_or_else(|wrong| panic!("{wrong}"));
+        let scenario = Scenario::load(file).unwrap_or_else(|errors| panic!("{errors}"));
         compare::check(&format!("{folder}/{name}.txt"), &decoded::text(&scenario));
     }
     let recorded = files(&format!("tests/golden/{folder}"), "txt");
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
@@ -1,4 +1,4 @@
-//! Golden file of the service files that the live fleet writes for its servers, read back by the program's own reader.
+//! Golden file of the service files that the test cluster writes for its servers, read back by the program's own reader.
 
 use crate::compare;
 use aldercrank_service_config::{parse, Start};
@@ -6,7 +6,7 @@
 use aldercrank_test_cluster::ids::ServerNo;
 use std::path::Path;
 
-/// What the reader makes of it, by the file's own names.
+/// The decoded meaning, by the names of the file.
 fn decoded(text: &str) -> String {
     let read = parse(text).unwrap_or_else(|faults| panic!("{}", faults[0]));
     let mut lines = format!("  start: tell-share {}\n", read.start.tell_share);
