--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
@@ -45,28 +45,28 @@
 }
 
 fn fleet(scenario: &Scenario) -> String {
-    let f = &scenario.fleet;
+    let fleet = &scenario.fleet;
     format!(
         "fleet servers={} zones={} cores={} memory-kb={} cold={} cold-from={} warm-ms={} warms-times={}\n\
          fleet stop-ms={} grace-ms={} slack-ms={} memory-mb={} sockets={}\n",
-        f.servers,
-        f.zones,
-        f.cores,
-        f.admission_memory_kb,
-        f.starts_cold,
-        f.cold_speed,
-        millis(f.warm_up),
-        f.warm_up_factor,
-        millis(f.stop_timeout),
-        millis(f.drain_grace),
-        millis(f.answer_slack),
-        f.process_memory_mb,
-        f.max_sockets
+        fleet.servers,
+        fleet.zones,
+        fleet.cores,
+        fleet.admission_memory_kb,
+        fleet.starts_cold,
+        fleet.cold_speed,
+        millis(fleet.warm_up),
+        fleet.warm_up_factor,
+        millis(fleet.stop_timeout),
+        millis(fleet.drain_grace),
+        millis(fleet.answer_slack),
+        fleet.process_memory_mb,
+        fleet.max_sockets
     )
 }
 
-fn class(p: &RequestClass) -> String {
-    let effect = match p.effect {
+fn class(class: &RequestClass) -> String {
+    let effect = match class.effect {
         Effect::Idempotent => "inquiry-like",
         Effect::Keyed => "referenced",
         Effect::Unsafe => "once-only",
@@ -74,25 +74,25 @@
     format!(
         "product {:?} effect={effect} share={} value={} late={} work-ms={} calls={} without={}\n\
          product {:?} sla-ms={} expiry-ms={} window-ms={} memory-kb={} body={}\n",
-        p.name,
-        p.share,
-        p.value,
-        p.late_share,
-        millis(p.work),
-        p.call_probability,
-        p.degraded_share,
-        p.name,
-        millis(p.latency_target),
-        millis(p.deadline),
-        millis(p.dedup_window),
-        p.memory_kb,
-        p.body_length
+        class.name,
+        class.share,
+        class.value,
+        class.late_share,
+        millis(class.work),
+        class.call_probability,
+        class.degraded_share,
+        class.name,
+        millis(class.latency_target),
+        millis(class.deadline),
+        millis(class.dedup_window),
+        class.memory_kb,
+        class.body_length
     )
 }
 
 fn callers(scenario: &Scenario) -> String {
-    let (c, h) = (&scenario.callers, &scenario.callers.policy);
-    let choose = match h.choose {
+    let (callers, policy) = (&scenario.callers, &scenario.callers.policy);
+    let choose = match policy.choose {
         ServerChoice::RoundRobin => "round-robin",
         ServerChoice::Least => "least-open",
         ServerChoice::TwoChoices => "two-choices",
@@ -101,43 +101,43 @@
     format!(
         "callers rate={} edges={} choose={choose} tries={} patience-ms={} heeds={} retry-budget={}\n\
          callers checks-ms={} connections={} idle-ms={} leave={} again={}\n",
-        c.rate,
-        c.edges,
-        h.max_attempts,
-        millis_or_none(h.attempt_timeout),
-        h.follows_advice,
-        h.retry_budget,
-        millis_or_none(h.health_check_interval),
-        h.max_connections,
-        millis(h.idle_timeout),
-        h.cancel_probability,
-        h.retries_keyed_after_failure
+        callers.rate,
+        callers.edges,
+        policy.max_attempts,
+        millis_or_none(policy.attempt_timeout),
+        policy.follows_advice,
+        policy.retry_budget,
+        millis_or_none(policy.health_check_interval),
+        policy.max_connections,
+        millis(policy.idle_timeout),
+        policy.cancel_probability,
+        policy.retries_keyed_after_failure
     )
 }
 
-/// The index service, the list service and the rule book.
+/// The index, the membership service and the versioned configuration.
 fn services_below(scenario: &Scenario) -> String {
-    let (i, c) = (&scenario.index, &scenario.callers);
+    let (index, callers) = (&scenario.index, &scenario.callers);
     let mut lines = format!(
         "index slots={} limit={} take-ms={} cold={} warming={}\nlist capacity={} lag-ms={} learn-ms={}\n",
-        i.slots,
-        i.limit,
-        millis(i.call_duration),
-        i.cold_slowdown,
-        i.warming,
+        index.slots,
+        index.limit,
+        millis(index.call_duration),
+        index.cold_slowdown,
+        index.warming,
         scenario.list_capacity,
-        millis(c.membership_lag),
-        millis(c.membership_refresh)
+        millis(callers.membership_lag),
+        millis(callers.membership_refresh)
     );
     lines += &match &scenario.rules {
         None => "rules none\n".to_string(),
-        Some(r) => format!(
+        Some(settings) => format!(
             "rules committee={} within-ms={} alone-ms={} disks={} set={:?}\n",
-            r.committee,
-            millis(r.decision_bound),
-            millis(r.alone_for),
-            r.has_disks,
-            r.initial_items
+            settings.committee,
+            millis(settings.decision_bound),
+            millis(settings.alone_for),
+            settings.has_disks,
+            settings.initial_items
         ),
     };
     lines
@@ -191,8 +191,13 @@
         Fault::MembershipStale(by) => format!("list-old by-ms={}", millis(*by)),
         Fault::EdgeNodesRestart(share) => format!("edges-restart share-of-edges={share}"),
         Fault::ArrivalRate(times) => format!("rate times={times}"),
-        Fault::Publish(p) => {
-            format!("rules set={:?} every-ms={} two={}", p.items, millis_or_none(p.interval), p.contradictory)
+        Fault::Publish(publication) => {
+            format!(
+                "rules set={:?} every-ms={} two={}",
+                publication.items,
+                millis_or_none(publication.interval),
+                publication.contradictory
+            )
         }
         Fault::Withdraw => "rules-withdraw".into(),
         Fault::StoreCorruptConfig(kind) => format!("rules-broken kind={}", broken_kind(*kind)),
@@ -202,17 +207,17 @@
 
 /// What is done to one direction of a connection.
 fn corruption(corruption: Option<&Corruption>) -> String {
-    let Some(s) = corruption else { return "untouched".to_string() };
+    let Some(corruption) = corruption else { return "untouched".to_string() };
     format!(
         "delay-ms={} jitter={} cut={} reset-after={} silent-after={} rate={} share-of-pieces={} unread={}",
-        millis(s.delay),
-        s.jitter,
-        s.blocked,
-        or_none(s.reset_after_bytes),
-        or_none(s.silent_after_bytes),
-        or_none(s.bytes_per_second),
-        s.bit_flip_probability,
-        s.unread
+        millis(corruption.delay),
+        corruption.jitter,
+        corruption.blocked,
+        or_none(corruption.reset_after_bytes),
+        or_none(corruption.silent_after_bytes),
+        or_none(corruption.bytes_per_second),
+        corruption.bit_flip_probability,
+        corruption.unread
     )
 }
 
@@ -245,26 +250,26 @@
     }
 }
 
-fn bounds(b: &Bounds) -> String {
-    let listed_by = millis_or_none(b.listed_by);
+fn bounds(bounds: &Bounds) -> String {
+    let listed_by = millis_or_none(bounds.listed_by);
     let all = [
-        ("value", or_none(b.value)),
-        ("of-calm", or_none(b.of_calm)),
-        ("inquiry-of-calm", or_none(b.inquiry_of_calm)),
-        ("across", or_none(b.across)),
-        ("list-second", or_none(b.list_second)),
-        ("list-tenth", or_none(b.list_tenth)),
-        ("list-refused", or_none(b.list_refused)),
+        ("value", or_none(bounds.value)),
+        ("of-calm", or_none(bounds.of_calm)),
+        ("inquiry-of-calm", or_none(bounds.inquiry_of_calm)),
+        ("across", or_none(bounds.across)),
+        ("list-second", or_none(bounds.list_second)),
+        ("list-tenth", or_none(bounds.list_tenth)),
+        ("list-refused", or_none(bounds.list_refused)),
         ("listed-by-ms", listed_by),
-        ("acted", or_none(b.acted)),
-        ("free-p99-ms", or_none(b.free_p99_ms)),
-        ("fenced-p99-ms", or_none(b.fenced_p99_ms)),
-        ("cut-inquiry-of-calm", or_none(b.cut_inquiry_of_calm)),
-        ("index-most", or_none(b.index_most)),
-        ("collapses", or_none(b.collapses)),
-        ("steady", or_none(b.steady)),
-        ("crowded", or_none(b.crowded)),
-        ("flaps", or_none(b.flaps)),
+        ("acted", or_none(bounds.acted)),
+        ("free-p99-ms", or_none(bounds.free_p99_ms)),
+        ("fenced-p99-ms", or_none(bounds.fenced_p99_ms)),
+        ("cut-inquiry-of-calm", or_none(bounds.cut_inquiry_of_calm)),
+        ("index-most", or_none(bounds.index_most)),
+        ("collapses", or_none(bounds.collapses)),
+        ("steady", or_none(bounds.steady)),
+        ("crowded", or_none(bounds.crowded)),
+        ("flaps", or_none(bounds.flaps)),
     ];
     all.iter().map(|(name, value)| format!("bounds {name}={value}\n")).collect()
 }
