--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
@@ -1,12 +1,12 @@
 //! A scenario as plain text, by the names that scenario files use; spans in milliseconds.
 
 use aldercrank_test_cluster::edge_nodes::ServerChoice;
-use aldercrank_test_cluster::index_stub;
+use aldercrank_test_cluster::index_stub::IndexState;
 use aldercrank_test_cluster::invariant_checker::Effect;
-use aldercrank_test_cluster::membership_stub;
+use aldercrank_test_cluster::membership_stub::MembershipState;
 use aldercrank_test_cluster::relayed_link::Corruption;
 use aldercrank_test_cluster::scenario::{
-    Bounds, Fault, InjectedViolation, RequestClass, Scenario, Spoilt, Step, Target,
+    Bounds, ConfigCorruption, Fault, InjectedViolation, RequestClass, Scenario, Step, Target,
 };
 use std::fmt::{Debug, Write};
 use std::time::Duration;
@@ -45,28 +45,28 @@
 }
 
 fn fleet(scenario: &Scenario) -> String {
-    let f = &scenario.fleet;
+    let fleet = &scenario.fleet;
     format!(
         "fleet servers={} zones={} cores={} memory-kb={} cold={} cold-from={} warm-ms={} warms-times={}\n\
          fleet stop-ms={} grace-ms={} slack-ms={} memory-mb={} sockets={}\n",
-        f.servers,
-        f.zones,
-        f.cores,
-        f.memory_kb,
-        f.cold,
-        f.cold_from,
-        millis(f.warm_after),
-        f.warms_times,
-        millis(f.stop),
-        millis(f.grace),
-        millis(f.slack),
-        f.memory_mb,
-        f.sockets
+        fleet.servers,
+        fleet.zones,
+        fleet.cores,
+        fleet.admission_memory_kb,
+        fleet.starts_cold,
+        fleet.cold_speed,
+        millis(fleet.warm_up),
+        fleet.warm_up_factor,
+        millis(fleet.stop_timeout),
+        millis(fleet.drain_grace),
+        millis(fleet.answer_slack),
+        fleet.process_memory_mb,
+        fleet.max_sockets
     )
 }
 
-fn class(p: &RequestClass) -> String {
-    let effect = match p.effect {
+fn class(class: &RequestClass) -> String {
+    let effect = match class.effect {
         Effect::Idempotent => "inquiry-like",
         Effect::Keyed => "referenced",
         Effect::Unsafe => "once-only",
@@ -74,25 +74,25 @@
     format!(
         "product {:?} effect={effect} share={} value={} late={} work-ms={} calls={} without={}\n\
          product {:?} sla-ms={} expiry-ms={} window-ms={} memory-kb={} body={}\n",
-        p.name,
-        p.share,
-        p.value,
-        p.late,
-        millis(p.work),
-        p.calls,
-        p.without,
-        p.name,
-        millis(p.latency_target),
-        millis(p.deadline),
-        millis(p.window),
-        p.memory_kb,
-        p.body
+        class.name,
+        class.share,
+        class.value,
+        class.late_share,
+        millis(class.work),
+        class.call_probability,
+        class.degraded_share,
+        class.name,
+        millis(class.latency_target),
+        millis(class.deadline),
+        millis(class.dedup_window),
+        class.memory_kb,
+        class.body_length
     )
 }
 
 fn callers(scenario: &Scenario) -> String {
-    let (c, h) = (&scenario.callers, &scenario.callers.policy);
-    let choose = match h.choose {
+    let (callers, policy) = (&scenario.callers, &scenario.callers.policy);
+    let choose = match policy.choose {
         ServerChoice::RoundRobin => "round-robin",
         ServerChoice::Least => "least-open",
         ServerChoice::TwoChoices => "two-choices",
@@ -101,43 +101,43 @@
     format!(
         "callers rate={} edges={} choose={choose} tries={} patience-ms={} heeds={} retry-budget={}\n\
          callers checks-ms={} connections={} idle-ms={} leave={} again={}\n",
-        c.rate,
-        c.edges,
-        h.attempts,
-        millis_or_none(h.patience),
-        h.heeds,
-        h.retry_budget,
-        millis_or_none(h.checks),
-        h.connections,
-        millis(h.idle),
-        h.leave,
-        h.again
+        callers.rate,
+        callers.edges,
+        policy.max_attempts,
+        millis_or_none(policy.attempt_timeout),
+        policy.follows_advice,
+        policy.retry_budget,
+        millis_or_none(policy.health_check_interval),
+        policy.max_connections,
+        millis(policy.idle_timeout),
+        policy.cancel_probability,
+        policy.retries_keyed_after_failure
     )
 }
 
-/// The index service, the list service and the rule book.
+/// The index, the membership service and the versioned configuration.
 fn services_below(scenario: &Scenario) -> String {
-    let (i, c) = (&scenario.index, &scenario.callers);
+    let (index, callers) = (&scenario.index, &scenario.callers);
     let mut lines = format!(
         "index slots={} limit={} take-ms={} cold={} warming={}\nlist capacity={} lag-ms={} learn-ms={}\n",
-        i.slots,
-        i.limit,
-        millis(i.take),
-        i.cold,
-        i.warming,
+        index.slots,
+        index.limit,
+        millis(index.call_duration),
+        index.cold_slowdown,
+        index.warming,
         scenario.list_capacity,
-        millis(c.lag),
-        millis(c.learn)
+        millis(callers.membership_lag),
+        millis(callers.membership_refresh)
     );
     lines += &match &scenario.rules {
         None => "rules none\n".to_string(),
-        Some(r) => format!(
+        Some(settings) => format!(
             "rules committee={} within-ms={} alone-ms={} disks={} set={:?}\n",
-            r.committee,
-            millis(r.within),
-            millis(r.alone),
-            r.disks,
-            r.set
+            settings.committee,
+            millis(settings.decision_bound),
+            millis(settings.alone_for),
+            settings.has_disks,
+            settings.initial_items
         ),
     };
     lines
@@ -156,7 +156,7 @@
         step.word,
         millis_or_none(step.lasts),
         millis(step.each),
-        step.fault_is_shared(),
+        step.fault.is_shared(),
         fault(&step.fault)
     )
 }
@@ -165,106 +165,111 @@
     match fault {
         Fault::Kill => "kill".into(),
         Fault::Leave => "leave".into(),
-        Fault::Stop => "stop".into(),
-        Fault::BadConfig => "bad-config".into(),
-        Fault::BadStart => "bad-start".into(),
-        Fault::Slow(to) => format!("slow to={to}"),
-        Fault::Err(share) => format!("err share-of-runs={share}"),
-        Fault::PoolGone => "pool-gone".into(),
-        Fault::PoolLate(by) => format!("pool-late by-ms={}", millis(*by)),
-        Fault::PoolResets(every) => format!("pool-resets every-ms={}", millis(*every)),
-        Fault::Pair(with, to, from) => {
+        Fault::Pause => "stop".into(),
+        Fault::InvalidConfig => "bad-config".into(),
+        Fault::InvalidStart => "bad-start".into(),
+        Fault::SlowPool(to) => format!("slow to={to}"),
+        Fault::FailingRuns(share) => format!("err share-of-runs={share}"),
+        Fault::PoolCrash => "pool-gone".into(),
+        Fault::PoolDelayed(by) => format!("pool-late by-ms={}", millis(*by)),
+        Fault::PoolLinkResets(every) => format!("pool-resets every-ms={}", millis(*every)),
+        Fault::CorruptLink { remote, to_server, from_server } => {
             format!(
                 "pair with={} to=[{}] from=[{}]",
-                with.word(),
-                corruption(to.as_ref()),
-                corruption(from.as_ref())
+                remote.scenario_name(),
+                corruption(to_server.as_ref()),
+                corruption(from_server.as_ref())
             )
         }
-        Fault::Refuse(with) => format!("refuse with={}", with.word()),
+        Fault::RefuseConnections(with) => format!("refuse with={}", with.scenario_name()),
         Fault::Index(state) => format!("index state={}", index_state(*state)),
-        Fault::IndexCold => "index-cold".into(),
-        Fault::MembershipStub(state) => format!("list state={}", list_state(*state)),
-        Fault::ListForgets => "list-forgets".into(),
-        Fault::ListCapacity(to) => format!("list-capacity to={to}"),
-        Fault::ListWrong => "list-wrong".into(),
-        Fault::ListOld(by) => format!("list-old by-ms={}", millis(*by)),
-        Fault::EdgesRestart(share) => format!("edges-restart share-of-edges={share}"),
-        Fault::Rate(times) => format!("rate times={times}"),
-        Fault::Publish(p) => {
-            format!("rules set={:?} every-ms={} two={}", p.set, millis_or_none(p.every), p.two)
+        Fault::IndexCachesEmptied => "index-cold".into(),
+        Fault::MembershipService(state) => format!("list state={}", list_state(*state)),
+        Fault::MembershipForgets => "list-forgets".into(),
+        Fault::MembershipCapacity(to) => format!("list-capacity to={to}"),
+        Fault::MembershipWrong => "list-wrong".into(),
+        Fault::MembershipStale(by) => format!("list-old by-ms={}", millis(*by)),
+        Fault::EdgeNodesRestart(share) => format!("edges-restart share-of-edges={share}"),
+        Fault::ArrivalRate(times) => format!("rate times={times}"),
+        Fault::Publish(publication) => {
+            format!(
+                "rules set={:?} every-ms={} two={}",
+                publication.items,
+                millis_or_none(publication.interval),
+                publication.contradictory
+            )
         }
         Fault::Withdraw => "rules-withdraw".into(),
-        Fault::RulesBroken(kind) => format!("rules-broken kind={}", broken_kind(*kind)),
-        Fault::RulesOld => "rules-old".into(),
+        Fault::StoreCorruptConfig(kind) => format!("rules-broken kind={}", broken_kind(*kind)),
+        Fault::StoreGenesis => "rules-old".into(),
     }
 }
 
 /// What is done to one direction of a connection.
 fn corruption(corruption: Option<&Corruption>) -> String {
-    let Some(s) = corruption else { return "untouched".to_string() };
+    let Some(corruption) = corruption else { return "untouched".to_string() };
     format!(
         "delay-ms={} jitter={} cut={} reset-after={} silent-after={} rate={} share-of-pieces={} unread={}",
-        millis(s.delay),
-        s.jitter,
-        s.dead,
-        or_none(s.reset_after),
-        or_none(s.silent_after),
-        or_none(s.trickle),
-        s.garble,
-        s.unread
+        millis(corruption.delay),
+        corruption.jitter,
+        corruption.blocked,
+        or_none(corruption.reset_after_bytes),
+        or_none(corruption.silent_after_bytes),
+        or_none(corruption.bytes_per_second),
+        corruption.bit_flip_probability,
+        corruption.unread
     )
 }
 
-fn index_state(state: index_stub::State) -> String {
+fn index_state(state: IndexState) -> String {
     match state {
-        index_stub::State::Well => "well".into(),
-        index_stub::State::Slow(by) => format!("slow by={by}"),
-        index_stub::State::Hung => "hung".into(),
-        index_stub::State::Shedding => "shedding".into(),
-        index_stub::State::Half => "half".into(),
-        index_stub::State::Dead => "dead".into(),
+        IndexState::Healthy => "well".into(),
+        IndexState::Slow(by) => format!("slow by={by}"),
+        IndexState::Hung => "hung".into(),
+        IndexState::Shedding => "shedding".into(),
+        IndexState::Truncating => "half".into(),
+        IndexState::Dead => "dead".into(),
     }
 }
 
-fn list_state(state: membership_stub::State) -> &'static str {
+fn list_state(state: MembershipState) -> &'static str {
     match state {
-        membership_stub::State::Up => "up",
-        membership_stub::State::Down => "down",
-        membership_stub::State::Silent => "silent",
-        membership_stub::State::Closing => "closing",
+        MembershipState::Up => "up",
+        MembershipState::Down => "down",
+        MembershipState::Silent => "silent",
+        MembershipState::Closing => "closing",
     }
 }
 
-fn broken_kind(kind: Spoilt) -> &'static str {
+fn broken_kind(kind: ConfigCorruption) -> &'static str {
     match kind {
-        Spoilt::Cut => "cut",
-        Spoilt::Long => "long",
-        Spoilt::Field => "field",
-        Spoilt::Later => "later",
+        ConfigCorruption::Truncated => "cut",
+        ConfigCorruption::Overlong => "long",
+        ConfigCorruption::InvalidField => "field",
+        ConfigCorruption::LaterFormat => "later",
     }
 }
 
-fn bounds(b: &Bounds) -> String {
-    let listed_by = millis_or_none(b.listed_by);
+fn bounds(bounds: &Bounds) -> String {
+    let listed_by = millis_or_none(bounds.listed_by);
     let all = [
-        ("value", or_none(b.value)),
-        ("of-calm", or_none(b.of_calm)),
-        ("inquiry-of-calm", or_none(b.inquiry_of_calm)),
-        ("across", or_none(b.across)),
-        ("list-second", or_none(b.list_second)),
-        ("list-tenth", or_none(b.list_tenth)),
-        ("list-refused", or_none(b.list_refused)),
+        ("value", or_none(bounds.value)),
+        ("of-calm", or_none(bounds.of_calm)),
+        ("inquiry-of-calm", or_none(bounds.inquiry_of_calm)),
+        ("across", or_none(bounds.across)),
+        ("list-second", or_none(bounds.list_second)),
+        ("list-tenth", or_none(bounds.list_tenth)),
+        ("list-refused", or_none(bounds.list_refused)),
         ("listed-by-ms", listed_by),
-        ("acted", or_none(b.acted)),
-        ("free-p99-ms", or_none(b.free_p99_ms)),
-        ("fenced-p99-ms", or_none(b.fenced_p99_ms)),
-        ("cut-inquiry-of-calm", or_none(b.cut_inquiry_of_calm)),
-        ("index-most", or_none(b.index_most)),
-        ("collapses", or_none(b.collapses)),
-        ("steady", or_none(b.steady)),
-        ("crowded", or_none(b.crowded)),
-        ("flaps", or_none(b.flaps)),
+        ("acted", or_none(bounds.acted)),
+        ("free-p99-ms", or_none(bounds.free_p99_ms)),
+        ("fenced-p99-ms", or_none(bounds.fenced_p99_ms)),
+        ("cut-inquiry-of-calm", or_none(bounds.cut_inquiry_of_calm)),
+        ("index-most", or_none(bounds.index_most)),
+        ("collapses", or_none(bounds.collapses)),
+        ("steady", or_none(bounds.steady)),
+        ("crowded", or_none(bounds.crowded)),
+        ("flaps", or_none(bounds.flaps)),
     ];
     all.iter().map(|(name, value)| format!("bounds {name}={value}\n")).collect()
 }
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/faults.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/faults.rs
@@ -85,16 +85,16 @@
     "callers edges=400 connections=4",
 ];
 
-fn wrong(text: &str) -> String {
+fn errors_of(text: &str) -> String {
     match Scenario::parse(text) {
         Ok(_) => "  can be played\n".to_string(),
-        Err(wrong) => wrong.0.iter().map(|line| format!("  fault {line}\n")).collect(),
+        Err(errors) => errors.0.iter().map(|error| format!("  fault {error}\n")).collect(),
     }
 }
 
 fn blocks(texts: &[&str]) -> String {
     let each = texts.iter().enumerate();
-    each.map(|(n, text)| format!("== {}\n{text}\n--\n{}\n", n + 1, wrong(text))).collect()
+    each.map(|(n, text)| format!("== {}\n{text}\n--\n{}\n", n + 1, errors_of(text))).collect()
 }
 
 #[test]
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn scenarios_without_sense_are_refused_as_recorded() {
+fn contradictory_scenarios_are_refused_as_recorded() {
     compare::check("scenarios/faults/senseless.txt", &blocks(&SENSELESS));
 }
 
@@ -121,15 +121,15 @@
 }
 
 fn loaded(folder: &Path, name: &str) -> String {
-    let said = match Scenario::load(&folder.join(name)) {
+    let decoded = match Scenario::load(&folder.join(name)) {
         Ok(s) => format!("  decoded: name {:?}, seed {}, servers {}\n", s.name, s.seed, s.fleet.servers),
-        Err(wrong) => wrong.0.iter().map(|line| format!("  fault {line}\n")).collect(),
+        Err(errors) => errors.0.iter().map(|error| format!("  fault {error}\n")).collect(),
     };
-    format!("== {name}\n{}\n", said.replace(folder.to_str().unwrap(), "FOLDER"))
+    format!("== {name}\n{}\n", decoded.replace(folder.to_str().unwrap(), "FOLDER"))
 }
 
 #[test]
-fn included_files_are_read_and_their_faults_told_as_recorded() {
+fn included_files_are_read_and_their_faults_reported_as_recorded() {
     let files = [
         ("base.kdl", "name \"base\"\nseed 5\nfleet servers=6\n"),
         ("over-base.kdl", "include \"base.kdl\"\nname \"over\"\n"),
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
@@ -1,12 +1,12 @@
-//! Golden file of the service files that the live fleet writes for its servers, read back by the program's own reader.
+//! Golden file of the service files that the test cluster writes for its servers, read back by the program's own reader.
 
 use crate::compare;
 use aldercrank_service_config::{parse, Start};
-use aldercrank_test_cluster::config::{service, start};
+use aldercrank_test_cluster::config::{rules_section, start_section, MemberAddress};
 use aldercrank_test_cluster::ids::ServerNo;
 use std::path::Path;
 
-/// What the reader makes of it, by the file's own names.
+/// The decoded meaning, by the names of the file.
 fn decoded(text: &str) -> String {
     let read = parse(text).unwrap_or_else(|faults| panic!("{}", faults[0]));
     let mut lines = format!("  start: tell-share {}\n", read.start.tell_share);
@@ -19,14 +19,17 @@
 }
 
 #[test]
-fn the_service_files_that_the_fleet_writes_are_read_as_recorded() {
+fn service_files_of_the_test_cluster_are_read_as_recorded() {
     let book = Path::new("/run/a \"b\"/rules.kdl");
-    let reach = |server: u16| (ServerNo(server), ([127, 0, 0, 1], 7100 + server).into());
+    let reach = |server: u16| MemberAddress {
+        member: ServerNo(server),
+        address: ([127, 0, 0, 1], 7100 + server).into(),
+    };
     let texts = [
-        start(&Start { tell_share: true }),
-        start(&Start { tell_share: false }),
-        service(book, None, Vec::new()),
-        service(book, Some(Path::new("/run/n1")), vec![reach(1), reach(2)]),
+        start_section(&Start { tell_share: true }),
+        start_section(&Start { tell_share: false }),
+        rules_section(book, None, &[]),
+        rules_section(book, Some(Path::new("/run/n1")), &[reach(1), reach(2)]),
     ];
     let both = format!("{}{}", texts[3], texts[0]);
     let all = texts.iter().chain([&both]);
--- a/crates/aldercrank-testbench/src/scenario_command.rs
+++ b/crates/aldercrank-testbench/src/scenario_command.rs
@@ -5,7 +5,7 @@
 use crate::scenario_bounds::missed_bounds;
 use crate::server_under_test::program_beside;
 use aldercrank_test_cluster::cluster::{run_dir, RunOptions, TestCluster};
-use aldercrank_test_cluster::fault_search::{self, Game};
+use aldercrank_test_cluster::fault_search::{self, Game, SearchStart};
 use aldercrank_test_cluster::process::Program;
 use aldercrank_test_cluster::report;
 use aldercrank_test_cluster::run_record::Outcome;
@@ -146,7 +146,7 @@
     let search_from = |n: u64| {
         fault_search::hunt(
             arguments.seconds,
-            (arguments.seed * PARALLEL_SEARCHES + n, game),
+            SearchStart { seed: arguments.seed * PARALLEL_SEARCHES + n, game },
             &mut |scenario| play(scenario, program, false),
             &|line| eprintln!("{line}"),
         )
