--- a/crates/aldercrank-test-cluster/src/cluster/run.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/run.rs
@@ -136,7 +136,7 @@
         for number in self.server_numbers() {
             if let Some(mut process) = self.server(number).process.take() {
                 process.kill();
-                let what = "it did not exit when it was asked to shut down";
+                let what = "it did not end when it was told to";
                 self.testbed.checker.record_violation(now, Rule::Drain, None, Some(number), what);
             }
         }
--- a/crates/aldercrank-test-cluster/src/edge_nodes/request.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/request.rs
@@ -12,8 +12,10 @@
     /// Completed after its latency target.
     Late,
     /// Rejected, and not retried any more.
+    #[serde(rename = "declined")]
     Rejected,
     /// Failed, and not retried any more.
+    #[serde(rename = "voided")]
     Failed,
     /// Not answered by its deadline.
     Expired,
--- a/crates/aldercrank-test-cluster/src/invariant_checker/violation.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/violation.rs
@@ -1,4 +1,5 @@
-//! The invariants, their violations, and the counts of a run.
+//! The invariants, their violations, and the counts of a run. The keys of their JSON keep the names of earlier
+//! versions, for readers of stored outcomes.
 
 use serde::Serialize;
 
@@ -30,6 +31,7 @@
     /// Seconds since the start of the run.
     pub at: f64,
     /// The attempt that it was seen at.
+    #[serde(rename = "rid")]
     pub attempt: Option<String>,
     /// The server that it was seen at.
     pub server: Option<String>,
@@ -41,14 +43,18 @@
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Counts {
     /// Attempts sent.
+    #[serde(rename = "tries")]
     pub attempts: u64,
     /// Responses received.
     pub answered: u64,
     /// Responses with a result.
+    #[serde(rename = "settled")]
     pub completed: u64,
     /// Responses that rejected the attempt.
+    #[serde(rename = "declined")]
     pub rejected: u64,
     /// Responses with an error.
+    #[serde(rename = "voided")]
     pub failed: u64,
     /// Runs started in worker pools.
     pub runs: u64,
--- a/crates/aldercrank-test-cluster/src/report.rs
+++ b/crates/aldercrank-test-cluster/src/report.rs
@@ -33,7 +33,7 @@
 {% for row in rows %}<tr><td>{{ row.name }}</td><td>{{ row.value }}</td>{% if calm %}<td>{{ row.calm }}</td>{% endif %}</tr>
 {% endfor %}</table>
 {% if o.broken %}<h2>Violations</h2><table><tr><th>rule</th><th>at, s</th><th>server</th><th>attempt</th><th>what</th></tr>
-{% for b in o.broken %}<tr><td>{{ b.rule }}</td><td>{{ b.at }}</td><td>{{ b.server or "" }}</td><td>{{ b.attempt or "" }}</td><td>{{ b.what }}</td></tr>
+{% for b in o.broken %}<tr><td>{{ b.rule }}</td><td>{{ b.at }}</td><td>{{ b.server or "" }}</td><td>{{ b.rid or "" }}</td><td>{{ b.what }}</td></tr>
 {% endfor %}</table>{% endif %}
 {% for plot in plots %}<h2>{{ plot.title }}</h2><figure>{{ plot.svg|safe }}<figcaption>{{ plot.caption }}</figcaption></figure>
 {% endfor %}
--- a/crates/aldercrank-test-cluster/src/run_record.rs
+++ b/crates/aldercrank-test-cluster/src/run_record.rs
@@ -1,4 +1,5 @@
-//! The record of a run: figures by class and second, the trace, and the outcome.
+//! The record of a run: figures by class and second, the trace, and the outcome. The keys of their JSON keep the names
+//! of earlier versions, for readers of stored outcomes and traces.
 
 use crate::edge_nodes::{Request, RequestClass, RequestEnd};
 use crate::ids::{RequestNo, ServerNo};
@@ -24,6 +25,7 @@
     /// How these requests ended.
     pub ends: BTreeMap<RequestEnd, u64>,
     /// Attempts sent.
+    #[serde(rename = "tries")]
     pub attempts: u64,
     /// Servers that run.
     pub up: usize,
@@ -49,6 +51,7 @@
     /// Microseconds since the callers began; negative before.
     pub us: i64,
     /// The request that it is about.
+    #[serde(rename = "txn")]
     pub request: Option<u32>,
     /// The server that it is about.
     pub server: Option<u16>,
@@ -250,6 +253,7 @@
     /// The same, of idempotent classes.
     pub inquiry: f64,
     /// The same, by class.
+    #[serde(rename = "products")]
     pub classes: Vec<(String, f64)>,
     /// How requests ended.
     pub ends: BTreeMap<RequestEnd, u64>,
