--- a/crates/aldercrank-test-cluster/src/run_record.rs
+++ b/crates/aldercrank-test-cluster/src/run_record.rs
@@ -48,7 +48,8 @@
 pub struct Line {
     /// Microseconds since the callers began; negative before.
     pub us: i64,
-    /// The request that it is about.
+    /// The request that it is about. Records of earlier versions call it `txn`.
+    #[serde(alias = "txn")]
     pub request: Option<u32>,
     /// The server that it is about.
     pub server: Option<u16>,
--- a/crates/aldercrank-testbench/src/edge_client.rs
+++ b/crates/aldercrank-testbench/src/edge_client.rs
@@ -1,7 +1,7 @@
 //! The client side of the edge protocol: a connection from an edge node.
 
-use rmp::encode;
-use rmpv::Value;
+use aldercrank_protocol::msgpack_rpc::{self, MessageId, ReceivedFields, RequestFields, ResponseHandler};
+use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -10,6 +10,10 @@
 pub(crate) const MAX_OPEN_CALLS: usize = 32;
 /// How long a response is waited for.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// The longest response that is read.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Memory that each request says it needs.
+const REQUEST_MEMORY_KB: f64 = 20.0;
 
 /// A request to be sent.
 #[derive(Clone, Debug)]
@@ -19,6 +23,7 @@
     pub(crate) token: Option<u64>,
     /// How long its caller waits.
     pub(crate) budget: Duration,
+    /// Bytes of its body.
     pub(crate) body: usize,
     /// Priority rank, from 0 up to 1.
     pub(crate) rank: f64,
@@ -34,64 +39,78 @@
 /// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Answer {
-    Completed(usize),
+    Completed,
     Rejected,
     Failed,
 }
 
+/// Responses that were read and not yet taken.
+#[derive(Default)]
+struct Received(VecDeque<(u32, Answer)>);
+
+impl ResponseHandler for Received {
+    fn completed(&mut self, call: MessageId, _result: &[u8], _fields: ReceivedFields) {
+        self.0.push_back((call.0, Answer::Completed));
+    }
+    fn rejected(&mut self, call: MessageId, _fields: ReceivedFields) {
+        self.0.push_back((call.0, Answer::Rejected));
+    }
+    fn failed(&mut self, call: MessageId, _error: &str, _fields: ReceivedFields) {
+        self.0.push_back((call.0, Answer::Failed));
+    }
+    fn health_reported(&mut self, _call: MessageId, _healthy: bool, _fields: ReceivedFields) {}
+    fn closing(&mut self) {}
+}
+
 /// One connection from an edge node to the server.
 pub(crate) struct EdgeConnection {
     stream: TcpStream,
     input: Vec<u8>,
-    next: u32,
-}
-
-fn text(into: &mut Vec<u8>, text: &str) {
-    let _ = encode::write_str(into, text);
+    received: Received,
+    last_message: u32,
 }
 
 impl EdgeConnection {
+    /// Connects to a server.
     pub(crate) fn connect(to: SocketAddr) -> io::Result<EdgeConnection> {
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(READ_TIMEOUT))?;
-        Ok(EdgeConnection { stream, input: Vec::new(), next: 0 })
+        Ok(EdgeConnection::on(stream))
+    }
+
+    fn on(stream: TcpStream) -> EdgeConnection {
+        EdgeConnection { stream, input: Vec::new(), received: Received::default(), last_message: 0 }
     }
 
     /// A second handle, which reads responses while this one sends.
     pub(crate) fn reader(&self) -> io::Result<EdgeConnection> {
-        Ok(EdgeConnection { stream: self.stream.try_clone()?, input: Vec::new(), next: 0 })
+        self.stream.try_clone().map(EdgeConnection::on)
     }
 
+    /// Sets how long `read_answer` waits.
     pub(crate) fn set_read_timeout(&self, span: Duration) -> io::Result<()> {
         self.stream.set_read_timeout(Some(span))
     }
 
-    /// Encodes one request into `into`; gives its message id.
-    pub(crate) fn append_request(&mut self, into: &mut Vec<u8>, request: &ClientRequest) -> u32 {
-        self.next += 1;
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let mut fields = vec![
-            ("rid", request.id()),
-            ("t0", unix.as_millis().to_string()),
-            ("peer", "1".to_string()),
-            ("budget", request.budget.as_millis().to_string()),
-            ("mem", "20".to_string()),
-            ("prio", format!("{:.4}", request.rank)),
-        ];
-        fields.extend(request.token.map(|token| ("token", format!("{token:032x}"))));
-        let _ = encode::write_array_len(into, 4);
-        let _ = encode::write_uint(into, 0);
-        let _ = encode::write_uint(into, u64::from(self.next));
-        text(into, request.class);
-        let _ = encode::write_array_len(into, 2);
-        let _ = encode::write_map_len(into, fields.len() as u32);
-        for (name, value) in &fields {
-            text(into, name);
-            text(into, value);
-        }
-        let _ = encode::write_bin(into, &vec![b'b'; request.body]);
-        self.next
+    /// Encodes one request into `output`; gives its message id.
+    pub(crate) fn append_request(&mut self, output: &mut Vec<u8>, request: &ClientRequest) -> u32 {
+        self.last_message += 1;
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let (id, token) = (request.id(), request.token.map(|token| format!("{token:032x}")));
+        let fields = RequestFields {
+            attempt: Some(&id),
+            t0: Some(unix_time.as_millis() as u64),
+            peer: Some(1),
+            budget: Some(request.budget.as_millis() as u64),
+            mem: Some(REQUEST_MEMORY_KB),
+            prio: Some(request.rank),
+            token: token.as_deref(),
+            obj: None,
+        };
+        let body = vec![b'b'; request.body];
+        msgpack_rpc::write_request(output, MessageId(self.last_message), request.class, &fields, &body);
+        self.last_message
     }
 
     /// Sends these in one write.
@@ -103,6 +122,7 @@
         self.send(&bytes)
     }
 
+    /// Sends encoded requests.
     pub(crate) fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
@@ -110,26 +130,17 @@
     /// Cancels the last request.
     pub(crate) fn cancel_last(&mut self) -> io::Result<()> {
         let mut bytes = Vec::new();
-        let _ = encode::write_array_len(&mut bytes, 3);
-        let _ = encode::write_uint(&mut bytes, 2);
-        text(&mut bytes, "interrupt");
-        let _ = encode::write_array_len(&mut bytes, 1);
-        let _ = encode::write_uint(&mut bytes, u64::from(self.next));
+        msgpack_rpc::write_cancel(&mut bytes, MessageId(self.last_message));
         self.stream.write_all(&bytes)
     }
 
-    /// The next response with its message id; nothing where none has come within the read timeout.
+    /// The next answer with its message id; nothing where none has come within the read timeout.
     pub(crate) fn read_answer(&mut self) -> io::Result<Option<(u32, Answer)>> {
         let mut chunk = [0; 64 * 1024];
         loop {
-            let mut rest = &self.input[..];
-            if let Ok(message) = rmpv::decode::read_value(&mut rest) {
-                let taken = self.input.len() - rest.len();
-                self.input.drain(..taken);
-                match parse_response(&message) {
-                    Some(read_answer) => return Ok(Some(read_answer)),
-                    None => continue,
-                }
+            self.decode()?;
+            if let Some(answer) = self.received.0.pop_front() {
+                return Ok(Some(answer));
             }
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Err(io::Error::new(ErrorKind::UnexpectedEof, "the server has closed")),
@@ -139,23 +150,19 @@
             }
         }
     }
-}
 
-/// A response's message id and kind; nothing for a notification.
-fn parse_response(message: &Value) -> Option<(u32, Answer)> {
-    let parts = message.as_array()?;
-    let [kind, append_request, error, result] = &parts[..] else { return None };
-    if kind.as_u64() != Some(1) {
-        return None;
+    /// Decodes all complete messages that were read.
+    fn decode(&mut self) -> io::Result<()> {
+        let mut taken = 0;
+        loop {
+            let rest = &self.input[taken..];
+            let read = msgpack_rpc::read_response(rest, MAX_RESPONSE_BYTES, &mut self.received);
+            match read.map_err(io::Error::other)? {
+                Some(length) => taken += length,
+                None => break,
+            }
+        }
+        self.input.drain(..taken);
+        Ok(())
     }
-    let named = error.as_array().and_then(|e| e.first()).and_then(Value::as_str);
-    let read_answer = match named {
-        Some("Overloaded") => Answer::Rejected,
-        Some(_) => Answer::Failed,
-        None => match result.as_array().and_then(|r| r.first()) {
-            Some(Value::Binary(bytes)) => Answer::Completed(bytes.len()),
-            _ => Answer::Failed,
-        },
-    };
-    Some((append_request.as_u64()? as u32, read_answer))
 }
--- a/crates/aldercrank-testbench/src/load_generator.rs
+++ b/crates/aldercrank-testbench/src/load_generator.rs
@@ -43,7 +43,7 @@
 
 fn kind(answer: Answer) -> (&'static str, usize) {
     match answer {
-        Answer::Completed(_) => ("completed", 0),
+        Answer::Completed => ("completed", 0),
         Answer::Rejected => ("rejected", 1),
         Answer::Failed => ("failed", 2),
     }
--- a/crates/aldercrank-testbench/src/request_cost.rs
+++ b/crates/aldercrank-testbench/src/request_cost.rs
@@ -161,7 +161,7 @@
             for _ in 0..n {
                 let answer = self.connections[0].read_answer()?.map(|(_, answer)| answer);
                 let good = match answer {
-                    Some(Answer::Completed(_)) => kind != RequestKind::Rejected,
+                    Some(Answer::Completed) => kind != RequestKind::Rejected,
                     Some(Answer::Rejected) => kind == RequestKind::Rejected,
                     _ => false,
                 };
@@ -214,7 +214,7 @@
         let ended = self.server.pool.finish_oldest().and_then(|attempt| self.queued.remove(&attempt));
         let on = ended.ok_or_else(|| unexpected("no queued request ran"))?;
         match self.connections[on].read_answer()? {
-            Some((_, Answer::Completed(_))) => {}
+            Some((_, Answer::Completed)) => {}
             other => return Err(unexpected(&format!("a queued request was answered with {other:?}"))),
         }
         let request = self.next_request(RequestKind::Completed);
--- a/crates/aldercrank-testbench/src/stub_services.rs
+++ b/crates/aldercrank-testbench/src/stub_services.rs
@@ -1,6 +1,8 @@
 //! Stub services on loopback: worker pool, index, membership service. Each runs on a thread of its own that ends with
 //! the process.
 
+use aldercrank_protocol::http;
+use aldercrank_protocol::worker_pool::{self, AttemptId, CommandHandler, NoticeNumber, RunEnd};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,6 +10,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// How long the worker pool has been up when a server connects: it is warm.
+const POOL_AGE: Duration = Duration::from_secs(100);
+/// The run time that is reported for runs without work.
+const SHORT_RUN: Duration = Duration::from_millis(1);
+/// The class whose runs make a call first, where runs do.
+const CLASS_WITH_CALL: &str = "map-extract";
+
 /// How the worker pool runs requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum RunBehavior {
@@ -30,24 +39,34 @@
     pub(crate) result: usize,
 }
 
+/// What a stub worker pool remembers.
 #[derive(Default)]
 struct State {
-    set_behavior: PoolBehavior,
+    behavior: PoolBehavior,
     link: Option<TcpStream>,
-    notice: u64,
-    running: VecDeque<String>,
+    last_notice: u64,
+    running: VecDeque<AttemptId>,
     /// When runs with work were started, since the server learns from how long they took.
-    started_at: BTreeMap<String, Instant>,
+    started_at: BTreeMap<AttemptId, Instant>,
 }
 
 impl State {
-    fn end(&mut self, into: &mut Vec<u8>, attempt: &str, how: &str) {
-        let length = if how == "ok" { self.set_behavior.result } else { 0 };
-        self.notice += 1;
-        let took = self.started_at.remove(attempt).map_or(1.0, |at| at.elapsed().as_secs_f64() * 1e3);
-        into.extend(format!("finished {} {attempt} {how} {took:.3} {length}\r\n", self.notice).bytes());
-        into.resize(into.len() + length, b'r');
-        into.extend(b"\r\n");
+    fn next_notice(&mut self) -> NoticeNumber {
+        self.last_notice += 1;
+        NoticeNumber(self.last_notice)
+    }
+
+    /// Writes that a run has ended.
+    fn end_run(&mut self, output: &mut Vec<u8>, attempt: AttemptId, end: RunEnd) {
+        let length = if end == RunEnd::Ok { self.behavior.result } else { 0 };
+        let run_time = self.started_at.remove(&attempt).map_or(SHORT_RUN, |at| at.elapsed());
+        let notice = self.next_notice();
+        worker_pool::write_run_finished(output, notice, attempt, end, run_time, &vec![b'r'; length]);
+    }
+
+    fn remove_running(&mut self, attempt: AttemptId) -> bool {
+        let place = self.running.iter().position(|running| *running == attempt);
+        place.and_then(|place| self.running.remove(place)).is_some()
     }
 
     fn send(&mut self, bytes: &[u8]) {
@@ -65,6 +84,7 @@
 }
 
 impl StubWorkerPool {
+    /// Listens on this address.
     pub(crate) fn start(ip: &str) -> io::Result<StubWorkerPool> {
         let listener = TcpListener::bind((ip, 0))?;
         let pool = StubWorkerPool { state: Arc::default(), addr: listener.local_addr()? };
@@ -81,8 +101,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn set_behavior(&self, set_behavior: PoolBehavior) {
-        self.state().set_behavior = set_behavior;
+    /// Changes what it does from now on.
+    pub(crate) fn set_behavior(&self, behavior: PoolBehavior) {
+        self.state().behavior = behavior;
     }
 
     /// Whether a server is connected.
@@ -90,6 +111,7 @@
         self.state().link.is_some()
     }
 
+    /// How many runs have been started and not ended.
     pub(crate) fn running(&self) -> usize {
         self.state().running.len()
     }
@@ -99,15 +121,15 @@
         let mut state = self.state();
         let mut bytes = Vec::new();
         let attempt = state.running.pop_front()?;
-        state.end(&mut bytes, &attempt, "ok");
+        state.end_run(&mut bytes, attempt, RunEnd::Ok);
         state.send(&bytes);
-        Some(attempt)
+        Some(attempt.to_string())
     }
 
-    fn serve(&self, link: TcpStream) -> io::Result<()> {
+    fn serve(&self, mut link: TcpStream) -> io::Result<()> {
         link.set_nodelay(true)?;
         self.state().link = Some(link.try_clone()?);
-        let (mut link, mut input, mut chunk) = (link, Vec::new(), vec![0; 256 * 1024]);
+        let (mut input, mut chunk) = (Vec::new(), vec![0; 256 * 1024]);
         loop {
             let n = link.read(&mut chunk)?;
             if n == 0 {
@@ -116,77 +138,83 @@
             input.extend_from_slice(&chunk[..n]);
             // All commands that have come are carried out before anything is written: events go out together.
             let (mut output, mut taken) = (Vec::new(), 0);
-            while let Some(length) = self.command(&input[taken..], &mut output) {
-                taken += length;
+            loop {
+                let mut receiver = CommandReceiver { pool: self, output: &mut output };
+                let read = worker_pool::read_command(&input[taken..], &mut receiver);
+                match read.map_err(io::Error::other)? {
+                    Some(length) => taken += length,
+                    None => break,
+                }
             }
             input.drain(..taken);
             self.state().send(&output);
         }
     }
 
-    /// Carries out one command off the front; gives its length, or nothing while it is incomplete.
-    fn command(&self, buf: &[u8], output: &mut Vec<u8>) -> Option<usize> {
-        let end = buf.windows(2).position(|two| two == b"\r\n")?;
-        let line = String::from_utf8_lossy(&buf[..end]).to_string();
-        let fields: Vec<&str> = line.split_whitespace().collect();
-        let field = |i: usize| fields.get(i).copied().unwrap_or_default();
-        let carries = matches!(field(0), "spawn" | "supply");
-        let length = fields.last().filter(|_| carries).and_then(|text| text.parse::<usize>().ok());
-        let total = end + 2 + length.map_or(0, |n| n + 2);
-        if buf.len() < total {
-            return None;
-        }
+    /// Starts the work of a run, whose call, if it made one, is over.
+    fn run(&self, output: &mut Vec<u8>, attempt: AttemptId) {
         let mut state = self.state();
-        match field(0) {
-            "bind" => output.extend(b"bound warm 100000\r\n"),
-            "poll" => {
-                let n = state.running.len();
-                output.extend(format!("polled {} 0.5 {n}\r\n", field(1)).bytes());
-            }
-            "spawn" => {
-                if matches!(state.set_behavior.runs, RunBehavior::Work { .. }) {
-                    state.started_at.insert(field(1).to_string(), Instant::now());
-                }
-                if state.set_behavior.calls && field(2) == "map-extract" {
-                    state.notice += 1;
-                    output.extend(format!("blocked {} {} 4\r\nask!\r\n", state.notice, field(1)).bytes());
-                } else {
-                    self.run(&mut state, field(1), output);
-                }
-            }
-            "supply" | "pass" => self.run(&mut state, field(1), output),
-            "suspend" => {
-                let at = state.running.iter().position(|attempt| attempt == field(1));
-                if at.and_then(|at| state.running.remove(at)).is_some() {
-                    state.end(output, field(1), "halted");
-                }
+        match state.behavior.runs {
+            RunBehavior::Immediate => state.end_run(output, attempt, RunEnd::Ok),
+            RunBehavior::OnDemand => state.running.push_back(attempt),
+            RunBehavior::Work { span, cores } => {
+                state.running.push_back(attempt);
+                let slowdown = (state.running.len() as f64 / cores as f64).max(1.0);
+                let pool = self.clone();
+                thread::spawn(move || pool.end_after(span.mul_f64(slowdown), attempt));
             }
-            _ => {}
         }
-        Some(total)
     }
 
-    fn run(&self, state: &mut State, attempt: &str, output: &mut Vec<u8>) {
-        match state.set_behavior.runs {
-            RunBehavior::Immediate => state.end(output, attempt, "ok"),
-            RunBehavior::OnDemand => state.running.push_back(attempt.to_string()),
-            RunBehavior::Work { span, cores } => {
-                state.running.push_back(attempt.to_string());
-                let crowd = (state.running.len() as f64 / cores as f64).max(1.0);
-                let (pool, attempt) = (self.clone(), attempt.to_string());
-                thread::spawn(move || {
-                    thread::sleep(span.mul_f64(crowd));
-                    let mut state = pool.state();
-                    let at = state.running.iter().position(|r| *r == attempt);
-                    if at.and_then(|at| state.running.remove(at)).is_some() {
-                        let mut bytes = Vec::new();
-                        state.end(&mut bytes, &attempt, "ok");
-                        state.send(&bytes);
-                    }
-                });
-            }
+    fn end_after(&self, span: Duration, attempt: AttemptId) {
+        thread::sleep(span);
+        let mut state = self.state();
+        if state.remove_running(attempt) {
+            let mut bytes = Vec::new();
+            state.end_run(&mut bytes, attempt, RunEnd::Ok);
+            state.send(&bytes);
+        }
+    }
+}
+
+/// Carries out commands and collects the events that they lead to.
+struct CommandReceiver<'a> {
+    pool: &'a StubWorkerPool,
+    output: &'a mut Vec<u8>,
+}
+
+impl CommandHandler for CommandReceiver<'_> {
+    fn bind(&mut self, _last: NoticeNumber) {
+        worker_pool::write_bound(self.output, false, POOL_AGE);
+    }
+    fn start_run(&mut self, attempt: AttemptId, class: &str, _body: &[u8]) {
+        let mut state = self.pool.state();
+        if matches!(state.behavior.runs, RunBehavior::Work { .. }) {
+            state.started_at.insert(attempt, Instant::now());
+        }
+        if state.behavior.calls && class == CLASS_WITH_CALL {
+            let notice = state.next_notice();
+            return worker_pool::write_run_blocked(self.output, notice, attempt, b"ask!");
+        }
+        drop(state);
+        self.pool.run(self.output, attempt);
+    }
+    fn stop_run(&mut self, attempt: AttemptId) {
+        let mut state = self.pool.state();
+        if state.remove_running(attempt) {
+            state.end_run(self.output, attempt, RunEnd::Halted);
         }
     }
+    fn deliver_call_result(&mut self, attempt: AttemptId, _reply: &[u8]) {
+        self.pool.run(self.output, attempt);
+    }
+    fn skip_call(&mut self, attempt: AttemptId, _notice: NoticeNumber) {
+        self.pool.run(self.output, attempt);
+    }
+    fn report_metrics(&mut self, tag: &str) {
+        let running = self.pool.running() as f64;
+        worker_pool::write_metrics(self.output, tag, &[0.5, running]);
+    }
 }
 
 /// Starts an HTTP server that gives each request this response, after a pause.
@@ -209,15 +237,11 @@
             return Ok(());
         }
         input.extend_from_slice(&chunk[..n]);
-        let text = String::from_utf8_lossy(&input).to_string();
-        let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
-        let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: ")?.parse().ok());
-        if body.len() < length.unwrap_or(0) {
-            continue;
+        while let Some(request) = http::read_request(&input).map_err(io::Error::other)? {
+            input.drain(..request.length);
+            thread::sleep(pause);
+            stream.write_all(response.as_bytes())?;
         }
-        input.clear();
-        thread::sleep(pause);
-        stream.write_all(response.as_bytes())?;
     }
 }
 
