--- /dev/null
+++ b/crates/aldercrank-server/src/core/configuration.rs
@@ -0,0 +1,52 @@
+//! Changes of configuration: settings, configuration versions with their quota, and leases.
+
+use super::ports::Ports;
+use super::Core;
+use aldercrank::{Outcome, Settings};
+use std::time::Duration;
+
+impl<P: Ports> Core<P> {
+    /// Puts a configuration version in force. Its settings apply to requests received from now on; `share` is this
+    /// server's quota of upstream calls, where the version gives one.
+    pub fn in_force(&mut self, now: Duration, settings: &Settings, version: u64, share: Option<f64>) {
+        let state = self.advance_to(now);
+        (state.version, state.upstream_quota) = (Some(version), share);
+        self.goes_by(now, settings);
+    }
+
+    /// Applies other settings to requests received from now on. Those in flight keep their effect and deadline.
+    pub fn goes_by(&mut self, now: Duration, settings: &Settings) {
+        self.advance_to(now).load_settings(settings);
+        if let Some(tracker) = &mut self.slow_start {
+            tracker.apply_settings(settings);
+        }
+        self.admission.apply_settings(now, settings);
+        self.notify_ended();
+    }
+
+    /// Renews the lease: everything is permitted until `full`, idempotent requests until `alone`.
+    pub fn leased(&mut self, now: Duration, full: Duration, alone: Duration) {
+        self.advance_to(now).lease.renew(full, alone);
+        self.apply_lease(now);
+        self.notify_ended();
+    }
+
+    /// Notifies the module of calls that were suppressed: as unreachable, since they never ran.
+    pub(super) fn notify_suppressed_calls(&mut self) {
+        while let Some(id) = self.admission.host.suppressed_calls.pop_front() {
+            let now = self.admission.host.now;
+            let started_at =
+                self.admission.host.request(id).and_then(|request| request.call_started_at.take());
+            if started_at.is_some() {
+                self.admission.call_ended(now, id, Outcome::Unreachable, Duration::ZERO);
+            }
+        }
+    }
+
+    /// Gives the module the permission that holds at this time, if it has changed.
+    pub(super) fn apply_lease(&mut self, now: Duration) {
+        if let Some(permission) = self.admission.host.lease.take_change(now) {
+            self.admission.set_permission(now, permission);
+        }
+    }
+}
--- /dev/null
+++ b/crates/aldercrank-server/src/core/ports.rs
@@ -0,0 +1,87 @@
+//! What the core needs from its surroundings: the trait `Ports`, and the types that cross it.
+
+use crate::dedup::{DedupKey, EntryId};
+use crate::payload::Payload;
+use crate::worker_pool::{AttemptId, NoticeNumber};
+use aldercrank::{IncomingRequest, RequestId};
+use aldercrank_protocol::msgpack_rpc::MessageId;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A connection from an edge node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnId(pub u32);
+
+/// Where a response is owed: a message on a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ReplyTo {
+    /// The connection that the request was read from.
+    pub conn: ConnId,
+    /// The request's message id, which its response repeats.
+    pub call: MessageId,
+}
+
+/// A timer of the core. Each has one deadline at most; setting it again replaces the deadline.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum TimerId {
+    /// The admission module's periodic timer.
+    Tick,
+    /// Requests the pool's load metrics shortly before the tick.
+    LoadMetrics,
+    /// A deduplication entry may have expired.
+    DedupExpiry(EntryId),
+    /// Sends the start command of an answered request again, if its delivery is still unknown.
+    ResendStart(RequestId),
+}
+
+/// The actions that the core takes. The sockets implement it; tests use fakes.
+///
+/// Durations are spans from the moment of the call.
+pub trait Ports {
+    /// Sends the final response of a request that completed.
+    fn complete(&mut self, reply_to: ReplyTo, result: Payload);
+    /// Sends the final response of a request that was rejected and never ran. `retry_after` is when the caller may
+    /// try again; `last` asks it not to try another server.
+    fn reject(&mut self, reply_to: ReplyTo, retry_after: Option<Duration>, last: bool);
+    /// Sends the final response of a request that failed; it may have run.
+    fn fail(&mut self, reply_to: ReplyTo);
+    /// Adds to the response the configuration version that the request is decided by. Called at most once for a
+    /// request and before its response.
+    fn decided_by_version(&mut self, _reply_to: ReplyTo, _version: u64) {}
+    /// Tells the worker pool to start a run.
+    fn start_run(&mut self, attempt: AttemptId, class: &str, body: &Rc<[u8]>);
+    /// Tells the worker pool to stop a run.
+    fn stop_run(&mut self, attempt: AttemptId);
+    /// Hands the reply of an upstream call to the run that waits for it.
+    fn deliver_call_result(&mut self, attempt: AttemptId, reply: &[u8]);
+    /// Tells a waiting run to continue without the upstream call that this notice announced.
+    fn skip_call(&mut self, attempt: AttemptId, notice: NoticeNumber);
+    /// Requests load metrics from the worker pool; its response carries the tag.
+    fn request_metrics(&mut self, tag: u64);
+    /// Calls the upstream dependency on behalf of a run.
+    fn start_call(&mut self, request: RequestId, attempt: AttemptId, body: &[u8], timeout: Duration);
+    /// Abandons an upstream call.
+    fn cancel_call(&mut self, request: RequestId);
+    /// Sets what health checks report from now on.
+    fn health(&mut self, good: bool);
+    /// Closes connections that have been idle for this long.
+    fn close_idle(&mut self, span: Duration);
+    /// Sets the load hint that goes with each response.
+    fn advertise(&mut self, value: f64);
+    /// Sets a timer; `Core::reminded` is called once it is due.
+    fn set_timer(&mut self, what: TimerId, after: Duration);
+}
+
+/// A complete request as it was read from an edge node.
+pub struct ReceivedRequest<'a> {
+    /// The id that the edge node gave this attempt.
+    pub attempt: AttemptId,
+    /// Links the request with its repeats, where it has an idempotency key or a subject.
+    pub dedup_key: Option<DedupKey>,
+    /// What the admission module decides by.
+    pub arrival: IncomingRequest<'a>,
+    /// The longest that the request can have waited unread, by this server's own clock.
+    pub unread: Duration,
+    /// The request's body, passed to the worker pool unchanged.
+    pub body: &'a [u8],
+}
--- /dev/null
+++ b/crates/aldercrank-server/src/core/receive.rs
@@ -0,0 +1,114 @@
+//! Events from edge nodes: a request is received, its caller goes, its connection is lost.
+
+use super::log::log_request;
+use super::ports::{ConnId, Ports, ReceivedRequest, ReplyTo};
+use super::request::{Delivery, Request, Stage};
+use super::state::CoreState;
+use super::{Core, MessageId};
+use crate::payload;
+use aldercrank::{Effect, IncomingRequest, RequestId};
+use std::ops::Bound;
+use std::time::Duration;
+
+impl<P: Ports> CoreState<P> {
+    /// The index of the request's class; none, with a line in the log, for a request that can't be run.
+    fn class_of(&self, received: &ReceivedRequest) -> Option<usize> {
+        let class = self.classes.iter().position(|class| *class.name == *received.arrival.class);
+        let Some(class) = class.filter(|_| !self.in_flight.contains_key(&received.attempt)) else {
+            tracing::warn!(
+                attempt = %received.attempt,
+                class = received.arrival.class,
+                "request failed: its id is in flight already, or its class is unknown"
+            );
+            return None;
+        };
+        // A request that runs at most once must be recognised when it is repeated.
+        if self.classes[class].effect == Effect::Keyed && received.dedup_key.is_none() {
+            tracing::warn!(
+                attempt = %received.attempt,
+                class = received.arrival.class,
+                "request failed: it has no idempotency key, which its class requires"
+            );
+            return None;
+        }
+        Some(class)
+    }
+}
+
+impl<P: Ports> Core<P> {
+    /// Takes a complete request. One that can't be run fails at once.
+    pub fn request_received(&mut self, now: Duration, reply_to: ReplyTo, received: ReceivedRequest) {
+        let state = self.advance_to(now);
+        let Some(class) = state.class_of(&received) else { return state.ports.fail(reply_to) };
+        let effect = state.classes[class].effect;
+        // The caller's word is limited to the longest deadline: a request older than that is gone, or its clock is
+        // wrong. Deduplication windows go by the caller's word; slow reading is judged by this server's own clock.
+        let reported_age = received.arrival.unread_for.min(state.longest_deadline);
+        let arrived_at = now.saturating_sub(reported_age);
+        let unread_for = reported_age.min(received.unread);
+        if received.dedup_key.is_some() && state.dedup.is_full() {
+            tracing::error!("request rejected: the deduplication table is full");
+            return state.ports.reject(reply_to, None, false);
+        }
+        let dedup_key = received.dedup_key.as_ref();
+        let repeats = dedup_key.and_then(|key| state.dedup.find_original(key, arrived_at, now));
+        let request = Request {
+            attempt: received.attempt,
+            reply_to: Some(reply_to),
+            dedup_key: received.dedup_key,
+            class,
+            effect,
+            body: Some(payload::copy_body(received.body)),
+            repeats,
+            stage: Stage::Queued,
+            delivery: Delivery::Confirmed,
+            blocked_call: None,
+            call_started_at: None,
+            undelivered_result: None,
+            skip_sent_last: false,
+            joined_at: now,
+            waiters: Vec::new(),
+        };
+        let Some(id) = state.requests.insert(request).map(|slot| RequestId(slot.0)) else {
+            tracing::error!("request rejected: all request ids are in use");
+            return state.ports.reject(reply_to, None, false);
+        };
+        log_request!(
+            received.attempt,
+            class = received.arrival.class,
+            repeats = repeats.is_some(),
+            "request received"
+        );
+        state.in_flight.insert(received.attempt, id);
+        if let Some(version) = state.version.filter(|_| state.lease.covers(effect)) {
+            state.ports.decided_by_version(reply_to, version);
+        }
+        state.replies_owed.insert(reply_to, id);
+        let incoming = IncomingRequest { repeats, unread_for, ..received.arrival };
+        self.admission.request_received(now, id, &incoming);
+        self.notify_ended();
+    }
+
+    /// A caller cancelled its request; no response is owed any more.
+    pub fn caller_gone(&mut self, now: Duration, reply_to: ReplyTo) {
+        let state = self.advance_to(now);
+        let Some(id) = state.replies_owed.remove(&reply_to) else { return };
+        let Some(request) = state.request(id) else { return };
+        request.reply_to = None;
+        log_request!(request.attempt, "caller has gone; no response will be sent");
+        self.admission.caller_gone(now, id);
+        self.admission.host.abandon(id);
+        self.notify_ended();
+    }
+
+    /// A connection is lost, and with it all callers on it.
+    pub fn conn_lost(&mut self, now: Duration, conn: ConnId) {
+        let first = ReplyTo { conn, call: MessageId(0) };
+        while let Some((reply_to, _)) = self.admission.host.replies_owed.next(Bound::Included(&first)) {
+            if reply_to.conn != conn {
+                break;
+            }
+            self.caller_gone(now, reply_to);
+        }
+    }
+}
--- /dev/null
+++ b/crates/aldercrank-server/src/core/runs.rs
@@ -0,0 +1,110 @@
+//! Events of runs in the worker pool and of the upstream calls that they wait for.
+
+use super::log::log_request;
+use super::ports::Ports;
+use super::request::{BlockedCall, CallResult, Delivery};
+use super::state::LinkState;
+use super::Core;
+use crate::payload::Payload;
+use crate::worker_pool::{AttemptId, NoticeNumber};
+use aldercrank::{Outcome, RequestId};
+use std::time::Duration;
+
+impl<P: Ports> Core<P> {
+    /// A run ended. `took` is the time it spent in the pool; `result` counts only if it completed.
+    pub fn run_ended(
+        &mut self,
+        now: Duration,
+        attempt: AttemptId,
+        how: Outcome,
+        took: Duration,
+        result: Payload,
+    ) {
+        let state = self.advance_to(now);
+        let Some(id) = state.in_flight.get(&attempt).copied() else {
+            return tracing::debug!(%attempt, "notice ignored: the run that ended is not in flight");
+        };
+        if state.running_request(id).is_none() {
+            return tracing::warn!(%attempt, "notice ignored: the run that ended was never started");
+        }
+        log_request!(attempt, outcome = ?how, "run ended");
+        let completed = Some(result).filter(|_| how == Outcome::Completed);
+        if let Some(reply_to) = state.take_reply_to(id) {
+            match completed {
+                Some(result) => state.ports.complete(reply_to, result),
+                None => state.ports.fail(reply_to),
+            }
+        }
+        let Some(request) = state.request(id) else { return };
+        let (class, dedup_key) = (request.class, request.dedup_key);
+        let waiters = std::mem::take(&mut request.waiters);
+        if request.call_started_at.take().is_some() {
+            state.ports.cancel_call(id);
+        }
+        if let Some(dedup_key) = dedup_key {
+            if how.never_ran() {
+                state.dedup.run_never_started(&dedup_key, id);
+            } else {
+                state.dedup.run_ended(&dedup_key, id, completed);
+            }
+        }
+        state.finish(id);
+        if let (Outcome::Completed, Some(tracker)) = (how, &mut self.slow_start) {
+            tracker.run_completed(class, took);
+        }
+        self.admission.run_ended(now, id, how, took);
+        waiters.into_iter().for_each(|waiter| self.end_join(waiter, completed));
+        self.notify_ended();
+    }
+
+    /// The pool does not know a run that it was told to start, so the run never will start.
+    pub fn run_unknown(&mut self, now: Duration, attempt: AttemptId) {
+        self.run_ended(now, attempt, Outcome::NeverStarted, Duration::ZERO, Payload::Passing(&[]));
+    }
+
+    /// A run waits for an upstream call with this body; `notice` identifies the call to the pool.
+    pub fn call_needed(&mut self, now: Duration, attempt: AttemptId, notice: NoticeNumber, body: &[u8]) {
+        let state = self.advance_to(now);
+        let Some(id) = state.in_flight.get(&attempt).copied() else {
+            return tracing::debug!(%attempt, "notice ignored: the run that needs a call is not in flight");
+        };
+        let Some(request) = state.running_request(id) else { return };
+        request.blocked_call = Some(BlockedCall { notice, body: body.into() });
+        request.delivery = Delivery::Confirmed;
+        (request.undelivered_result, request.skip_sent_last) = (None, false);
+        self.admission.call_requested(now, id);
+        self.notify_ended();
+    }
+
+    /// The pool answered the poll with this tag. It has received every command sent before that poll.
+    pub fn polled(&mut self, now: Duration, tag: u64, load_metrics: &[f64]) {
+        let state = self.advance_to(now);
+        state.load_metrics.clear();
+        state.load_metrics.extend_from_slice(load_metrics);
+        (state.polling, state.answered_poll_tag) = (false, tag);
+        if state.link == LinkState::Replaying(tag) {
+            state.link = LinkState::Up;
+            state.resend_commands();
+        }
+        self.notify_ended();
+    }
+
+    /// An upstream call ended. `reply` counts only if it completed.
+    pub fn call_ended(&mut self, now: Duration, id: RequestId, how: Outcome, reply: &[u8]) {
+        let state = self.advance_to(now);
+        let Some(request) = state.running_request(id) else { return };
+        let Some(started_at) = request.call_started_at.take() else { return };
+        let has_caller = request.reply_to.is_some();
+        log_request!(request.attempt, outcome = ?how, "upstream call ended");
+        if how == Outcome::Completed && has_caller {
+            state.send_call_result(id, CallResult::Reply(reply.into()));
+        }
+        if matches!(how, Outcome::Rejected | Outcome::Unreachable | Outcome::TimedOut) {
+            if let Some(tracker) = &mut self.slow_start {
+                tracker.call_rejected();
+            }
+        }
+        self.admission.call_ended(now, id, how, now.saturating_sub(started_at));
+        self.notify_ended();
+    }
+}
--- /dev/null
+++ b/crates/aldercrank-server/src/core/state.rs
@@ -0,0 +1,239 @@
+//! The state that the core keeps beside the admission module, and the steps on it that several events share.
+
+use super::lease::Lease;
+use super::ports::{Ports, ReplyTo, TimerId};
+use super::request::{CallResult, Delivery, Request, Stage};
+use crate::dedup::DedupTable;
+use crate::slots::{Slot, Slots};
+use crate::worker_pool::AttemptId;
+use aldercrank::tree::Tree;
+use aldercrank::{parameters, DeterministicMap, Effect, Outcome, RequestId, Settings};
+use std::collections::VecDeque;
+use std::fmt;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// After this many ticks from its response a start command of unknown delivery is sent again, to free its slot.
+pub(super) const RESEND_AFTER_TICKS: u32 = 30;
+
+/// The link to the worker pool.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LinkState {
+    Down,
+    /// The worker pool replays the notices that were missed; the response to the poll with this tag ends them.
+    Replaying(u64),
+    Up,
+}
+
+/// The name and the effect of a request class.
+pub(super) struct ClassInfo {
+    pub(super) name: Rc<str>,
+    pub(super) effect: Effect,
+}
+
+/// A request that ended while the admission module was at work; the module is notified once it has returned.
+pub(super) struct EndedRequest {
+    pub(super) id: RequestId,
+    pub(super) outcome: Outcome,
+}
+
+/// The requests in flight, the deduplication table and the ports.
+pub(super) struct CoreState<P: Ports> {
+    pub(super) ports: P,
+    /// The time of the latest event.
+    pub(super) now: Duration,
+    pub(super) classes: Vec<ClassInfo>,
+    /// The longest deduplication window of any class so far.
+    pub(super) longest_window: Duration,
+    /// The longest deadline of any class.
+    pub(super) longest_deadline: Duration,
+    /// The admission module's timer interval.
+    pub(super) tick: Duration,
+    pub(super) requests: Slots<Request>,
+    /// The requests that are queued, joined or running.
+    pub(super) in_flight: DeterministicMap<AttemptId, RequestId>,
+    pub(super) replies_owed: Tree<ReplyTo, RequestId>,
+    pub(super) dedup: DedupTable,
+    pub(super) link: LinkState,
+    /// Tag of the latest poll for load metrics.
+    pub(super) poll_tag: u64,
+    /// Whether a poll is unanswered.
+    pub(super) polling: bool,
+    /// Tag of the latest poll that was answered.
+    pub(super) answered_poll_tag: u64,
+    pub(super) load_metrics: Vec<f64>,
+    /// The configuration version in force, where there is one.
+    pub(super) version: Option<u64>,
+    pub(super) lease: Lease,
+    /// This server's quota of upstream calls, where the configuration version gives one.
+    pub(super) upstream_quota: Option<f64>,
+    /// Calls that were not made for want of a quota; the module is notified once it has returned.
+    pub(super) suppressed_calls: VecDeque<RequestId>,
+    /// Ends that the module is notified of once it has returned.
+    pub(super) ended: VecDeque<EndedRequest>,
+}
+
+/// An attempt's id for the log; empty if its request is gone.
+pub(super) struct AttemptLabel(Option<AttemptId>);
+
+impl fmt::Display for AttemptLabel {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        self.0.map_or(Ok(()), |attempt| write!(f, "{attempt}"))
+    }
+}
+
+pub(super) fn slot(id: RequestId) -> Slot {
+    Slot(id.0)
+}
+
+impl<P: Ports> CoreState<P> {
+    /// `now`: the worker pool's age. `result_capacity`: bytes for cached results.
+    pub(super) fn new(now: Duration, result_capacity: usize, ports: P) -> CoreState<P> {
+        CoreState {
+            ports,
+            now,
+            classes: Vec::new(),
+            longest_window: Duration::ZERO,
+            longest_deadline: Duration::MAX,
+            tick: Duration::ZERO,
+            requests: Slots::default(),
+            in_flight: DeterministicMap::default(),
+            replies_owed: Tree::default(),
+            dedup: DedupTable::new(result_capacity),
+            link: LinkState::Down,
+            poll_tag: 0,
+            polling: false,
+            answered_poll_tag: 0,
+            load_metrics: Vec::new(),
+            version: None,
+            lease: Lease::default(),
+            upstream_quota: None,
+            suppressed_calls: VecDeque::new(),
+            ended: VecDeque::new(),
+        }
+    }
+
+    /// Takes over what the core itself needs from the settings.
+    pub(super) fn load_settings(&mut self, settings: &Settings) {
+        let classes = parameters::classes(settings);
+        let longest = classes.iter().map(|class| class.window).max().unwrap_or_default();
+        // An entry may have been made under a longer window.
+        self.longest_window = self.longest_window.max(longest);
+        let deadline_key = |i: usize| format!("profiles.{i}.give_up");
+        let longest_deadline = (0..classes.len()).filter_map(|i| settings.span(&deadline_key(i))).max();
+        self.longest_deadline = longest_deadline.unwrap_or(Duration::MAX);
+        let infos = classes.into_iter().map(|class| ClassInfo { name: class.name, effect: class.effect });
+        self.classes = infos.collect();
+    }
+
+    /// Whether upstream calls may be made: a quota counts only under a full lease.
+    pub(super) fn may_call(&self) -> bool {
+        self.upstream_quota.is_none_or(|quota| quota > 0.0 && self.lease.is_full())
+    }
+
+    pub(super) fn request(&mut self, id: RequestId) -> Option<&mut Request> {
+        self.requests.get_mut(slot(id))
+    }
+
+    pub(super) fn running_request(&mut self, id: RequestId) -> Option<&mut Request> {
+        self.request(id).filter(|request| request.is_running())
+    }
+
+    /// The id that the edge node gave it; for the log alone.
+    pub(super) fn attempt_label(&self, id: RequestId) -> AttemptLabel {
+        AttemptLabel(self.requests.get(slot(id)).map(|request| request.attempt))
+    }
+
+    /// Where the request's response goes, taken out: it is owed no longer.
+    pub(super) fn take_reply_to(&mut self, id: RequestId) -> Option<ReplyTo> {
+        let reply_to = self.request(id)?.reply_to.take()?;
+        self.replies_owed.remove(&reply_to);
+        Some(reply_to)
+    }
+
+    /// Ends a request for which nothing runs, nor will. Requests that wait for it fail.
+    pub(super) fn finish(&mut self, id: RequestId) {
+        let Some(request) = self.request(id) else { return };
+        request.stage = Stage::Finished;
+        request.body = None;
+        request.blocked_call = None;
+        let (attempt, waiters) = (request.attempt, std::mem::take(&mut request.waiters));
+        let failed = waiters.into_iter().map(|id| EndedRequest { id, outcome: Outcome::Failed });
+        self.ended.extend(failed);
+        if self.in_flight.get(&attempt) == Some(&id) {
+            self.in_flight.remove(&attempt);
+        }
+        self.release_slot(id);
+    }
+
+    /// All requests in flight in the order of their attempt ids, since the order shows in the pool's commands.
+    pub(super) fn in_flight_in_order(&self) -> Vec<RequestId> {
+        let mut all: Vec<(AttemptId, RequestId)> =
+            self.in_flight.iter().map(|(attempt, id)| (*attempt, *id)).collect();
+        all.sort_unstable();
+        all.into_iter().map(|(_, id)| id).collect()
+    }
+
+    /// Frees the slot of a finished request, unless a deduplication entry still refers to it.
+    pub(super) fn release_slot(&mut self, id: RequestId) {
+        let finished = |request: &&Request| request.stage == Stage::Finished;
+        let Some(request) = self.requests.get(slot(id)).filter(finished) else { return };
+        let referenced = request.dedup_key.as_ref().is_some_and(|key| self.dedup.refers_to(key, id));
+        if !referenced {
+            self.requests.remove(slot(id));
+        }
+    }
+
+    pub(super) fn poll_load_metrics(&mut self) {
+        (self.poll_tag, self.polling) = (self.poll_tag + 1, true);
+        self.ports.request_metrics(self.poll_tag);
+    }
+
+    /// Sends the start command, or records it as unsent while there is no link.
+    pub(super) fn send_start(&mut self, id: RequestId) {
+        let (link, next_tag) = (self.link, self.poll_tag + 1);
+        let Some(request) = self.requests.get_mut(slot(id)) else { return };
+        request.delivery = Delivery::Unsent;
+        if let (LinkState::Up, Some(body)) = (link, &request.body) {
+            request.delivery = Delivery::ConfirmedBy(next_tag);
+            self.ports.start_run(request.attempt, &self.classes[request.class].name, body);
+        }
+    }
+
+    /// Sends a waiting run the result of its call, now or once the link is back.
+    pub(super) fn send_call_result(&mut self, id: RequestId, result: CallResult) {
+        let (link, next_tag) = (self.link, self.poll_tag + 1);
+        let Some(request) = self.requests.get_mut(slot(id)) else { return };
+        if link != LinkState::Up {
+            request.undelivered_result = Some(result);
+            return;
+        }
+        let skipped = matches!(result, CallResult::Skipped);
+        match (&result, &request.blocked_call) {
+            (CallResult::Reply(reply), _) => self.ports.deliver_call_result(request.attempt, reply),
+            (CallResult::Skipped, Some(call)) => self.ports.skip_call(request.attempt, call.notice),
+            (CallResult::Skipped, None) => {}
+        }
+        (request.delivery, request.skip_sent_last) = (Delivery::ConfirmedBy(next_tag), skipped);
+    }
+
+    /// The request has no caller left. It ends unless it runs or may run in the pool.
+    pub(super) fn abandon(&mut self, id: RequestId) {
+        let resend_after = self.tick * RESEND_AFTER_TICKS;
+        match self.request(id).map(|request| (request.stage, request.delivery)) {
+            Some((Stage::Running, Delivery::Unsent)) => self.cancel_unsent_start(id),
+            Some((Stage::Running, Delivery::Unknown)) => {
+                self.ports.set_timer(TimerId::ResendStart(id), resend_after);
+            }
+            Some((Stage::Running, _)) | None => {}
+            Some(_) => self.finish(id),
+        }
+    }
+
+    /// Ends a run whose start command was never sent.
+    pub(super) fn cancel_unsent_start(&mut self, id: RequestId) {
+        if self.running_request(id).is_some_and(|request| request.delivery == Delivery::Unsent) {
+            self.ended.push_back(EndedRequest { id, outcome: Outcome::NeverStarted });
+        }
+    }
+}
--- a/crates/aldercrank-server/src/deadlines.rs
+++ b/crates/aldercrank-server/src/deadlines.rs
@@ -1,58 +1,61 @@
-//! The one ordered structure that all deadlines hang in.
+//! All deadlines of a server in one ordered structure. Times are spans on the server's clock.
 
 use aldercrank::tree::Tree;
 use aldercrank::DeterministicMap;
 use std::hash::Hash;
 use std::time::Duration;
 
-/// Each thing has one deadline at most; a new one replaces it.
+/// Deadlines by key. Each key has one deadline at most; a new one replaces it.
 #[derive(Debug)]
 pub struct Deadlines<K> {
-    at: DeterministicMap<K, Duration>,
-    order: Tree<(Duration, K)>,
+    by_key: DeterministicMap<K, Duration>,
+    in_order: Tree<(Duration, K)>,
 }
 
 impl<K> Default for Deadlines<K> {
     fn default() -> Self {
-        Deadlines { at: DeterministicMap::default(), order: Tree::default() }
+        Deadlines { by_key: DeterministicMap::default(), in_order: Tree::default() }
     }
 }
 
 impl<K: Copy + Ord + Hash> Deadlines<K> {
-    pub fn set(&mut self, what: K, at: Duration) {
-        if let Some(before) = self.at.insert(what, at) {
-            self.order.remove(&(before, what));
+    /// Sets the deadline of a key.
+    pub fn set(&mut self, key: K, at: Duration) {
+        if let Some(before) = self.by_key.insert(key, at) {
+            self.in_order.remove(&(before, key));
         }
-        self.order.insert((at, what), ());
+        self.in_order.insert((at, key), ());
     }
 
-    pub fn clear(&mut self, what: K) {
-        if let Some(at) = self.at.remove(&what) {
-            self.order.remove(&(at, what));
+    /// Removes the deadline of a key, if it has one.
+    pub fn clear(&mut self, key: K) {
+        if let Some(at) = self.by_key.remove(&key) {
+            self.in_order.remove(&(at, key));
         }
     }
 
-    /// When this one comes due.
-    pub fn get(&self, what: K) -> Option<Duration> {
-        self.at.get(&what).copied()
+    /// The deadline of a key.
+    pub fn get(&self, key: K) -> Option<Duration> {
+        self.by_key.get(&key).copied()
     }
 
+    /// The earliest deadline.
     pub fn next(&self) -> Option<Duration> {
-        self.order.first().map(|((at, _), _)| at)
+        self.in_order.first().map(|((at, _), _)| at)
     }
 
-    /// The earliest that has come, taken out.
+    /// Removes the earliest deadline that has passed, and gives its key.
     pub fn due(&mut self, now: Duration) -> Option<K> {
-        let ((_, what), _) = self.order.first().filter(|((at, _), _)| *at <= now)?;
-        self.clear(what);
-        Some(what)
+        let ((_, key), _) = self.in_order.first().filter(|((at, _), _)| *at <= now)?;
+        self.clear(key);
+        Some(key)
     }
 
-    /// Moves all to another zero of the clock: what stood at `from` stands at `to`.
+    /// Moves all deadlines when the clock is set: the time that was `from` is `to` from now on.
     pub fn rebase(&mut self, from: Duration, to: Duration) {
-        let all: Vec<(K, Duration)> = self.at.iter().map(|(k, at)| (*k, *at)).collect();
-        for (what, at) in all {
-            self.set(what, (at + to).saturating_sub(from));
+        let all: Vec<(K, Duration)> = self.by_key.iter().map(|(key, at)| (*key, *at)).collect();
+        for (key, at) in all {
+            self.set(key, (at + to).saturating_sub(from));
         }
     }
 }
--- a/crates/aldercrank-server/src/dedup.rs
+++ b/crates/aldercrank-server/src/dedup.rs
@@ -1,4 +1,6 @@
-//! Marks of txns (tokens, and subjects of reads) that the module keeps, and the results of those that ran.
+//! The deduplication table: which requests repeat others, and the cached results of those that ran.
+//!
+//! Times are spans on the server's clock. Expired entries stay until `expire` is called for them.
 
 use crate::payload::Payload;
 use crate::slots::{Slot, Slots};
@@ -8,205 +10,247 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// The most entries, some of them past their end.
-const ENTRIES: usize = 60_000;
+/// The most entries, expired ones included.
+const MAX_ENTRIES: usize = 60_000;
 
-/// What links a txn with its repeats, in as many bytes whatever was sent.
+/// What links a request with its repeats; a digest, so that its size does not depend on what was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DedupKey {
+    /// Of a request with an idempotency key.
     Token([u64; 2]),
+    /// Of a read: the subject that it asks for.
     Subject([u64; 2]),
 }
 
 impl DedupKey {
-    /// All tries of one txn carry one product and one body. A token that comes with others is no repeat: it is
-    /// neither answered from the first, nor does it stand in the way of the true one where it comes first.
+    /// The key of a request with an idempotency key.
+    ///
+    /// All attempts of one request have the same class and body, so these are part of the key: the same idempotency
+    /// key with another class or body is neither answered from the first request nor keeps the true one from running.
     pub fn token(class: &str, token: &str, body: &[u8]) -> DedupKey {
         DedupKey::Token(digest(&(class, token, body)))
     }
 
+    /// The key of a read of this subject.
     pub fn subject(class: &str, subject: &str) -> DedupKey {
         DedupKey::Subject(digest(&(class, subject)))
     }
 }
 
-fn digest(what: &impl Hash) -> [u64; 2] {
-    [0u8, 1].map(|part| {
+fn digest(value: &impl Hash) -> [u64; 2] {
+    [0u8, 1].map(|half| {
         let mut hasher = DefaultHasher::new();
-        (part, what).hash(&mut hasher);
+        (half, value).hash(&mut hasher);
         hasher.finish()
     })
 }
 
+/// Identifies an entry of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryId(u32);
 
-/// What a kept txn's run has come to.
+/// The outcome of the run that an entry records.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CachedOutcome {
-    Open,
+    /// It has not ended yet.
+    Pending,
+    /// It completed with this result.
     Completed(Bytes),
-    /// It ended otherwise, or its result had to make room.
-    Lost,
+    /// It ended otherwise, or its result was evicted.
+    Unavailable,
+}
+
+/// What `DedupTable::store` did.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StoredEntry {
+    /// The entry of the key, new or renewed.
+    pub entry: EntryId,
+    /// The request that the entry referred to before and does no longer.
+    pub replaced: Option<RequestId>,
 }
 
 struct Entry {
-    mark: DedupKey,
-    holder: RequestId,
-    /// The try that ran, and what it came to.
-    ran: Option<RequestId>,
-    fate: CachedOutcome,
-    /// The place of its result among the kept ones.
-    kept: u64,
-    until: Duration,
+    key: DedupKey,
+    /// The latest request with this key.
+    latest: RequestId,
+    /// The request that ran.
+    executed: Option<RequestId>,
+    /// The outcome of the request that ran.
+    outcome: CachedOutcome,
+    /// The position of its result in the order of eviction.
+    result_number: u64,
+    expires_at: Duration,
 }
 
+/// Deduplication entries by key, with a bound on the bytes of cached results.
 pub struct DedupTable {
     entries: Slots<Entry>,
-    dedup_entries: DeterministicMap<DedupKey, EntryId>,
-    /// Those with a result, in the order in which the results came, and what they take.
+    ids: DeterministicMap<DedupKey, EntryId>,
+    /// Entries with a result, oldest result first.
     results: Tree<u64, EntryId>,
-    results_ever: u64,
-    bytes: usize,
-    room: usize,
+    next_result_number: u64,
+    result_bytes: usize,
+    result_capacity: usize,
 }
 
 impl DedupTable {
-    pub fn new(room: usize) -> DedupTable {
-        let (entries, dedup_entries, results) =
-            (Slots::default(), DeterministicMap::default(), Tree::default());
-        DedupTable { entries, dedup_entries, results, results_ever: 0, bytes: 0, room }
+    /// Creates a table that caches results of up to `result_capacity` bytes in all.
+    pub fn new(result_capacity: usize) -> DedupTable {
+        DedupTable {
+            entries: Slots::default(),
+            ids: DeterministicMap::default(),
+            results: Tree::default(),
+            next_result_number: 0,
+            result_bytes: 0,
+            result_capacity,
+        }
     }
 
-    fn entry(&mut self, mark: &DedupKey) -> Option<&mut Entry> {
-        let key = self.dedup_entries.get(mark)?;
-        self.entries.get_mut(Slot(key.0))
+    fn entry(&mut self, key: &DedupKey) -> Option<&mut Entry> {
+        let id = self.ids.get(key)?;
+        self.entries.get_mut(Slot(id.0))
     }
 
-    /// The txn that one with this mark repeats: the one that holds the entry, or, where it has run out since
-    /// the repeat came to the machine, the one that ran.
-    pub fn repeated(&mut self, mark: &DedupKey, arrived: Duration, now: Duration) -> Option<RequestId> {
-        let entry = self.entry(mark).filter(|e| arrived <= e.until)?;
-        // A read may run again; one that came to nothing is no source for others.
-        if matches!(mark, DedupKey::Subject(..)) && entry.fate == CachedOutcome::Lost {
+    /// The request that one with this key repeats: the latest one, or, if the entry expired after the repeat arrived,
+    /// the one that ran.
+    pub fn find_original(
+        &mut self,
+        key: &DedupKey,
+        arrived_at: Duration,
+        now: Duration,
+    ) -> Option<RequestId> {
+        let entry = self.entry(key).filter(|entry| arrived_at <= entry.expires_at)?;
+        // A read may run again, so it is not answered from one without a result.
+        if matches!(key, DedupKey::Subject(..)) && entry.outcome == CachedOutcome::Unavailable {
             return None;
         }
-        Some(if now <= entry.until { entry.holder } else { entry.ran.unwrap_or(entry.holder) })
+        let expired = now > entry.expires_at;
+        Some(entry.executed.filter(|_| expired).unwrap_or(entry.latest))
     }
 
-    /// Enters a txn or renews its entry; a repeat takes the entry over. Gives the entry, and the txn that it
-    /// named before. Nothing when the table is full.
-    pub fn keep(
-        &mut self,
-        mark: &DedupKey,
-        request: RequestId,
-        until: Duration,
-    ) -> Option<(EntryId, Option<RequestId>)> {
-        if let Some(entry) = self.entry(mark) {
-            let before = std::mem::replace(&mut entry.holder, request);
-            entry.until = entry.until.max(until);
-            let named = entry.ran == Some(before) || before == request;
-            return Some((self.dedup_entries[mark], Some(before).filter(|_| !named)));
+    /// Adds an entry for a request, or makes it the latest request of the present entry and extends that. None if the
+    /// table has no slot left.
+    pub fn store(&mut self, key: &DedupKey, request: RequestId, expires_at: Duration) -> Option<StoredEntry> {
+        if let Some(entry) = self.entry(key) {
+            let before = std::mem::replace(&mut entry.latest, request);
+            entry.expires_at = entry.expires_at.max(expires_at);
+            let still_referenced = entry.executed == Some(before) || before == request;
+            let replaced = Some(before).filter(|_| !still_referenced);
+            return Some(StoredEntry { entry: self.ids[key], replaced });
         }
-        let entry =
-            Entry { mark: *mark, holder: request, ran: None, fate: CachedOutcome::Open, kept: 0, until };
-        let key = EntryId(self.entries.insert(entry)?.0);
-        self.dedup_entries.insert(*mark, key);
-        Some((key, None))
+        let entry = Entry {
+            key: *key,
+            latest: request,
+            executed: None,
+            outcome: CachedOutcome::Pending,
+            result_number: 0,
+            expires_at,
+        };
+        let id = EntryId(self.entries.insert(entry)?.0);
+        self.ids.insert(*key, id);
+        Some(StoredEntry { entry: id, replaced: None })
     }
 
-    /// A mark read now could not be entered.
-    pub fn full(&self) -> bool {
-        self.entries.len() >= ENTRIES
+    /// Whether a new key must be rejected.
+    pub fn is_full(&self) -> bool {
+        self.entries.len() >= MAX_ENTRIES
     }
 
+    /// How many entries there are, expired ones included.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    pub fn names(&mut self, mark: &DedupKey, request: RequestId) -> bool {
-        self.entry(mark).is_some_and(|e| e.holder == request || e.ran == Some(request))
+    /// Whether the key's entry refers to this request.
+    pub fn refers_to(&mut self, key: &DedupKey, request: RequestId) -> bool {
+        self.entry(key).is_some_and(|entry| entry.latest == request || entry.executed == Some(request))
     }
 
-    /// Drops the entry of a txn that has not run. One whose try has run stays, whoever holds it.
-    pub fn forget(&mut self, mark: &DedupKey, request: RequestId) {
-        let Some(entry) = self.entry(mark).filter(|e| e.holder == request) else { return };
-        match entry.ran {
-            Some(ran) => entry.holder = ran,
-            None => self.drop_entry(self.dedup_entries[mark]),
+    /// Removes the entry of a request that has not run. If another request with this key ran, the entry stays with it.
+    pub fn forget(&mut self, key: &DedupKey, request: RequestId) {
+        let Some(entry) = self.entry(key).filter(|entry| entry.latest == request) else { return };
+        match entry.executed {
+            Some(executed) => entry.latest = executed,
+            None => self.remove(self.ids[key]),
         }
     }
 
-    /// It runs. Gives the txn that ran before, whose window is over and whose result goes.
-    pub fn started(&mut self, mark: &DedupKey, request: RequestId) -> Option<RequestId> {
-        let key = *self.dedup_entries.get(mark)?;
-        self.drop_result(key);
-        let entry = self.entry(mark).filter(|e| e.holder == request)?;
-        entry.fate = CachedOutcome::Open;
-        entry.ran.replace(request).filter(|before| *before != request)
+    /// A request starts to run, so the result of an earlier run is dropped. Gives the request that ran before and that
+    /// the entry refers to no longer.
+    pub fn run_started(&mut self, key: &DedupKey, request: RequestId) -> Option<RequestId> {
+        let id = *self.ids.get(key)?;
+        self.drop_result(id);
+        let entry = self.entry(key).filter(|entry| entry.latest == request)?;
+        entry.outcome = CachedOutcome::Pending;
+        entry.executed.replace(request).filter(|before| *before != request)
     }
 
-    /// The run never began: there is nothing to repeat, and the next try is not kept from running.
-    pub fn never_ran(&mut self, mark: &DedupKey, request: RequestId) {
-        let Some(entry) = self.entry(mark).filter(|e| e.ran == Some(request)) else { return };
-        entry.ran = None;
-        if entry.holder == request {
-            self.drop_entry(self.dedup_entries[mark]);
+    /// The run proved not to have started, so the next attempt may run.
+    pub fn run_never_started(&mut self, key: &DedupKey, request: RequestId) {
+        let Some(entry) = self.entry(key).filter(|entry| entry.executed == Some(request)) else { return };
+        entry.executed = None;
+        if entry.latest == request {
+            self.remove(self.ids[key]);
         }
     }
 
-    /// The run has ended, with a result where it went well.
-    pub fn ended(&mut self, mark: &DedupKey, request: RequestId, result: Option<Payload>) {
-        let number = self.results_ever;
-        let Some(entry) = self.entry(mark).filter(|e| e.ran == Some(request)) else { return };
-        entry.fate = result.map_or(CachedOutcome::Lost, |result| CachedOutcome::Completed(result.keep()));
-        entry.kept = number;
+    /// The run ended, with a result if it completed. The oldest results are evicted if there are too many bytes.
+    pub fn run_ended(&mut self, key: &DedupKey, request: RequestId, result: Option<Payload>) {
+        let number = self.next_result_number;
+        let Some(entry) = self.entry(key).filter(|entry| entry.executed == Some(request)) else { return };
+        entry.outcome =
+            result.map_or(CachedOutcome::Unavailable, |result| CachedOutcome::Completed(result.keep()));
+        entry.result_number = number;
         if let Some(result) = result {
-            self.bytes += result.bytes().len();
-            self.results_ever += 1;
-            self.results.insert(number, self.dedup_entries[mark]);
+            self.result_bytes += result.bytes().len();
+            self.next_result_number += 1;
+            self.results.insert(number, self.ids[key]);
         }
-        // Only results make room. The entries stay, so that nothing runs again for want of memory.
-        while self.bytes > self.room {
+        // Entries are not evicted, so that no request runs twice for want of memory.
+        while self.result_bytes > self.result_capacity {
             let Some((_, oldest)) = self.results.first() else { break };
             self.drop_result(oldest);
         }
     }
 
-    pub fn fate(&mut self, mark: &DedupKey) -> CachedOutcome {
-        self.entry(mark).map_or(CachedOutcome::Lost, |e| e.fate.clone())
+    /// The outcome of the request that ran with this key.
+    pub fn outcome(&mut self, key: &DedupKey) -> CachedOutcome {
+        self.entry(key).map_or(CachedOutcome::Unavailable, |entry| entry.outcome.clone())
     }
 
-    fn drop_result(&mut self, key: EntryId) {
-        if let Some(entry) = self.entries.get_mut(Slot(key.0)) {
-            if let CachedOutcome::Completed(bytes) = std::mem::replace(&mut entry.fate, CachedOutcome::Lost) {
-                self.bytes -= bytes.len();
-                self.results.remove(&entry.kept);
+    fn drop_result(&mut self, id: EntryId) {
+        if let Some(entry) = self.entries.get_mut(Slot(id.0)) {
+            let outcome = std::mem::replace(&mut entry.outcome, CachedOutcome::Unavailable);
+            if let CachedOutcome::Completed(bytes) = outcome {
+                self.result_bytes -= bytes.len();
+                self.results.remove(&entry.result_number);
             }
         }
     }
 
-    fn drop_entry(&mut self, key: EntryId) {
-        self.drop_result(key);
-        if let Some(entry) = self.entries.remove(Slot(key.0)) {
-            self.dedup_entries.remove(&entry.mark);
+    fn remove(&mut self, id: EntryId) {
+        self.drop_result(id);
+        if let Some(entry) = self.entries.remove(Slot(id.0)) {
+            self.ids.remove(&entry.key);
         }
     }
 
-    /// When the entry may go: late repeats are linked for `after` beyond its end.
-    pub fn ends(&self, key: EntryId, after: Duration) -> Option<Duration> {
-        self.entries.get(Slot(key.0)).map(|e| e.until + after)
+    /// When the entry may be removed: `margin` after its expiry, so that late repeats are still recognised.
+    pub fn expires_at(&self, id: EntryId, margin: Duration) -> Option<Duration> {
+        self.entries.get(Slot(id.0)).map(|entry| entry.expires_at + margin)
     }
 
-    /// Drops an entry; gives the txns that it named.
-    pub fn lapse(&mut self, key: EntryId) -> Vec<RequestId> {
-        let entry = self.entries.get(Slot(key.0));
-        let named = entry.map(|e| e.ran.into_iter().chain([e.holder]).collect()).unwrap_or_default();
-        self.drop_entry(key);
-        named
+    /// Removes an expired entry. Gives the requests that it referred to.
+    pub fn expire(&mut self, id: EntryId) -> Vec<RequestId> {
+        let entry = self.entries.get(Slot(id.0));
+        let requests = entry.map(|entry| entry.executed.into_iter().chain([entry.latest]).collect());
+        let requests = requests.unwrap_or_default();
+        self.remove(id);
+        requests
     }
 }
--- a/crates/aldercrank-server/src/payload.rs
+++ b/crates/aldercrank-server/src/payload.rs
@@ -1,5 +1,7 @@
-//! Bytes that only pass through: bodies and results. They are copied where that is cheap and go by reference
-//! where it is not; every copy in this package goes through here, so that the copies can be counted.
+//! Bytes that the server passes on without reading them: request bodies and results.
+//!
+//! Small payloads are copied, large ones go by reference. Every copy in this package goes through this module, so that
+//! the copied bytes can be counted.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
@@ -7,34 +9,38 @@
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// From this size on a result goes on by reference: the buffer that it came in is kept until it is written.
-/// Below, a copy costs less than keeping a whole buffer for it.
+/// From this size in bytes on a result goes by reference: the buffer it was read into is kept until it is written.
+/// Below, a copy costs less than keeping a whole buffer.
 pub const LARGE: usize = 4 * 1024;
-/// Stretches that one write takes.
-const SLICES: usize = 96;
-/// An empty buffer keeps this much room at most.
-const KEPT: usize = 4 * 1024;
+/// The most slices in one vectored write.
+const MAX_SLICES: usize = 96;
+/// The most bytes of capacity that an empty buffer keeps.
+const MAX_IDLE_CAPACITY: usize = 4 * 1024;
 
-/// Where two servers share a process, of both.
-static COPIED: AtomicU64 = AtomicU64::new(0);
+/// Counted over the whole process, even if two servers share it.
+static COPIED_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// Payload bytes that have been copied so far.
+/// How many payload bytes have been copied by this process.
 pub fn copied() -> u64 {
-    COPIED.load(Ordering::Relaxed)
+    COPIED_BYTES.load(Ordering::Relaxed)
 }
 
+/// Counts payload bytes that were copied elsewhere.
 pub fn count(bytes: usize) {
-    COPIED.fetch_add(bytes as u64, Ordering::Relaxed);
+    COPIED_BYTES.fetch_add(bytes as u64, Ordering::Relaxed);
 }
 
-/// A result on its way through: in a buffer that is used again, or in one that can be kept.
+/// A result that is passed on.
 #[derive(Clone, Copy, Debug)]
 pub enum Payload<'a> {
+    /// In a buffer that is reused after the call.
     Passing(&'a [u8]),
+    /// In a buffer that can be kept.
     Shared(&'a Bytes),
 }
 
 impl Payload<'_> {
+    /// The result's bytes.
     pub fn bytes(&self) -> &[u8] {
         match self {
             Payload::Passing(bytes) => bytes,
@@ -42,7 +48,7 @@
         }
     }
 
-    /// Where it goes on by reference. A small part of a large buffer does not, so as not to keep all of that.
+    /// The result by reference, if it is large enough. A small part of a large buffer would keep all of that.
     fn by_reference(&self) -> Option<Bytes> {
         match self {
             Payload::Shared(bytes) if bytes.len() >= LARGE => Some((*bytes).clone()),
@@ -50,7 +56,7 @@
         }
     }
 
-    /// To be remembered.
+    /// The result in a form that can be kept: by reference or as a copy.
     pub fn keep(&self) -> Bytes {
         self.by_reference().unwrap_or_else(|| {
             count(self.bytes().len());
@@ -59,8 +65,8 @@
     }
 }
 
-/// A body, copied once from where it was read.
-pub fn body(bytes: &[u8]) -> Rc<[u8]> {
+/// Copies a request's body from the buffer it was read into.
+pub fn copy_body(bytes: &[u8]) -> Rc<[u8]> {
     count(bytes.len());
     bytes.into()
 }
@@ -80,119 +86,135 @@
     }
 }
 
-/// What is to be written: words, and between them payloads by reference.
+/// A payload by reference that is to be written.
+#[derive(Debug)]
+struct PlacedBlob {
+    /// How many of the framing bytes stand before it.
+    position: usize,
+    blob: Blob,
+}
+
+/// Bytes to be written to a socket: the framing, and between it payloads by reference.
 #[derive(Debug, Default)]
 pub struct OutputBuffer {
-    words: Vec<u8>,
-    /// Payloads by where among the words each stands.
-    blobs: VecDeque<(usize, Blob)>,
-    /// How far the words, and the first payload, have been written.
-    sent: usize,
-    of_blob: usize,
+    framing: Vec<u8>,
+    /// In the order in which they are to be written.
+    blobs: VecDeque<PlacedBlob>,
+    /// How many bytes of the framing have been written.
+    framing_written: usize,
+    /// How many bytes of the first blob have been written.
+    blob_written: usize,
+    /// Bytes still to be written.
     waiting: usize,
-    /// All that was ever written.
+    /// Bytes written since the buffer was made.
     written: u64,
 }
 
 impl OutputBuffer {
-    /// Lets `write` add words.
+    /// Lets `write` append framing.
     pub fn words(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
-        let before = self.words.len();
-        write(&mut self.words);
-        self.waiting += self.words.len() - before;
+        let before = self.framing.len();
+        write(&mut self.framing);
+        self.waiting += self.framing.len() - before;
     }
 
+    /// Appends a request's body by reference.
     pub fn body(&mut self, body: &Rc<[u8]>) {
-        self.blob(Blob::Body(body.clone()));
+        self.push_blob(Blob::Body(body.clone()));
     }
 
+    /// Appends a result, by reference if it is large.
     pub fn result(&mut self, result: &Payload) {
         match result.by_reference() {
-            Some(bytes) => self.blob(Blob::Result(bytes)),
+            Some(bytes) => self.push_blob(Blob::Result(bytes)),
             None => {
                 count(result.bytes().len());
-                self.words(|words| words.extend_from_slice(result.bytes()));
+                self.words(|framing| framing.extend_from_slice(result.bytes()));
             }
         }
     }
 
-    fn blob(&mut self, blob: Blob) {
+    fn push_blob(&mut self, blob: Blob) {
         if !blob.bytes().is_empty() {
             self.waiting += blob.bytes().len();
-            self.blobs.push_back((self.words.len(), blob));
+            self.blobs.push_back(PlacedBlob { position: self.framing.len(), blob });
         }
     }
 
-    /// Bytes that wait to be written.
+    /// How many bytes wait to be written.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Where in all that goes out the next byte to be added will stand; and how far it has been written.
+    /// The offset, in all that is ever written, of the next byte to be appended.
     pub fn end(&self) -> u64 {
         self.written + self.waiting as u64
     }
 
+    /// How many bytes have been written so far.
     pub fn written(&self) -> u64 {
         self.written
     }
 
-    /// Writes once. Gives the bytes that were taken; none is an error of the writer's.
-    pub fn write_to(&mut self, mut to: impl Write) -> io::Result<usize> {
-        let mut slices = [IoSlice::new(&[]); SLICES];
-        let (mut used, mut at, mut skip) = (0, self.sent, self.of_blob);
-        let stretches = self.blobs.iter().flat_map(|(place, blob)| {
-            let words = &self.words[at..*place];
-            let bytes = &blob.bytes()[skip..];
-            (at, skip) = (*place, 0);
-            [words, bytes]
+    /// Writes once. Gives how many bytes the writer took, 0 if none wait; errors are the writer's.
+    pub fn write_to(&mut self, mut writer: impl Write) -> io::Result<usize> {
+        let mut slices = [IoSlice::new(&[]); MAX_SLICES];
+        let mut used = 0;
+        let (mut framing_start, mut blob_start) = (self.framing_written, self.blob_written);
+        let until_last_blob = self.blobs.iter().flat_map(|PlacedBlob { position, blob }| {
+            let framing = &self.framing[framing_start..*position];
+            let payload = &blob.bytes()[blob_start..];
+            (framing_start, blob_start) = (*position, 0);
+            [framing, payload]
         });
-        let last = self.blobs.back().map_or(self.sent, |(place, _)| *place);
-        let all = stretches.chain([&self.words[last..]]).filter(|bytes| !bytes.is_empty());
+        let last = self.blobs.back().map_or(self.framing_written, |last| last.position);
+        let all = until_last_blob.chain([&self.framing[last..]]).filter(|bytes| !bytes.is_empty());
         for (slice, bytes) in slices.iter_mut().zip(all) {
             *slice = IoSlice::new(bytes);
             used += 1;
         }
-        let wrote = match used {
+        let written = match used {
             0 => return Ok(0),
-            1 => to.write(&slices[0])?,
-            _ => to.write_vectored(&slices[..used])?,
+            1 => writer.write(&slices[0])?,
+            _ => writer.write_vectored(&slices[..used])?,
         };
-        self.advance(wrote);
-        Ok(wrote)
+        self.advance(written);
+        Ok(written)
     }
 
-    fn advance(&mut self, mut by: usize) {
-        self.waiting -= by;
-        self.written += by as u64;
-        while by > 0 {
-            let until = self.blobs.front().map_or(self.words.len(), |(place, _)| *place);
-            let words = by.min(until - self.sent);
-            (self.sent, by) = (self.sent + words, by - words);
-            if by == 0 {
+    fn advance(&mut self, mut bytes: usize) {
+        self.waiting -= bytes;
+        self.written += bytes as u64;
+        while bytes > 0 {
+            let framing_end = self.blobs.front().map_or(self.framing.len(), |first| first.position);
+            let of_framing = bytes.min(framing_end - self.framing_written);
+            self.framing_written += of_framing;
+            bytes -= of_framing;
+            if bytes == 0 {
                 break;
             }
-            let Some((_, blob)) = self.blobs.front() else { break };
-            let bytes = by.min(blob.bytes().len() - self.of_blob);
-            (self.of_blob, by) = (self.of_blob + bytes, by - bytes);
-            if self.of_blob == blob.bytes().len() {
+            let Some(first) = self.blobs.front() else { break };
+            let of_blob = bytes.min(first.blob.bytes().len() - self.blob_written);
+            self.blob_written += of_blob;
+            bytes -= of_blob;
+            if self.blob_written == first.blob.bytes().len() {
                 self.blobs.pop_front();
-                self.of_blob = 0;
+                self.blob_written = 0;
             }
         }
-        self.tidy();
+        self.release_written();
     }
 
-    /// Gives back the room of what is gone: at once when all is, else once that is more than what is left.
-    fn tidy(&mut self) {
+    /// Releases written framing: at once if nothing waits, else once it is more than what is left.
+    fn release_written(&mut self) {
         if self.waiting == 0 {
-            self.words.clear();
-            self.sent = 0;
-            self.words.shrink_to(KEPT);
-        } else if self.sent > KEPT && self.sent > self.words.len() / 2 {
-            self.words.drain(..self.sent);
-            self.blobs.iter_mut().for_each(|(place, _)| *place -= self.sent);
-            self.sent = 0;
+            self.framing.clear();
+            self.framing_written = 0;
+            self.framing.shrink_to(MAX_IDLE_CAPACITY);
+        } else if self.framing_written > MAX_IDLE_CAPACITY && self.framing_written > self.framing.len() / 2 {
+            self.framing.drain(..self.framing_written);
+            self.blobs.iter_mut().for_each(|blob| blob.position -= self.framing_written);
+            self.framing_written = 0;
         }
     }
 }
--- a/crates/aldercrank-server/src/phase.rs
+++ b/crates/aldercrank-server/src/phase.rs
@@ -1,27 +1,31 @@
-//! The program's phases from start to exit, as named states of one object. All transitions stand here.
+//! The phases of the program from start to exit. All transitions are methods of `Phase`.
 
+/// A phase of the program. Phases follow one another in this order; some may be left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Listening; no link to the worker pool yet.
     Starting,
-    /// Linked; the worker pool has not said that it is up.
+    /// Linked; the worker pool has not reported that it is up.
     WaitingForPool,
+    /// Admitting requests.
     Serving,
-    /// Told to leave.
+    /// Graceful shutdown: requests in flight are answered, then connections are closed.
     Draining,
+    /// The program exits.
     Stopped,
 }
 
 impl Phase {
-    fn to(&mut self, next: Phase) -> bool {
+    fn transition_to(&mut self, next: Phase) -> bool {
         let changes = *self != next;
         if changes {
-            tracing::info!(is = next.name(), was = self.name(), "phase");
+            tracing::info!(phase = next.name(), previous = self.name(), "phase changed");
             *self = next;
         }
         changes
     }
 
+    /// The name in logs and in the server's status.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -32,35 +36,38 @@
         }
     }
 
-    /// The link to the worker pool stands.
+    /// The link to the worker pool is up. Whether the phase changed.
     pub fn linked(&mut self) -> bool {
-        *self == Phase::Starting && self.to(Phase::WaitingForPool)
+        *self == Phase::Starting && self.transition_to(Phase::WaitingForPool)
     }
 
-    /// The worker pool is up: true the first time, when the module starts.
+    /// The worker pool is up. True the first time, when the admission module is to start.
     pub fn bound(&mut self) -> bool {
-        matches!(self, Phase::Starting | Phase::WaitingForPool) && self.to(Phase::Serving)
+        matches!(self, Phase::Starting | Phase::WaitingForPool) && self.transition_to(Phase::Serving)
     }
 
-    /// The notice to leave; a second one changes nothing.
+    /// The program was asked to shut down. False for each further time.
     pub fn told_to_leave(&mut self) -> bool {
         let before = matches!(self, Phase::Starting | Phase::WaitingForPool | Phase::Serving);
-        before && self.to(Phase::Draining)
+        before && self.transition_to(Phase::Draining)
     }
 
-    /// All is answered and closed, or the stop has come.
+    /// All responses are written and all connections closed, or the time to stop has come.
     pub fn done(&mut self) -> bool {
-        *self == Phase::Draining && self.to(Phase::Stopped)
+        *self == Phase::Draining && self.transition_to(Phase::Stopped)
     }
 
+    /// Whether requests are admitted.
     pub fn serving(self) -> bool {
         self == Phase::Serving
     }
 
+    /// Whether the graceful shutdown is under way.
     pub fn draining(self) -> bool {
         self == Phase::Draining
     }
 
+    /// Whether the program is to exit.
     pub fn stopped(self) -> bool {
         self == Phase::Stopped
     }
--- a/crates/aldercrank-server/src/slots.rs
+++ b/crates/aldercrank-server/src/slots.rs
@@ -1,23 +1,40 @@
-//! Tables of numbered slots with generations, for connections, txns and kept keys.
+//! Tables of numbered slots with generations, for connections, requests and deduplication entries.
 
 use std::collections::VecDeque;
 
-const SLOTS: usize = 1 << 16;
+const MAX_SLOTS: usize = 1 << 16;
+const INDEX_BITS: u32 = 16;
+const INDEX_MASK: u32 = (1 << INDEX_BITS) - 1;
 
-/// A slot's number below its generation: a number given out once is not given out again soon.
+/// A slot's index in the low bits and its generation above: a number is reused as late as possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slot(pub u32);
 
+impl Slot {
+    fn new(generation: u16, index: usize) -> Slot {
+        Slot(u32::from(generation) << INDEX_BITS | index as u32)
+    }
+
+    fn index(self) -> usize {
+        (self.0 & INDEX_MASK) as usize
+    }
+
+    fn generation(self) -> u32 {
+        self.0 >> INDEX_BITS
+    }
+}
+
 #[derive(Debug)]
 struct Cell<T> {
     generation: u16,
     value: Option<T>,
 }
 
+/// A table of up to 65,536 values by slot.
 #[derive(Debug)]
 pub struct Slots<T> {
     cells: Vec<Cell<T>>,
-    /// Taken in the order in which they became free, so that numbers come back as late as they can.
+    /// Free cells in the order in which they became free, so that numbers are reused as late as possible.
     free: VecDeque<usize>,
 }
 
@@ -28,11 +45,11 @@
 }
 
 impl<T> Slots<T> {
-    /// Nothing when all numbers are taken.
+    /// Stores a value in a free slot; none if all slots are taken.
     pub fn insert(&mut self, value: T) -> Option<Slot> {
         let index = match self.free.pop_front() {
             Some(index) => index,
-            None if self.cells.len() < SLOTS => {
+            None if self.cells.len() < MAX_SLOTS => {
                 self.cells.push(Cell { generation: 0, value: None });
                 self.cells.len() - 1
             }
@@ -41,40 +58,45 @@
         let cell = &mut self.cells[index];
         cell.generation = cell.generation.wrapping_add(1);
         cell.value = Some(value);
-        Some(Slot(u32::from(cell.generation) << 16 | index as u32))
-    }
-
-    fn cell(&self, slot: Slot) -> Option<usize> {
-        let index = (slot.0 & 0xffff) as usize;
-        self.cells.get(index).filter(|c| u32::from(c.generation) == slot.0 >> 16).map(|_| index)
+        Some(Slot::new(cell.generation, index))
     }
 
+    /// The value in this slot; none if it was removed, even if the cell has been taken again.
     pub fn get(&self, slot: Slot) -> Option<&T> {
-        self.cell(slot).and_then(|i| self.cells[i].value.as_ref())
+        let cell = self.cells.get(slot.index())?;
+        cell.value.as_ref().filter(|_| u32::from(cell.generation) == slot.generation())
     }
 
+    /// The same, to be changed.
     pub fn get_mut(&mut self, slot: Slot) -> Option<&mut T> {
-        self.cell(slot).and_then(|i| self.cells[i].value.as_mut())
+        let cell = self.cells.get_mut(slot.index())?;
+        cell.value.as_mut().filter(|_| u32::from(cell.generation) == slot.generation())
     }
 
+    /// Takes the value out and frees the slot.
     pub fn remove(&mut self, slot: Slot) -> Option<T> {
-        let index = self.cell(slot)?;
-        let value = self.cells[index].value.take()?;
+        let index = slot.index();
+        let cell =
+            self.cells.get_mut(index).filter(|cell| u32::from(cell.generation) == slot.generation())?;
+        let value = cell.value.take()?;
         self.free.push_back(index);
         Some(value)
     }
 
+    /// All values with their slots, in the order of their indices.
     pub fn iter(&self) -> impl Iterator<Item = (Slot, &T)> {
-        self.cells.iter().enumerate().filter_map(|(i, c)| {
-            let slot = Slot(u32::from(c.generation) << 16 | i as u32);
-            c.value.as_ref().map(|v| (slot, v))
+        self.cells.iter().enumerate().filter_map(|(index, cell)| {
+            let slot = Slot::new(cell.generation, index);
+            cell.value.as_ref().map(|value| (slot, value))
         })
     }
 
+    /// How many slots are taken.
     pub fn len(&self) -> usize {
         self.cells.len() - self.free.len()
     }
 
+    /// Whether no slot is taken.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/aldercrank-server/tests/suite/core.rs
+++ b/crates/aldercrank-server/tests/suite/core.rs
@@ -1,7 +1,9 @@
 //! The core between fakes: the four rules on generated inputs beside a plain model, and single cases.
 
 use aldercrank::{CallerId, IncomingRequest, Outcome, RequestId, Settings, Value};
-use aldercrank_server::core::{ConnId, Core, MessageId, Ports, ReceivedRequest, ReplyTo, TimerId};
+use aldercrank_server::core::{
+    ConnId, Core, MessageId, Ports, ReceivedRequest, ReplyTo, TableSizes, TimerId,
+};
 use aldercrank_server::deadlines::Deadlines;
 use aldercrank_server::dedup::DedupKey;
 use aldercrank_server::payload::Payload;
@@ -876,7 +878,11 @@
         }
         core.run_ended(now, attempt, Outcome::Completed, MS, Payload::Passing(b"r"));
         core.caller_gone(now, reply_to);
-        assert_eq!((core.in_hand(), core.owed(), core.in_tables()), (0, 0, (0, 0)), "after {n}");
+        assert_eq!(
+            (core.in_hand(), core.owed(), core.in_tables()),
+            (0, 0, TableSizes::default()),
+            "after {n}"
+        );
     }
     // And while they are held: more than may run at once, all of one connection.
     for n in 0..500u32 {
@@ -903,5 +909,5 @@
         let attempt = AttemptId::new(&format!("{:016x}", 200_000 + n)).unwrap();
         core.run_ended(now, attempt, Outcome::Cancelled, MS, Payload::Passing(b""));
     }
-    assert_eq!((core.in_hand(), core.owed(), core.in_tables()), (0, 0, (0, 0)));
+    assert_eq!((core.in_hand(), core.owed(), core.in_tables()), (0, 0, TableSizes::default()));
 }
--- a/crates/aldercrank-server/tests/suite/tables.rs
+++ b/crates/aldercrank-server/tests/suite/tables.rs
@@ -45,30 +45,30 @@
     let mut keys = DedupTable::new(10);
     let (mark, other) = (DedupKey::token("p", "t", b"x"), DedupKey::token("p", "u", b"x"));
     let (a, b, c) = (RequestId(1), RequestId(2), RequestId(3));
-    let (key, _) = keys.keep(&mark, a, S * 10).unwrap();
-    assert_eq!(keys.repeated(&mark, S * 11, S * 11), None, "came after the window");
-    assert!(keys.started(&mark, a).is_none());
-    keys.ended(&mark, a, Some(Payload::Passing(b"12345678")));
-    assert_eq!(keys.repeated(&mark, S * 9, S * 12), Some(a), "came within the window, read late");
-    assert_eq!(keys.fate(&mark), CachedOutcome::Completed(b"12345678".as_slice().into()));
+    let key = keys.store(&mark, a, S * 10).unwrap().entry;
+    assert_eq!(keys.find_original(&mark, S * 11, S * 11), None, "came after the window");
+    assert!(keys.run_started(&mark, a).is_none());
+    keys.run_ended(&mark, a, Some(Payload::Passing(b"12345678")));
+    assert_eq!(keys.find_original(&mark, S * 9, S * 12), Some(a), "came within the window, read late");
+    assert_eq!(keys.outcome(&mark), CachedOutcome::Completed(b"12345678".as_slice().into()));
     // Another's result takes the room; the entry stays, so nothing runs again.
-    keys.keep(&other, c, S * 10).unwrap();
-    keys.started(&other, c);
-    keys.ended(&other, c, Some(Payload::Passing(b"123")));
-    assert_eq!((keys.fate(&mark), keys.repeated(&mark, S, S)), (CachedOutcome::Lost, Some(a)));
+    keys.store(&other, c, S * 10).unwrap();
+    keys.run_started(&other, c);
+    keys.run_ended(&other, c, Some(Payload::Passing(b"123")));
+    assert_eq!((keys.outcome(&mark), keys.find_original(&mark, S, S)), (CachedOutcome::Unavailable, Some(a)));
     // One read after the window runs anew; the entry names it alone.
-    assert_eq!(keys.keep(&mark, b, S * 30).unwrap().1, None);
-    assert_eq!((keys.started(&mark, b), keys.names(&mark, a)), (Some(a), false));
+    assert_eq!(keys.store(&mark, b, S * 30).unwrap().replaced, None);
+    assert_eq!((keys.run_started(&mark, b), keys.refers_to(&mark, a)), (Some(a), false));
     keys.forget(&mark, b);
-    assert!(keys.names(&mark, b), "what has run is not forgotten");
-    assert_eq!((keys.ends(key, S), keys.lapse(key)), (Some(S * 31), vec![b, b]));
-    assert_eq!(keys.repeated(&mark, S, S), None);
+    assert!(keys.refers_to(&mark, b), "what has run is not forgotten");
+    assert_eq!((keys.expires_at(key, S), keys.expire(key)), (Some(S * 31), vec![b, b]));
+    assert_eq!(keys.find_original(&mark, S, S), None);
     // A read whose run came to nothing is no source for others.
     let subject = DedupKey::subject("p", "s");
-    keys.keep(&subject, a, S * 9).unwrap();
-    keys.started(&subject, a);
-    keys.ended(&subject, a, None);
-    assert_eq!(keys.repeated(&subject, S, S), None);
+    keys.store(&subject, a, S * 9).unwrap();
+    keys.run_started(&subject, a);
+    keys.run_ended(&subject, a, None);
+    assert_eq!(keys.find_original(&subject, S, S), None);
 }
 
 #[test]
