--- a/crates/aldercrank-testbench/src/soak.rs
+++ b/crates/aldercrank-testbench/src/soak.rs
@@ -3,7 +3,9 @@
 
 use crate::HEAP;
 use aldercrank::{IncomingRequest, Outcome, RequestId, Settings};
-use aldercrank_server::core::{ConnId, Core, MessageId, Ports, ReceivedRequest, ReplyTo, TimerId};
+use aldercrank_server::core::{
+    ConnId, Core, MessageId, Ports, ReceivedRequest, ReplyTo, TableSizes, TimerId,
+};
 use aldercrank_server::deadlines::Deadlines;
 use aldercrank_server::dedup::DedupKey;
 use aldercrank_server::payload::Payload;
@@ -159,7 +161,7 @@
             gone += read(&mut core, now, (tenth - 1) * (REQUESTS / 10) + n + 1);
         }
         let bytes = held().saturating_sub(before);
-        let (slots, dedup_entries) = core.in_tables();
+        let TableSizes { requests: slots, dedup_entries } = core.in_tables();
         println!(
             "{:>10} txns: {bytes} bytes held, {slots} slots, {dedup_entries} marks, {} in hand",
             tenth * (REQUESTS / 10),
--- a/crates/aldercrank-testbench/tests/suite/fleet.rs
+++ b/crates/aldercrank-testbench/tests/suite/fleet.rs
@@ -165,7 +165,7 @@
     let (code, story) = why("20");
     assert_eq!(code, Some(0), "{story}");
     assert!(story.contains("asks, as") && story.contains("over for its caller"), "{story}");
-    assert!(story.contains("logs: read product=") && story.contains("logs: its run ended"), "{story}");
+    assert!(story.contains("logs: request received class=") && story.contains("logs: run ended"), "{story}");
     assert_eq!(why("999999").0, Some(1));
     std::fs::write(keep.join("trace.jsonl"), "{\"us\": 1,").unwrap();
     assert_eq!(why("20").0, Some(2), "a record that is cut short");
