--- /dev/null
+++ b/crates/aldercrank-server/tests/suite/core/requests.rs
@@ -0,0 +1,174 @@
+//! Requests from their receipt to their response.
+
+use super::scenario::{settings, Scenario, MS};
+use super::world::{FakePorts, RequestRecord};
+use aldercrank::{IncomingRequest, Outcome, RequestId, Value};
+use aldercrank_server::core::{ConnId, Core, MessageId, ReceivedRequest, ReplyTo, TimerId};
+use aldercrank_server::payload::Payload;
+use aldercrank_server::worker_pool::{AttemptId, NoticeNumber};
+use std::time::Duration;
+
+#[test]
+fn a_request_is_answered_with_its_result_and_a_repeat_joins_it() {
+    let mut scenario = Scenario::new();
+    let (first, second) =
+        (scenario.receive(Some(1), MS * 2000, MS), scenario.receive(Some(2), MS * 2000, MS));
+    scenario.exchange();
+    let repeat = scenario.receive(Some(1), MS * 2000, MS);
+    let attempt = scenario.attempt(first);
+    scenario.world_mut().end_run(attempt, Outcome::Completed);
+    scenario.exchange();
+    assert_eq!([first, second, repeat].map(|reply_to| scenario.responses(reply_to)), [1, 0, 1]);
+    // Much later it is answered with the cached result; after the window it runs again.
+    scenario.advance(MS * 5000);
+    let late = scenario.receive(Some(1), MS * 2000, MS * 20);
+    assert_eq!((scenario.responses(late), scenario.starts_of(1)), (1, 1));
+    scenario.advance(MS * 2000);
+    scenario.receive(Some(1), MS * 2000, MS);
+    scenario.exchange();
+    assert_eq!(scenario.starts_of(1), 2);
+}
+
+#[test]
+fn an_invalid_request_fails_and_nothing_runs() {
+    let mut scenario = Scenario::new();
+    let valid = scenario.receive(Some(3), MS * 2000, MS);
+    scenario.exchange();
+    let attempt = scenario.attempt(valid);
+    for (call, class, attempt, dedup_key) in [
+        (900, "p9", AttemptId::new("00000000000000ff").unwrap(), None),
+        (901, "p1", AttemptId::new("00000000000000fe").unwrap(), None),
+        (902, "p0", attempt, None),
+    ] {
+        let reply_to = ReplyTo { conn: ConnId(9), call: MessageId(call) };
+        let record = scenario.world().requests[&valid].clone();
+        let invalid = RequestRecord {
+            attempt: AttemptId::new(&format!("{call:016}")).unwrap(),
+            responses: 0,
+            ..record
+        };
+        scenario.world_mut().requests.insert(reply_to, invalid);
+        let arrival = IncomingRequest { class, deadline: Some(MS * 2000), ..IncomingRequest::default() };
+        scenario.core.request_received(
+            scenario.now(),
+            reply_to,
+            ReceivedRequest { attempt, dedup_key, arrival, unread: Duration::MAX, body: &[] },
+        );
+        scenario.exchange();
+        assert_eq!((scenario.responses(reply_to), scenario.world().runs.len()), (1, 1), "{class}");
+    }
+    // A run that the pool does not know is over, and its slot is free.
+    let unknown = scenario.receive(None, MS * 2000, MS);
+    let attempt = scenario.attempt(unknown);
+    scenario.core.run_unknown(scenario.now(), attempt);
+    assert_eq!((scenario.responses(unknown), scenario.core.in_hand()), (1, 1));
+    // Notices for unknown ids change nothing.
+    let unknown_attempt = AttemptId::new("ffffffffffffffff").unwrap();
+    scenario.core.run_ended(scenario.now(), unknown_attempt, Outcome::Completed, MS, Payload::Passing(b"x"));
+    scenario.core.call_needed(scenario.now(), unknown_attempt, NoticeNumber(99), b"x");
+    scenario.core.call_ended(scenario.now(), RequestId(4_000_000_000), Outcome::Completed, b"x");
+    assert_eq!((scenario.responses(valid), scenario.core.owed()), (0, 1));
+}
+
+#[test]
+fn a_lost_connection_cancels_its_callers_and_a_drain_leaves_no_response_owed() {
+    let mut scenario = Scenario::new();
+    let replies_owed: Vec<ReplyTo> = (0..9).map(|_| scenario.receive(None, MS * 3000, MS)).collect();
+    let now = scenario.now();
+    scenario
+        .world_mut()
+        .requests
+        .iter_mut()
+        .filter(|(reply_to, _)| reply_to.conn == ConnId(1))
+        .for_each(|(_, record)| record.caller_gone = true);
+    scenario.core.conn_lost(now, ConnId(1));
+    let open = replies_owed.iter().filter(|to| to.conn != ConnId(1) && scenario.responses(**to) == 0).count();
+    assert_eq!(scenario.core.owed(), open);
+    scenario.core.drain(now, now + MS * 1500);
+    scenario.advance(MS * 1100);
+    let late = scenario.receive(None, MS * 3000, MS);
+    assert_eq!(scenario.responses(late), 1, "came too late in the shutdown");
+    scenario.advance(MS * 400);
+    assert_eq!((scenario.core.owed(), scenario.world().violations.len()), (0, 0));
+    let mut cold_settings = settings();
+    cold_settings.set("family_info.cold", Value::Flag(true));
+    let ports = FakePorts::default();
+    Core::start(cold_settings, Duration::ZERO, 0, ports.clone()).reminded(MS * 30, TimerId::Tick);
+    assert!(ports.0.borrow().load_hint.is_some());
+}
+
+#[test]
+fn a_callers_wrong_clock_does_not_make_a_server_unhealthy() {
+    let mut scenario = Scenario::new();
+    scenario.advance(MS * 500);
+    // It arrived in 1970 by its own clock: it is rejected as long gone, and proves no slow reading.
+    let reply_to = ReplyTo { conn: ConnId(8), call: MessageId(1) };
+    let attempt = AttemptId::new("00000000000000aa").unwrap();
+    let (arrived, deadline) = (Duration::ZERO, scenario.now());
+    let record = RequestRecord {
+        attempt,
+        token: None,
+        arrived,
+        deadline,
+        body: vec![],
+        responses: 0,
+        caller_gone: false,
+    };
+    scenario.world_mut().requests.insert(reply_to, record);
+    let unread_for = Duration::from_secs(1_700_000_000);
+    let arrival = IncomingRequest {
+        class: "p0",
+        deadline: Some(scenario.now()),
+        unread_for,
+        ..IncomingRequest::default()
+    };
+    scenario.core.request_received(
+        scenario.now(),
+        reply_to,
+        ReceivedRequest { attempt, dedup_key: None, arrival, unread: Duration::MAX, body: &[] },
+    );
+    assert_eq!(scenario.responses(reply_to), 1);
+    for _ in 0..10 {
+        scenario.advance(MS * 50);
+        scenario.exchange();
+    }
+    assert!(scenario.world().healthy);
+}
+
+#[test]
+fn requests_with_an_invented_age_do_not_make_a_server_that_reads_at_once_unhealthy() {
+    // Each is sent with the time of the first attempt, so that it seems to have waited unread for two seconds.
+    for (unread, healthy) in [(MS, true), (MS * 2000, false)] {
+        let mut scenario = Scenario::new();
+        scenario.advance(MS * 2500);
+        for call in 0..60 {
+            let attempt = AttemptId::new(&format!("{:016x}", 7000 + call)).unwrap();
+            let (reply_to, now) = (ReplyTo { conn: ConnId(7), call: MessageId(call) }, scenario.now());
+            let (unread_for, deadline) = (MS * 2000, now + MS * 200);
+            let record = RequestRecord {
+                attempt,
+                token: None,
+                arrived: now - unread_for,
+                deadline,
+                body: vec![],
+                responses: 0,
+                caller_gone: false,
+            };
+            scenario.world_mut().requests.insert(reply_to, record);
+            let arrival = IncomingRequest {
+                class: "p0",
+                deadline: Some(deadline),
+                unread_for,
+                ..IncomingRequest::default()
+            };
+            scenario.core.request_received(
+                now,
+                reply_to,
+                ReceivedRequest { attempt, dedup_key: None, arrival, unread, body: &[] },
+            );
+            scenario.exchange();
+        }
+        scenario.advance(MS * 100);
+        assert_eq!(scenario.world().healthy, healthy);
+    }
+}
--- a/crates/aldercrank-server/tests/suite/main.rs
+++ b/crates/aldercrank-server/tests/suite/main.rs
@@ -9,6 +9,7 @@
     clippy::too_many_lines
 )]
 mod codecs;
+mod config;
 mod core;
 mod crossings;
 mod golden_command_line;
@@ -16,6 +17,9 @@
 mod golden_consensus;
 mod golden_reload;
 mod harness;
+mod logger;
+mod output_buffer;
+mod phase;
 mod sockets;
 mod tables;
 
--- /dev/null
+++ b/crates/aldercrank-server/tests/suite/output_buffer.rs
@@ -0,0 +1,67 @@
+//! Bytes to be written to a socket.
+
+use aldercrank_server::payload::{OutputBuffer, Payload};
+use std::collections::VecDeque;
+
+/// Takes as many bytes at each write as `takes` has next, and blocks where that is 0.
+struct LimitedWriter {
+    takes: VecDeque<usize>,
+    taken: Vec<u8>,
+}
+
+impl std::io::Write for &mut LimitedWriter {
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
+        let most = self.takes.pop_front().filter(|n| *n > 0).ok_or(std::io::ErrorKind::WouldBlock)?;
+        let n = most.min(bytes.len());
+        self.taken.extend(&bytes[..n]);
+        Ok(n)
+    }
+    fn write_vectored(&mut self, all: &[std::io::IoSlice]) -> std::io::Result<usize> {
+        let joined: Vec<u8> = all.iter().flat_map(|slice| slice.iter().copied()).collect();
+        self.write(&joined)
+    }
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
+
+#[test]
+fn bytes_are_written_once_and_in_order_however_few_each_write_takes() {
+    for seed in 0..200u64 {
+        let mut state = seed.wrapping_mul(2).wrapping_add(1);
+        let mut random = |n: u64| {
+            state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            (state >> 33) % n
+        };
+        let (mut output, mut expected) = (OutputBuffer::default(), Vec::<u8>::new());
+        let mut writer = LimitedWriter { takes: VecDeque::new(), taken: Vec::new() };
+        for step in 0..400u64 {
+            let most = if random(9) == 0 { 9000 } else { 90 };
+            let bytes = vec![step as u8; random(most) as usize];
+            match random(5) {
+                0 => output.words(|words| words.extend(&bytes)),
+                1 => output.body(&bytes.as_slice().into()),
+                2 => output.result(&Payload::Passing(&bytes)),
+                3 => output.result(&Payload::Shared(&bytes.clone().into())),
+                _ => {
+                    writer.takes.extend([random(5) as usize * 700, random(40) as usize]);
+                    while let Ok(n) = output.write_to(&mut writer) {
+                        if n == 0 {
+                            break;
+                        }
+                    }
+                    continue;
+                }
+            }
+            expected.extend(&bytes);
+            assert_eq!(output.end(), expected.len() as u64);
+        }
+        assert_eq!(output.written(), writer.taken.len() as u64);
+        assert_eq!(output.waiting(), expected.len() - writer.taken.len());
+        writer.takes = std::iter::repeat_n(1_000_000, 1000).collect();
+        while output.waiting() > 0 {
+            output.write_to(&mut writer).unwrap();
+        }
+        assert!(writer.taken == expected, "seed {seed}");
+    }
+}
