--- /dev/null
+++ b/crates/aldercrank-server/src/config/mod.rs
@@ -0,0 +1,120 @@
+//! The configuration of a server: the platform's JSON file with two environment variables that stand in for missing
+//! fields, and the program's own service file.
+
+mod error;
+mod platform_file;
+mod reload;
+
+pub use error::{ConfigError, FileFaults, PlatformConfigError};
+pub use reload::ForeignConfig;
+
+use aldercrank::Settings;
+use aldercrank_service_config::Service;
+use aldercrank_versioned_config::VersionedConfig;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// How a server takes part in the versioned configuration.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Rules {
+    /// The version that the fleet starts from.
+    pub book: VersionedConfig,
+    /// The directory of the server's durable state.
+    pub dir: Option<PathBuf>,
+    /// Whether proposed versions are read from the membership service.
+    pub read_list: bool,
+    /// Addresses of committee members that differ from those in the version.
+    pub reach: BTreeMap<String, SocketAddr>,
+    /// A fault injected by a check, so that the check is seen to find it; no file can set it.
+    pub injected_fault: Option<aldercrank_consensus::InjectedFault>,
+}
+
+/// The configuration of a server.
+#[derive(Clone)]
+pub struct Config {
+    /// The server's name.
+    pub name: String,
+    /// Where edge nodes connect.
+    pub listen: SocketAddr,
+    /// The worker pool.
+    pub pool: SocketAddr,
+    /// The membership service.
+    pub members: SocketAddr,
+    /// The upstream dependency; none if no request class makes calls.
+    pub index: Option<SocketAddr>,
+    /// The longest graceful shutdown: the process is killed after it.
+    pub stop: Duration,
+    /// The server's memory in bytes.
+    pub memory: usize,
+    /// The most sockets that the server may have open.
+    pub sockets: usize,
+    /// The longest result in bytes.
+    pub result: usize,
+    /// The platform's random seed for this start.
+    pub seed: String,
+    /// The longest pause between failed load reports, where the service file gives it.
+    pub reports_longest: Option<Duration>,
+    /// Whether the service file asks for a log in JSON.
+    pub json_log: bool,
+    /// The versioned configuration, where the service file names one.
+    pub rules: Option<Rules>,
+    /// How this server starts, by the service file.
+    pub start: aldercrank_service_config::Start,
+    /// The settings of the admission module.
+    pub settings: Settings,
+}
+
+fn read_file(path: &str) -> Result<String, ConfigError> {
+    let read = std::fs::read_to_string(path);
+    read.map_err(|source| ConfigError::Unreadable { path: path.to_string(), source })
+}
+
+impl Config {
+    /// Reads the platform's file, `path` or the one that `ROUTER_CONFIG` names, and the service file, if one is given.
+    ///
+    /// An error names the first invalid field of the platform's file, or all faults of the service file.
+    pub fn load(path: Option<&str>, service: Option<&str>) -> Result<Config, ConfigError> {
+        let variable = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
+        let path = path.map(str::to_string).or_else(|| variable("ROUTER_CONFIG"));
+        let path = path.ok_or(ConfigError::NoFile)?;
+        let text = read_file(&path)?;
+        let mut config = Config::parse(&text, variable)
+            .map_err(|source| ConfigError::Platform { path: path.clone(), source })?;
+        if let Some(path) = service {
+            let service = aldercrank_service_config::parse(&read_file(path)?)
+                .map_err(|faults| FileFaults { path: path.to_string(), faults })?;
+            config.apply(&service)?;
+        }
+        Ok(config)
+    }
+
+    fn apply(&mut self, service: &Service) -> Result<(), ConfigError> {
+        if let Some(kb) = service.results.longest_kb {
+            self.result = kb as usize * 1024;
+        }
+        self.json_log = service.log.json;
+        self.start = service.start.clone();
+        self.reports_longest = service.reports.longest_ms.map(|ms| Duration::from_millis(u64::from(ms)));
+        if let Some(rules) = &service.rules {
+            self.rules = Some(self.initial_version(rules)?);
+        }
+        Ok(())
+    }
+
+    fn initial_version(&self, rules: &aldercrank_service_config::Rules) -> Result<Rules, ConfigError> {
+        let version = VersionedConfig::parse(&read_file(&rules.book)?)
+            .map_err(|faults| FileFaults { path: rules.book.clone(), faults })?;
+        if let Some(reason) = version.incompatibilities(&self.settings, &self.name).first() {
+            return Err(ConfigError::Incompatible { path: rules.book.clone(), reason: reason.to_string() });
+        }
+        Ok(Rules {
+            book: version,
+            dir: rules.dir.as_ref().map(PathBuf::from),
+            read_list: rules.read_list,
+            reach: rules.reach.clone(),
+            injected_fault: None,
+        })
+    }
+}
--- /dev/null
+++ b/crates/aldercrank-server/src/config/reload.rs
@@ -0,0 +1,93 @@
+//! Compares a configuration that is read while serving with the one in force.
+
+use super::Config;
+use aldercrank::{Settings, Value};
+use std::fmt;
+
+/// The setting that the admission module is built for; it can't change while serving.
+const CORES: &str = "family_info.cores";
+
+/// Why a configuration is another server's.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ForeignConfig {
+    /// It names another server.
+    Name {
+        /// The name that it gives.
+        offered: String,
+        /// This server's name.
+        own: String,
+    },
+    /// It has none of this server's request classes.
+    Classes {
+        /// The classes that it names.
+        offered: Vec<String>,
+        /// This server's classes.
+        own: Vec<String>,
+    },
+}
+
+impl fmt::Display for ForeignConfig {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            ForeignConfig::Name { offered, own } => {
+                write!(f, "it names the server {offered}, and this is {own}")
+            }
+            ForeignConfig::Classes { offered, own } => {
+                write!(f, "it names the products {}, and here are {}", offered.join(", "), own.join(", "))
+            }
+        }
+    }
+}
+
+impl Config {
+    /// The fields that differ in a new configuration and can't change while serving.
+    pub fn fixed(&self, new: &Config) -> Vec<&'static str> {
+        let fields = [
+            ("name", self.name == new.name),
+            ("listen", self.listen == new.listen),
+            ("limits.memory_mb", self.memory == new.memory),
+            ("limits.sockets", self.sockets == new.sockets),
+            ("results in the service file", self.result == new.result),
+            ("reports in the service file", self.reports_longest == new.reports_longest),
+            ("rules in the service file", self.rules == new.rules),
+            ("start in the service file", self.start == new.start),
+            ("cores of the settings", self.cores() == new.cores()),
+            ("products of the settings", self.classes() == new.classes()),
+        ];
+        fields.into_iter().filter(|(_, same)| !same).map(|(name, _)| name).collect()
+    }
+
+    /// Whether a new configuration is another server's, and by what. Its addresses would be another customer's, so
+    /// nothing of it may be applied.
+    pub fn foreign(&self, new: &Config) -> Option<ForeignConfig> {
+        if self.name != new.name {
+            return Some(ForeignConfig::Name { offered: new.name.clone(), own: self.name.clone() });
+        }
+        let (own, offered) = (self.classes(), new.classes());
+        if offered.iter().any(|name| own.contains(name)) {
+            return None;
+        }
+        let owned = |names: Vec<&str>| names.into_iter().map(str::to_string).collect();
+        Some(ForeignConfig::Classes { offered: owned(offered), own: owned(own) })
+    }
+
+    fn cores(&self) -> Option<f64> {
+        self.settings.num(CORES)
+    }
+
+    /// The names of the request classes, in their order.
+    fn classes(&self) -> Vec<&str> {
+        (0..).map_while(|i| self.settings.text(&format!("profiles.{i}.name"))).collect()
+    }
+
+    /// The settings of a new configuration that can be applied while serving; none if nothing differs or the request
+    /// classes do.
+    pub fn settings_of(&self, new: &Config) -> Option<Settings> {
+        let mut settings = new.settings.clone();
+        match self.cores() {
+            Some(cores) => settings.set(CORES, Value::Num(cores)),
+            None => drop(settings.0.remove(CORES)),
+        }
+        (self.classes() == new.classes() && settings.0 != self.settings.0).then_some(settings)
+    }
+}
--- a/crates/aldercrank-server/src/lib.rs
+++ b/crates/aldercrank-server/src/lib.rs
@@ -1,4 +1,5 @@
-//! The real backend round aldercrank's module: sockets, clock and signals. The module decides everything.
+//! A server: its core, its sockets, its configuration, its log and the operators' commands. Admission is decided by the
+//! package `aldercrank`, which the core drives.
 
 // Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
 #![allow(missing_docs, unreachable_pub)]
@@ -11,7 +12,7 @@
 pub mod dedup;
 pub mod logger;
 pub mod net;
-pub mod operate;
+pub mod operator_commands;
 pub mod payload;
 pub mod phase;
 pub mod slots;
--- a/crates/aldercrank-server/src/logger.rs
+++ b/crates/aldercrank-server/src/logger.rs
@@ -1,6 +1,7 @@
-//! The program's log: events of `tracing`, one line each on standard error, as text for people or as JSON for
-//! programs. A place that logs too often is cut short, but for what is told of each txn, which is off unless it is
-//! asked for. No body and no token is ever a field.
+//! The program's log: events of `tracing`, one line each on standard error, as text or as JSON.
+//!
+//! The lines of each source location are limited. The log of single requests is not; it is off unless asked for.
+//! Bodies and idempotency keys are never logged.
 
 use crate::clock::Clock;
 use serde_json::{Map, Value};
@@ -17,62 +18,72 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::Registry;
 
-/// Lines that one place in the code may log in so many seconds.
-const MOST: u32 = 3;
-const SECONDS: u64 = 5;
-/// What is told of each txn, under this target.
+/// The most lines that one source location may log in an interval.
+const MAX_LINES_PER_INTERVAL: u32 = 3;
+const INTERVAL_SECONDS: u64 = 5;
+/// The target of events of single requests.
 pub const REQUEST_LOG_TARGET: &str = "aldercrank::request";
-/// Others' events are not ours to log.
-const OURS: &str = "aldercrank";
+/// The prefix of this program's targets; events of other crates are not logged.
+const TARGET_PREFIX: &str = "aldercrank";
 
-/// What is logged, and how.
+/// What is logged, and in which form.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogOptions {
+    /// Events of level debug too.
     pub verbose: bool,
     /// A JSON document a line, in place of text.
     pub json: bool,
-    /// Each txn's way through the server.
+    /// Events of single requests.
     pub requests: bool,
 }
 
-/// Which places have logged how much of late.
+#[derive(Clone, Copy)]
+struct LineCount {
+    interval: u64,
+    lines: u32,
+}
+
+/// Limits the log lines of each source location.
 #[derive(Default)]
 pub struct Bound {
-    /// By place: the stretch of seconds, and the lines in it.
-    said: Mutex<BTreeMap<(String, u32), (u64, u32)>>,
+    /// By file and line.
+    counts: Mutex<BTreeMap<(String, u32), LineCount>>,
 }
 
 impl Bound {
-    /// Whether one more line from this place is written in this stretch; and how many were not, before it.
-    pub fn admits(&self, file: &str, line: u32, stretch: u64) -> Option<u32> {
-        let Ok(mut said) = self.said.lock() else { return None };
-        let (at, count) = said.entry((file.to_string(), line)).or_insert((stretch, 0));
-        let left_out = if *at == stretch { 0 } else { count.saturating_sub(MOST) };
-        if *at != stretch {
-            (*at, *count) = (stretch, 0);
+    /// Counts one more line from this source location in this interval. None if it must not be written; else how many
+    /// lines were left out in the location's previous interval, if this is the first line since.
+    pub fn admits(&self, file: &str, line: u32, interval: u64) -> Option<u32> {
+        let Ok(mut counts) = self.counts.lock() else { return None };
+        let new = LineCount { interval, lines: 0 };
+        let count = counts.entry((file.to_string(), line)).or_insert(new);
+        let mut left_out = 0;
+        if count.interval != interval {
+            left_out = count.lines.saturating_sub(MAX_LINES_PER_INTERVAL);
+            *count = new;
         }
-        *count += 1;
-        (*count <= MOST).then_some(left_out)
+        count.lines += 1;
+        (count.lines <= MAX_LINES_PER_INTERVAL).then_some(left_out)
     }
 }
 
-/// An event's words and fields, in their order.
+/// An event's message and its fields, in their order.
 #[derive(Default)]
-struct Said {
-    words: String,
+struct EventFields {
+    message: String,
     fields: Vec<(&'static str, Value)>,
 }
 
-impl Said {
+impl EventFields {
     fn field(&mut self, field: &Field, value: Value) {
         match (field.name(), value) {
-            ("message", Value::String(words)) => self.words = words,
+            ("message", Value::String(message)) => self.message = message,
             (name, value) => self.fields.push((name, value)),
         }
     }
 }
 
-impl Visit for Said {
+impl Visit for EventFields {
     fn record_str(&mut self, field: &Field, value: &str) {
         self.field(field, value.into());
     }
@@ -93,14 +104,14 @@
     }
 }
 
-fn text(at: Duration, level: &Level, said: &Said) -> String {
+fn text_line(at: Duration, level: &Level, event: &EventFields) -> String {
     let level = level.as_str().to_lowercase();
-    let mut line = format!("{}.{:03} {level} {}", at.as_secs(), at.subsec_millis(), said.words);
-    for (name, value) in &said.fields {
+    let mut line = format!("{}.{:03} {level} {}", at.as_secs(), at.subsec_millis(), event.message);
+    for (name, value) in &event.fields {
         let _ = match value {
-            // A plain word stands as it is; what has spaces or line ends in it is quoted, so that a line stays one.
-            Value::String(word) if word.chars().all(|c| c.is_ascii_graphic() && c != '"') => {
-                write!(line, " {name}={word}")
+            // A text with spaces or line ends is quoted, so that an event stays one line.
+            Value::String(text) if text.chars().all(|c| c.is_ascii_graphic() && c != '"') => {
+                write!(line, " {name}={text}")
             }
             other => write!(line, " {name}={other}"),
         };
@@ -108,112 +119,117 @@
     line
 }
 
-fn json(at: Duration, level: &Level, server: &str, said: Said) -> String {
-    let mut all = Map::new();
-    all.insert("at".into(), (at.as_micros() as f64 / 1e6).into());
-    all.insert("level".into(), level.as_str().to_lowercase().into());
-    all.insert("server".into(), server.into());
-    all.insert("said".into(), said.words.into());
-    all.extend(said.fields.into_iter().map(|(name, value)| (name.to_string(), value)));
-    Value::Object(all).to_string()
+fn json_line(at: Duration, level: &Level, server: &str, event: EventFields) -> String {
+    let mut document = Map::new();
+    document.insert("at".into(), (at.as_micros() as f64 / 1e6).into());
+    document.insert("level".into(), level.as_str().to_lowercase().into());
+    document.insert("server".into(), server.into());
+    document.insert("said".into(), event.message.into());
+    document.extend(event.fields.into_iter().map(|(name, value)| (name.to_string(), value)));
+    Value::Object(document).to_string()
 }
 
-/// Where lines go; standard error, but for tests.
+/// Where lines go: standard error, except in tests.
 type Sink = Box<dyn Fn(&[u8]) + Send + Sync>;
 
+/// Formats and limits log lines, and writes them.
 pub struct Lines {
-    wish: LogOptions,
+    options: LogOptions,
     json: AtomicBool,
-    bound: Bound,
+    limit: Bound,
     server: OnceLock<String>,
     sink: Sink,
 }
 
 impl Lines {
-    pub fn new(wish: LogOptions, sink: Sink) -> Lines {
-        let json = AtomicBool::new(wish.json);
-        Lines { wish, json, bound: Bound::default(), server: OnceLock::new(), sink }
+    /// Creates a log that writes each line, with its line end, to `sink`.
+    pub fn new(options: LogOptions, sink: Sink) -> Lines {
+        let json = AtomicBool::new(options.json);
+        Lines { options, json, limit: Bound::default(), server: OnceLock::new(), sink }
     }
 
-    /// The server's name, which each JSON line carries; and whether the service file asks for JSON.
+    /// Sets the server's name, which each JSON line has, and whether the service file asks for JSON.
     pub fn called(&self, name: &str, json: bool) {
         let _ = self.server.set(name.to_string());
         self.json.fetch_or(json, Ordering::Relaxed);
     }
 
-    fn wanted(&self, of: &Metadata) -> bool {
-        match of.target() {
-            REQUEST_LOG_TARGET => self.wish.requests,
-            target => target.starts_with(OURS) && *of.level() <= self.most(),
+    fn is_logged(&self, metadata: &Metadata) -> bool {
+        match metadata.target() {
+            REQUEST_LOG_TARGET => self.options.requests,
+            target => target.starts_with(TARGET_PREFIX) && *metadata.level() <= self.max_level(),
         }
     }
 
-    fn most(&self) -> Level {
-        if self.wish.verbose {
+    fn max_level(&self) -> Level {
+        if self.options.verbose {
             Level::DEBUG
         } else {
             Level::INFO
         }
     }
 
-    fn line(&self, at: Duration, event: &Event) {
-        let of = event.metadata();
-        let place = (of.file().unwrap_or_default(), of.line().unwrap_or_default());
-        let bounded = of.target() != REQUEST_LOG_TARGET;
-        let stretch = at.as_secs() / SECONDS;
-        let left_out = if bounded { self.bound.admits(place.0, place.1, stretch) } else { Some(0) };
+    fn write(&self, at: Duration, event: &Event) {
+        let metadata = event.metadata();
+        let left_out = if metadata.target() == REQUEST_LOG_TARGET {
+            Some(0)
+        } else {
+            let (file, line) = (metadata.file().unwrap_or_default(), metadata.line().unwrap_or_default());
+            self.limit.admits(file, line, at.as_secs() / INTERVAL_SECONDS)
+        };
         let Some(left_out) = left_out else { return };
-        let mut said = Said::default();
-        event.record(&mut said);
+        let mut recorded = EventFields::default();
+        event.record(&mut recorded);
         if left_out > 0 {
-            said.fields.push(("left_out", left_out.into()));
+            recorded.fields.push(("left_out", left_out.into()));
         }
         let server = self.server.get().map_or("", String::as_str);
-        let mut line = match self.json.load(Ordering::Relaxed) {
-            true => json(at, of.level(), server, said),
-            false => text(at, of.level(), &said),
+        let mut line = if self.json.load(Ordering::Relaxed) {
+            json_line(at, metadata.level(), server, recorded)
+        } else {
+            text_line(at, metadata.level(), &recorded)
         };
         line.push('\n');
         (self.sink)(line.as_bytes());
     }
 }
 
-/// The lines, as a layer that the registry and the program both hold.
+/// The log as a layer of `tracing`, shared by the registry and the program.
 #[derive(Clone)]
 pub struct Logger(pub Arc<Lines>);
 
 impl Logger {
-    /// From here on all of this process is logged so.
-    pub fn install(wish: LogOptions) -> Logger {
+    /// Installs the log on standard error for the whole process.
+    pub fn install(options: LogOptions) -> Logger {
         let sink = |line: &[u8]| {
             let _ = std::io::stderr().write_all(line);
         };
-        let logger = Logger(Arc::new(Lines::new(wish, Box::new(sink))));
+        let logger = Logger(Arc::new(Lines::new(options, Box::new(sink))));
         let _ = tracing::subscriber::set_global_default(Registry::default().with(logger.clone()));
         logger
     }
 }
 
 impl<S: Subscriber> Layer<S> for Logger {
-    /// What is not wanted costs a look at a flag.
-    fn register_callsite(&self, of: &'static Metadata<'static>) -> Interest {
-        if self.0.wanted(of) {
+    /// Decides once for each call site, so that an event that is not logged costs the test of a flag.
+    fn register_callsite(&self, metadata: &'static Metadata<'static>) -> Interest {
+        if self.0.is_logged(metadata) {
             Interest::always()
         } else {
             Interest::never()
         }
     }
 
-    fn enabled(&self, of: &Metadata, _: Context<S>) -> bool {
-        self.0.wanted(of)
+    fn enabled(&self, metadata: &Metadata, _: Context<S>) -> bool {
+        self.0.is_logged(metadata)
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
-        let most = if self.0.wish.requests { Level::DEBUG } else { self.0.most() };
-        Some(LevelFilter::from_level(most))
+        let max_level = if self.0.options.requests { Level::DEBUG } else { self.0.max_level() };
+        Some(LevelFilter::from_level(max_level))
     }
 
     fn on_event(&self, event: &Event, _: Context<S>) {
-        self.0.line(Clock::unix(), event);
+        self.0.write(Clock::unix(), event);
     }
 }
--- a/crates/aldercrank-server/src/main.rs
+++ b/crates/aldercrank-server/src/main.rs
@@ -1,86 +1,99 @@
-//! The command line: `aldercrank serve`, `aldercrank check-config`, `aldercrank version`.
+//! The command line of the program `aldercrank`: `serve`, `check-config`, `rules` and `version`.
 
-// Not finished yet (docs/ROADMAP.md): a package that is done in full has no such line.
-#![allow(missing_docs, unreachable_pub)]
-#![allow(clippy::needless_pass_by_value, clippy::semicolon_if_nothing_returned, clippy::too_many_lines)]
-
-use aldercrank_server::config::Config;
+use aldercrank_server::config::{Config, ConfigError};
 use aldercrank_server::logger::{LogOptions, Logger};
-use aldercrank_server::{net, operate};
+use aldercrank_server::{net, operator_commands};
 use bpaf::{construct, long, positional, pure, OptionParser, Parser};
+use std::io;
 use std::process::ExitCode;
+use thiserror::Error;
 
 #[derive(Clone)]
 enum Command {
-    Serve { wish: LogOptions, service: Option<String>, config: Option<String> },
+    Serve { log: LogOptions, service: Option<String>, config: Option<String> },
     CheckConfig { service: Option<String>, config: Option<String> },
     Version,
-    Rules(operate::Rules),
+    Rules(operator_commands::RulesCommand),
+}
+
+#[derive(Debug, Error)]
+enum ProgramError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Serve(#[from] io::Error),
+    #[error(transparent)]
+    Rules(#[from] operator_commands::CommandError),
 }
 
-fn commands() -> OptionParser<Command> {
-    let config = || positional::<String>("CONFIG").help("the file, if not the one that ROUTER_CONFIG names");
+impl ProgramError {
+    fn exit_code(&self) -> ExitCode {
+        match self {
+            ProgramError::Config(_) | ProgramError::Serve(_) => ExitCode::FAILURE,
+            ProgramError::Rules(error) => ExitCode::from(error.exit_code()),
+        }
+    }
+}
+
+fn log_options() -> impl Parser<LogOptions> {
     let verbose = long("verbose").short('v').help("log more").switch();
     let json = long("json-log").help("log a JSON document a line").switch();
-    let requests =
-        long("log-txns").help("log each txn's way through the server; much, and without a bound").switch();
-    let wish = construct!(LogOptions { verbose, json, requests });
+    let requests = long("log-txns")
+        .help("log each request's way through the server; this is much, and without a bound")
+        .switch();
+    construct!(LogOptions { verbose, json, requests })
+}
+
+fn command_line() -> OptionParser<Command> {
+    let config = || {
+        positional::<String>("CONFIG").help("the file, if not the one that ROUTER_CONFIG names").optional()
+    };
     let service = || {
         let help = "the program's own settings, as deploy/service.kdl shows; all is off without it";
         long("service").help(help).argument::<String>("FILE").optional()
     };
-    let (file, own) = (config().optional(), service());
-    let serve = construct!(Command::Serve { wish, service(own), config(file) })
+    let (log, file, service_file) = (log_options(), config(), service());
+    let serve = construct!(Command::Serve { log, service(service_file), config(file) })
         .to_options()
         .descr("Serve until SIGTERM")
         .command("serve");
-    let (file, own) = (config().optional(), service());
-    let check = construct!(Command::CheckConfig { service(own), config(file) })
+    let (file, service_file) = (config(), service());
+    let check = construct!(Command::CheckConfig { service(service_file), config(file) })
         .to_options()
         .descr("Say whether a configuration can be served, and which field is wrong")
         .footer("Exit: 0 it can be served, 1 it can not")
         .command("check-config");
     let version = pure(Command::Version).to_options().descr("Print the version").command("version");
-    let rules = operate::commands().command("rules").map(Command::Rules);
+    let rules = operator_commands::commands().command("rules").map(Command::Rules);
     construct!([serve, check, rules, version])
         .to_options()
-        .descr("Decides what a server takes, runs and turns away")
+        .descr("Decides what a server takes, runs and rejects")
 }
 
-fn main() -> ExitCode {
-    let run = match commands().run() {
-        Command::Rules(rules) => {
-            return match operate::run(&rules) {
-                Ok(code) => ExitCode::from(code),
-                Err(operate::Failed(code, why)) => {
-                    eprintln!("aldercrank: {why}");
-                    ExitCode::from(code)
-                }
-            }
-        }
-        Command::Version => {
-            println!("aldercrank {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
+fn serve(log: LogOptions, service: Option<String>, config: Option<String>) -> Result<(), ProgramError> {
+    let logger = Logger::install(log);
+    let load = move || Config::load(config.as_deref(), service.as_deref());
+    let config = load()?;
+    logger.0.called(&config.name, config.json_log);
+    Ok(net::serve(config, load)?)
+}
+
+fn run(command: Command) -> Result<ExitCode, ProgramError> {
+    match command {
+        Command::Serve { log, service, config } => serve(log, service, config)?,
         Command::CheckConfig { service, config } => {
-            Config::load(config.as_deref(), service.as_deref()).map(|c| {
-                println!("{}: can be served on {}", c.name, c.listen);
-            })
-        }
-        Command::Serve { wish, service, config } => {
-            let logger = Logger::install(wish);
-            let read = move || Config::load(config.as_deref(), service.as_deref());
-            read().and_then(|c| {
-                logger.0.called(&c.name, c.json_log);
-                net::serve(c, read).map_err(|e| e.to_string())
-            })
-        }
-    };
-    match run {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("aldercrank: {why}");
-            ExitCode::FAILURE
+            let config = Config::load(config.as_deref(), service.as_deref())?;
+            println!("{}: can be served on {}", config.name, config.listen);
         }
+        Command::Version => println!("aldercrank {}", env!("CARGO_PKG_VERSION")),
+        Command::Rules(rules) => return Ok(ExitCode::from(operator_commands::run(&rules)?)),
     }
+    Ok(ExitCode::SUCCESS)
+}
+
+fn main() -> ExitCode {
+    run(command_line().run()).unwrap_or_else(|error| {
+        eprintln!("aldercrank: {error}");
+        error.exit_code()
+    })
 }
--- a/crates/aldercrank-server/src/net/mod.rs
+++ b/crates/aldercrank-server/src/net/mod.rs
@@ -15,7 +15,7 @@
 mod wait;
 
 use crate::clock::Clock;
-use crate::config::Config;
+use crate::config::{Config, ConfigError};
 use crate::core::{ConnId, Core, Ports, ReplyTo, TimerId, RESULTS_SHARE};
 use crate::deadlines::Deadlines;
 use crate::membership::{ENTRY_TTL, REPORT_INTERVAL};
@@ -187,7 +187,7 @@
     phase: Phase,
     config: Config,
     /// Reads the configuration again.
-    reread: Box<dyn Fn() -> Result<Config, String>>,
+    reread: Box<dyn Fn() -> Result<Config, ConfigError>>,
     room: usize,
     stop: Duration,
     terms: SocketTerms,
@@ -405,7 +405,10 @@
 }
 
 /// Serves until the notice to leave has been followed. `reread` gives the configuration anew, at SIGHUP.
-pub fn serve(config: Config, reread: impl Fn() -> Result<Config, String> + 'static) -> std::io::Result<()> {
+pub fn serve(
+    config: Config,
+    reread: impl Fn() -> Result<Config, ConfigError> + 'static,
+) -> std::io::Result<()> {
     let mut events: EventLoop<'static, Server> = EventLoop::try_new()?;
     let on_loop = events.handle();
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])?;
--- a/crates/aldercrank-server/src/net/reload.rs
+++ b/crates/aldercrank-server/src/net/reload.rs
@@ -9,10 +9,10 @@
     pub fn reload(&mut self) {
         let new = match (self.reread)() {
             Ok(new) => new,
-            Err(why) => return tracing::error!(why, "the new configuration is left aside"),
+            Err(why) => return tracing::error!(%why, "the new configuration is left aside"),
         };
         if let Some(why) = self.config.foreign(&new) {
-            return tracing::error!(why, "the new configuration is another server's and is left aside");
+            return tracing::error!(%why, "the new configuration is another server's and is left aside");
         }
         let fixed = self.config.fixed(&new);
         if !fixed.is_empty() {
--- /dev/null
+++ b/crates/aldercrank-server/src/operator_commands/status_report.rs
@@ -0,0 +1,89 @@
+//! Prints the status of a server for people. The fields are those that `net` writes into the status.
+
+use serde_json::Value as Json;
+
+/// A text without quotes; any other value as JSON.
+fn plain(value: &Json) -> String {
+    value.as_str().map_or_else(|| value.to_string(), str::to_string)
+}
+
+fn seconds(milliseconds: &Json) -> String {
+    format!("{:.1} s", milliseconds.as_f64().unwrap_or_default() / 1e3)
+}
+
+fn elements(value: &Json) -> impl Iterator<Item = &Json> {
+    value.as_array().into_iter().flatten()
+}
+
+/// Prints a server's status to standard output.
+pub(super) fn print_status(status: &Json) {
+    println!("{}: {}, {}", plain(&status["server"]), version(status), permission(status));
+    let start = &status["start"];
+    if let Some(share) = start["share"].as_f64().filter(|share| *share < 1.0) {
+        println!("  {}, offers {:.0} %: {}", plain(&start["phase"]), share * 100.0, plain(&start["why"]));
+    }
+    if let Some(why) = status["misfit"].as_str() {
+        println!("  can't go by it: {why}");
+    }
+    let committee = &status["committee"];
+    if !committee.is_null() {
+        print_committee(committee);
+    }
+}
+
+fn version(status: &Json) -> String {
+    let committed = &status["standing"];
+    if committed.is_null() {
+        return "no version known".to_string();
+    }
+    format!(
+        "version {} ({}) since {}",
+        committed["version"],
+        plain(&committed["digest"]),
+        seconds(&status["since_ms"])
+    )
+}
+
+fn permission(status: &Json) -> String {
+    match status["level"].as_str() {
+        Some("full") => format!("lease {}", seconds(&status["lease_ms"])),
+        Some("alone") => "out of touch: does what may run again, and nothing else".to_string(),
+        _ => "takes nothing".to_string(),
+    }
+}
+
+fn print_committee(committee: &Json) {
+    let members: Vec<String> = elements(&committee["members"]).map(plain).collect();
+    let state = match (committee["sound"].as_bool(), committee["vouches"].as_bool()) {
+        (Some(true), Some(true)) => "vouches for what stands",
+        (Some(true), _) => "hears no majority",
+        _ => "remembers nothing yet, and is silent",
+    };
+    println!("  on the committee of {}: {state}", members.join(", "));
+    if let Some(proposed) = committee["draft"].as_u64() {
+        println!("  version {proposed} to come: {}", plain(&committee["held_up"]));
+    }
+    for conflict in elements(&committee["at_odds"]) {
+        println!("  the same number with another content: {}", plain(conflict));
+    }
+    for refused in elements(&committee["refused"]) {
+        println!("  version {} refused: {}", refused["version"], plain(&refused["why"]));
+    }
+    elements(&committee["servers"]).for_each(print_follower);
+}
+
+fn print_follower(server: &Json) {
+    let proposed = &server["weighed"];
+    let confirmation = match (proposed.is_null(), proposed["refuses"].as_str()) {
+        (true, _) => String::new(),
+        (_, None) => format!(", holds {}", proposed["version"]),
+        (_, Some(why)) => format!(", refuses {}: {why}", proposed["version"]),
+    };
+    println!(
+        "  {:<12} version {}, heard {} ago, lease {}{confirmation}",
+        plain(&server["name"]),
+        server["last"],
+        seconds(&server["heard_ms"]),
+        seconds(&server["lease_ms"])
+    );
+}
--- a/crates/aldercrank-server/tests/suite/config.rs
+++ b/crates/aldercrank-server/tests/suite/config.rs
@@ -29,12 +29,13 @@
         ("\"settings\":{", "\"settings\":7,\"s\":{", "settings"),
         ("{\"name\"", "{{\"name\"", "not JSON"),
     ] {
-        let why = Config::parse(&good.replace(from, to), no_variable).err().unwrap_or_default();
+        let error = Config::parse(&good.replace(from, to), no_variable).err();
+        let why = error.map(|error| error.to_string()).unwrap_or_default();
         assert!(why.contains(field) && why.lines().count() == 1, "{to}: {why}");
     }
     // Without upstream calls no index is needed.
     let without = good.replace("\"index\"", "\"x\"");
-    assert!(Config::parse(&without, no_variable).err().unwrap().contains("index"));
+    assert!(Config::parse(&without, no_variable).err().unwrap().to_string().contains("index"));
     let without_calls =
         without.replace("\"settings\":{", "\"settings\":{\"family_info\":{\"below\":\"none\"},");
     assert_eq!(Config::parse(&without_calls, no_variable).ok().unwrap().index, None);
@@ -50,7 +51,7 @@
     std::fs::write(&config, include_str!("../../../../examples/config.json")).unwrap();
     let load = |text: &str| {
         std::fs::write(&service, text).unwrap();
-        Config::load(config.to_str(), service.to_str())
+        Config::load(config.to_str(), service.to_str()).map_err(|error| error.to_string())
     };
     assert_eq!(load("results {\n    longest-kb 512\n}\n").unwrap().result, 512 * 1024);
     assert_eq!(load("").unwrap().result, 256 * 1024);
@@ -59,9 +60,13 @@
         why.contains("tables.kdl:2:16: longest-kb takes") && why.contains("tables.kdl:4:1: result is not")
     );
     std::fs::remove_file(&service).unwrap();
-    assert!(Config::load(config.to_str(), service.to_str()).err().unwrap().contains("tables.kdl"));
+    assert!(Config::load(config.to_str(), service.to_str())
+        .err()
+        .unwrap()
+        .to_string()
+        .contains("tables.kdl"));
     // A field of the wrong type is not reported as missing.
     let text = include_str!("../../../../examples/config.json").replace("\"n1\"", "3");
-    assert_eq!(Config::parse(&text, |_| None).err().unwrap(), "name is no text");
+    assert_eq!(Config::parse(&text, |_| None).err().unwrap().to_string(), "name is no text");
     std::fs::remove_file(&config).unwrap();
 }
--- a/crates/aldercrank-server/tests/suite/golden_config.rs
+++ b/crates/aldercrank-server/tests/suite/golden_config.rs
@@ -116,7 +116,7 @@
         "extra": [null, true, "x", 1.25], "profiles": [{"name": "p", "points": 2}]}});
     let built = match Config::parse(&small.to_string(), variables) {
         Ok(config) => decoded(&config),
-        Err(why) => why,
+        Err(why) => why.to_string(),
     };
     compare::check("config/small.txt", &format!("{small}\n--\n{built}"));
 }
--- a/crates/aldercrank-server/tests/suite/golden_reload.rs
+++ b/crates/aldercrank-server/tests/suite/golden_reload.rs
@@ -35,7 +35,12 @@
     let fixed = old.fixed(new);
     let mut lines =
         format!("  can't change: {}\n", if fixed.is_empty() { "nothing".into() } else { fixed.join("; ") });
-    writeln!(lines, "  foreign: {}", old.foreign(new).unwrap_or("no".to_string())).unwrap();
+    writeln!(
+        lines,
+        "  foreign: {}",
+        old.foreign(new).map_or("no".to_string(), |foreign| foreign.to_string())
+    )
+    .unwrap();
     match old.settings_of(new) {
         None => writeln!(lines, "  settings: as they are").unwrap(),
         Some(settings) => write!(lines, "  settings:\n{}", differences(&old.settings, &settings)).unwrap(),
@@ -108,7 +113,7 @@
         std::fs::write(self.0.join("service.kdl"), text).unwrap();
         let path = |name: &str| self.0.join(name).to_str().unwrap().to_string();
         let loaded = Config::load(Some(&path("config.json")), Some(&path("service.kdl")));
-        loaded.map_err(|why| why.replace(self.0.to_str().unwrap(), "FOLDER"))
+        loaded.map_err(|why| why.to_string().replace(self.0.to_str().unwrap(), "FOLDER"))
     }
 }
 
