--- a/crates/aldercrank-testbench/src/lib.rs
+++ b/crates/aldercrank-testbench/src/lib.rs
@@ -19,6 +19,7 @@
 mod trace;
 mod why;
 
+use aldercrank_server::config::{Config, ConfigError};
 use bpaf::{construct, long, positional, OptionParser, Parser};
 use cost::Case;
 use server::Build;
@@ -250,12 +251,13 @@
 fn broken(injected_fault: &str, config: String, service: Option<String>) -> Result<(), String> {
     let injected_fault =
         agree::injected_fault(injected_fault).ok_or(format!("no mistake is named {injected_fault}"))?;
-    let read = move || {
-        let mut config = aldercrank_server::config::Config::load(Some(&config), service.as_deref())?;
+    let read = move || -> Result<Config, ConfigError> {
+        let mut config = Config::load(Some(&config), service.as_deref())?;
         config.rules.iter_mut().for_each(|rules| rules.injected_fault = Some(injected_fault));
         Ok(config)
     };
-    read().and_then(|c| aldercrank_server::net::serve(c, read).map_err(|e| e.to_string()))
+    let config = read().map_err(|e| e.to_string())?;
+    aldercrank_server::net::serve(config, read).map_err(|e| e.to_string())
 }
 
 fn counted(config: String, service: Option<String>) -> Result<(), String> {
@@ -269,8 +271,9 @@
         // Whoever asked is gone.
         std::process::exit(0);
     });
-    let read = move || aldercrank_server::config::Config::load(Some(&config), service.as_deref());
-    read().and_then(|c| aldercrank_server::net::serve(c, read).map_err(|e| e.to_string()))
+    let read = move || Config::load(Some(&config), service.as_deref());
+    let config = read().map_err(|e| e.to_string())?;
+    aldercrank_server::net::serve(config, read).map_err(|e| e.to_string())
 }
 
 /// Measures what can be. An earlier build may not know what a case needs; the others count all the same.
