--- /dev/null
+++ b/crates/aldercrank-service-config/src/parser.rs
@@ -0,0 +1,102 @@
+//! Reads the text of a service file.
+
+use crate::fault::{Fault, FaultKind};
+use crate::reader::Reader;
+use crate::service::{Log, Reports, Results, Rules, Service, Start};
+use kdl::{KdlDocument, KdlNode};
+
+/// A result is kept in memory at least once, so it is bounded by what one connection may take of it.
+const MAX_RESULT_KB: i128 = 64 * 1024;
+/// Shorter pauses would spare the membership service nothing.
+const MIN_REPORT_BACKOFF_MS: i128 = 250;
+/// After longer pauses the membership service would not know the server any more.
+const MAX_REPORT_BACKOFF_MS: i128 = 60_000;
+
+/// Reads a service file. An error has all faults in the order of the file.
+pub fn parse(text: &str) -> Result<Service, Vec<Fault>> {
+    let mut reader = Reader::new(text);
+    let mut service = Service::default();
+    let Some(document) = reader.document() else { return Err(reader.faults()) };
+    reader.nodes(&document, &["results", "reports", "log", "rules", "start"], |reader, node| {
+        reader.no_values(node);
+        let Some(children) = reader.children(node) else { return };
+        match node.name().value() {
+            "reports" => service.reports = reports(reader, children),
+            "rules" => service.rules = Some(rules(reader, node, children)),
+            "start" => service.start = start(reader, children),
+            "log" => service.log = log(reader, children),
+            _ => service.results = results(reader, children),
+        }
+    });
+    let faults = reader.faults();
+    if faults.is_empty() {
+        Ok(service)
+    } else {
+        Err(faults)
+    }
+}
+
+fn results(reader: &mut Reader, children: &KdlDocument) -> Results {
+    let mut results = Results::default();
+    reader.nodes(children, &["longest-kb"], |reader, child| {
+        let longest = reader.whole(child, 1, MAX_RESULT_KB);
+        results.longest_kb = longest.and_then(|kb| u32::try_from(kb).ok());
+    });
+    results
+}
+
+fn reports(reader: &mut Reader, children: &KdlDocument) -> Reports {
+    let mut reports = Reports::default();
+    reader.nodes(children, &["longest-ms"], |reader, child| {
+        let longest = reader.whole(child, MIN_REPORT_BACKOFF_MS, MAX_REPORT_BACKOFF_MS);
+        reports.longest_ms = longest.and_then(|ms| u32::try_from(ms).ok());
+    });
+    reports
+}
+
+fn log(reader: &mut Reader, children: &KdlDocument) -> Log {
+    let mut log = Log::default();
+    reader.nodes(children, &["json"], |reader, child| {
+        log.json = reader.flag(child).unwrap_or_default();
+    });
+    log
+}
+
+fn start(reader: &mut Reader, children: &KdlDocument) -> Start {
+    let mut start = Start::default();
+    reader.nodes(children, &["tell-share"], |reader, child| {
+        start.tell_share = reader.flag(child).unwrap_or_default();
+    });
+    start
+}
+
+fn rules(reader: &mut Reader, node: &KdlNode, children: &KdlDocument) -> Rules {
+    let mut rules = Rules::default();
+    reader.nodes(children, &["book", "dir", "read-list", "reach"], |reader, child| {
+        match child.name().value() {
+            "book" => rules.book = reader.text(child, "the name of a file").unwrap_or_default(),
+            "dir" => rules.dir = reader.text(child, "the name of a directory"),
+            "read-list" => rules.read_list = reader.flag(child).unwrap_or_default(),
+            _ => member_addresses(reader, child, &mut rules),
+        }
+    });
+    if rules.book.is_empty() {
+        let what = "rules needs book \"FILE\", the version that the fleet starts from";
+        reader.fault(node.name().span().offset(), FaultKind::Other(what.to_string()));
+    }
+    rules
+}
+
+fn member_addresses(reader: &mut Reader, node: &KdlNode, rules: &mut Rules) {
+    reader.no_values(node);
+    for member in reader.children(node).into_iter().flat_map(KdlDocument::nodes) {
+        let Some(text) = reader.text(member, "an address with a port") else { continue };
+        match text.parse() {
+            Ok(address) => drop(rules.reach.insert(member.name().value().to_string(), address)),
+            Err(_) => {
+                let offset = member.name().span().offset();
+                reader.fault(offset, format!("{text:?} is no address with a port"));
+            }
+        }
+    }
+}
--- a/crates/aldercrank-service-config/src/reader.rs
+++ b/crates/aldercrank-service-config/src/reader.rs
@@ -1,80 +1,77 @@
-//! Reads KDL nodes and gathers what is wrong with them, each fault at its place.
+//! Reads nodes of a KDL document, and collects all faults with their positions.
 
+use crate::fault::{Fault, FaultKind};
 use kdl::{KdlDocument, KdlNode, KdlValue};
-use std::fmt;
 
-/// Names further from what is known than this share of their length are not guessed at.
-const NEAR: f64 = 0.6;
+/// The least similarity, from 0 to 1, at which a known name is suggested for an unknown one.
+const MIN_SIMILARITY: f64 = 0.6;
 
-/// What is wrong, and where: lines and columns count from 1, columns in characters.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
-    pub line: usize,
-    pub column: usize,
-    pub what: String,
+/// Reads one KDL text. Its methods give what can be read, and record a fault for what can't.
+pub struct Reader<'a> {
+    text: &'a str,
+    faults: Vec<Fault>,
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}:{}: {}", self.line, self.column, self.what)
-    }
+/// A value and its byte offset in the text.
+struct PlacedValue<'a> {
+    value: &'a KdlValue,
+    offset: usize,
 }
 
-pub struct Reader<'a> {
-    text: &'a str,
-    faults: Vec<Fault>,
+fn name_of(node: &KdlNode) -> String {
+    node.name().value().to_string()
 }
 
 impl<'a> Reader<'a> {
+    /// Creates a reader of this text.
     pub fn new(text: &'a str) -> Reader<'a> {
         Reader { text, faults: Vec::new() }
     }
 
-    /// In the order of the text.
+    /// All faults so far in the order of the text, each once.
     pub fn faults(mut self) -> Vec<Fault> {
         self.faults.sort();
         self.faults.dedup();
         self.faults
     }
 
-    /// Something is wrong at this offset of the text.
-    pub fn fault(&mut self, offset: usize, what: String) {
+    /// Records a fault at this byte offset of the text.
+    pub fn fault(&mut self, offset: usize, what: impl Into<FaultKind>) {
         let bytes = self.text.as_bytes();
         let before = String::from_utf8_lossy(&bytes[..offset.min(bytes.len())]);
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
-        self.faults.push(Fault { line, column, what });
+        self.faults.push(Fault { line, column, what: what.into() });
     }
 
-    /// Nothing where the text is no KDL: all places where it is not are faults.
+    /// The document; none, with a fault for each position, if the text is no KDL.
     pub fn document(&mut self) -> Option<KdlDocument> {
-        match KdlDocument::parse_v2(self.text) {
-            Ok(document) => Some(document),
-            Err(error) => {
-                for found in &error.diagnostics {
-                    let what = found.message.clone().or(found.label.clone());
-                    let what = what.unwrap_or_else(|| "not KDL".to_string());
-                    let help = found.help.as_ref().map(|help| format!(" ({help})")).unwrap_or_default();
-                    self.fault(found.span.offset(), format!("{what}{help}"));
-                }
-                if self.faults.is_empty() {
-                    self.fault(0, "not KDL".to_string());
-                }
-                None
-            }
+        let error = match KdlDocument::parse_v2(self.text) {
+            Ok(document) => return Some(document),
+            Err(error) => error,
+        };
+        let invalid = || "not KDL".to_string();
+        for diagnostic in &error.diagnostics {
+            let message = diagnostic.message.clone().or(diagnostic.label.clone()).unwrap_or_else(invalid);
+            let help = diagnostic.help.as_ref().map(ToString::to_string);
+            self.fault(diagnostic.span.offset(), FaultKind::InvalidKdl { message, help });
+        }
+        if self.faults.is_empty() {
+            self.fault(0, FaultKind::InvalidKdl { message: invalid(), help: None });
         }
+        None
     }
 
-    /// Hands over each node that is known, once; the others are faults.
+    /// Calls `each` with the first node of each known name; other nodes are faults.
     pub fn nodes(&mut self, of: &KdlDocument, known: &[&str], mut each: impl FnMut(&mut Self, &KdlNode)) {
         let mut seen: Vec<&str> = Vec::new();
         for node in of.nodes() {
             let name = node.name().value();
-            let at = node.name().span().offset();
+            let offset = node.name().span().offset();
             if !known.contains(&name) {
-                self.unknown(at, name, known);
+                self.unknown(offset, name, known);
             } else if seen.contains(&name) {
-                self.fault(at, format!("{name} stands here a second time; it may stand once"));
+                self.fault(offset, FaultKind::Duplicate { name: name.to_string() });
             } else {
                 seen.push(name);
                 each(self, node);
@@ -82,89 +79,91 @@
         }
     }
 
-    /// A name that stands here and is not known, with the one that was meant where that can be guessed.
+    /// Records an unknown name as a fault, with the known name that was probably meant, or else all known names.
     pub fn unknown(&mut self, offset: usize, name: &str, known: &[&str]) {
-        let near = known.iter().map(|k| (strsim::normalized_damerau_levenshtein(name, k), k));
-        let nearest = near.filter(|(near, _)| *near >= NEAR).max_by(|a, b| a.0.total_cmp(&b.0));
-        let hint = match nearest {
-            Some((_, nearest)) => format!("did you mean {nearest}?"),
-            None => format!("known here: {}", known.join(", ")),
+        let similarities = known.iter().map(|k| (strsim::normalized_damerau_levenshtein(name, k), k));
+        let nearest = similarities
+            .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
+            .max_by(|a, b| a.0.total_cmp(&b.0));
+        let fault = FaultKind::UnknownName {
+            name: name.to_string(),
+            meant: nearest.map(|(_, meant)| meant.to_string()),
+            known: known.iter().map(ToString::to_string).collect(),
         };
-        self.fault(offset, format!("{name} is not known; {hint}"));
+        self.fault(offset, fault);
     }
 
+    /// Records each value of the node as a fault.
     pub fn no_values(&mut self, node: &KdlNode) {
         for entry in node.entries() {
-            let what = format!("{} takes no value, but a block of settings", node.name().value());
-            self.fault(entry.span().offset(), what);
+            self.fault(entry.span().offset(), FaultKind::UnexpectedValue { name: name_of(node) });
         }
     }
 
+    /// The node's block; a fault if it has none.
     pub fn children<'n>(&mut self, node: &'n KdlNode) -> Option<&'n KdlDocument> {
         let children = node.children();
         if children.is_none() {
-            let what = format!("{} needs a block of settings in braces", node.name().value());
-            self.fault(node.name().span().offset(), what);
+            self.fault(node.name().span().offset(), FaultKind::MissingBlock { name: name_of(node) });
         }
         children
     }
 
-    /// The one value of a node, without a name and without a block; where it is not so, `expected` is said.
-    fn one<'n>(&mut self, node: &'n KdlNode, expected: &str) -> Option<(&'n KdlValue, usize)> {
+    /// The node's one value; a fault if it has another number of values, a named one or a block.
+    fn single_value<'n>(&mut self, node: &'n KdlNode, expected: &str) -> Option<PlacedValue<'n>> {
+        let expected = expected.to_string();
         if let Some(children) = node.children() {
-            self.fault(children.span().offset(), format!("{expected}, and no block"));
+            let fault = FaultKind::UnexpectedBlock { expected: expected.clone() };
+            self.fault(children.span().offset(), fault);
         }
         let [entry] = node.entries() else {
-            let at = node.entries().get(1).map_or(node.name().span(), |second| second.span());
-            self.fault(at.offset(), format!("{expected}, found {}", node.entries().len()));
+            let span = node.entries().get(1).map_or(node.name().span(), |second| second.span());
+            self.fault(span.offset(), FaultKind::WrongCount { expected, found: node.entries().len() });
             return None;
         };
-        let at = entry.span().offset();
-        if let Some(named) = entry.name() {
-            self.fault(at, format!("{expected}, found one named {}", named.value()));
+        let offset = entry.span().offset();
+        if let Some(name) = entry.name() {
+            self.fault(offset, FaultKind::NamedValue { expected, name: name.value().to_string() });
             return None;
         }
-        Some((entry.value(), at))
+        Some(PlacedValue { value: entry.value(), offset })
     }
 
-    /// The one value of a node: a whole number from `least` to `most`.
+    /// The node's one value, converted; a fault if `convert` gives none.
+    fn converted<T>(
+        &mut self,
+        node: &KdlNode,
+        expected: String,
+        convert: impl FnOnce(&KdlValue) -> Option<T>,
+    ) -> Option<T> {
+        let PlacedValue { value, offset } = self.single_value(node, &expected)?;
+        let converted = convert(value);
+        if converted.is_none() {
+            self.fault(offset, FaultKind::WrongValue { expected, found: kind(value) });
+        }
+        converted
+    }
+
+    /// The node's one value: a whole number from `least` to `most`.
     pub fn whole(&mut self, node: &KdlNode, least: i128, most: i128) -> Option<i128> {
         let expected = format!("{} takes one whole number from {least} to {most}", node.name().value());
-        match self.one(node, &expected)? {
-            (KdlValue::Integer(n), _) if (least..=most).contains(n) => Some(*n),
-            (other, at) => {
-                self.fault(at, format!("{expected}, found {}", kind(other)));
-                None
-            }
-        }
+        self.converted(node, expected, |value| value.as_integer().filter(|n| (least..=most).contains(n)))
     }
 
-    /// The one value of a node: `#true` or `#false`.
+    /// The node's one value: `#true` or `#false`.
     pub fn flag(&mut self, node: &KdlNode) -> Option<bool> {
         let expected = format!("{} takes #true or #false", node.name().value());
-        match self.one(node, &expected)? {
-            (KdlValue::Bool(flag), _) => Some(*flag),
-            (other, at) => {
-                self.fault(at, format!("{expected}, found {}", kind(other)));
-                None
-            }
-        }
+        self.converted(node, expected, KdlValue::as_bool)
     }
 
-    /// The one value of a node: a text.
+    /// The node's one value: a text. `what` names its meaning in a fault.
     pub fn text(&mut self, node: &KdlNode, what: &str) -> Option<String> {
         let expected = format!("{} takes {what}", node.name().value());
-        match self.one(node, &expected)? {
-            (KdlValue::String(text), _) => Some(text.clone()),
-            (other, at) => {
-                self.fault(at, format!("{expected}, found {}", kind(other)));
-                None
-            }
-        }
+        self.converted(node, expected, |value| value.as_string().map(str::to_string))
     }
 }
 
-/// A value as a fault names it.
+/// Displays a value as faults name it.
 pub fn kind(value: &KdlValue) -> String {
     match value {
         KdlValue::String(text) => format!("the text \"{}\"", text.chars().take(40).collect::<String>()),
--- a/crates/aldercrank-service-config/tests/file.rs
+++ b/crates/aldercrank-service-config/tests/service_file.rs
@@ -1,4 +1,4 @@
-//! The service file as people write it, and as nobody should.
+//! Valid and invalid service files.
 
 // Support code is shared by the modules of this test alone; a scenario may be long.
 #![allow(
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_example_is_read_and_an_empty_file_leaves_all_as_it_is() {
+fn the_example_is_read_and_an_empty_file_gives_the_defaults() {
     let example = include_str!("../../../deploy/service.kdl");
     assert_eq!(
         parse(example),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_said_at_once_with_its_line_and_column() {
+fn all_faults_are_reported_at_once_with_line_and_column() {
     let text =
         "resluts {\n}\nresults 3 {\n    longest-kb \"big\"\n    longest-kb 4\n    colour #true\n}\nresults\n";
     assert_eq!(
@@ -70,14 +70,14 @@
 }
 
 #[test]
-fn what_is_no_kdl_is_a_fault_with_a_place_and_nothing_makes_it_panic() {
+fn invalid_kdl_is_reported_with_its_position_and_never_panics() {
     assert!(faults("results {\n  longest-kb 4\n").iter().all(|f| f.contains(':')));
     let example = include_str!("../../../deploy/service.kdl");
-    // Wounds at every place, by a byte that is left out, doubled or another.
+    // Corrupts every fifth byte: leaves it out or replaces it.
     for at in (0..example.len()).step_by(5) {
-        for wound in ["", "\"", "{", "\u{0}", "\u{fe0f}", "}"] {
+        for replacement in ["", "\"", "{", "\u{0}", "\u{fe0f}", "}"] {
             let (Some(head), Some(tail)) = (example.get(..at), example.get(at + 1..)) else { continue };
-            if let Err(faults) = parse(&format!("{head}{wound}{tail}")) {
+            if let Err(faults) = parse(&format!("{head}{replacement}{tail}")) {
                 assert!(!faults.is_empty() && faults.iter().all(|f| f.line > 0 && f.column > 0));
             }
         }
