--- a/crates/aldercrank-versioned-config/src/parser.rs
+++ b/crates/aldercrank-versioned-config/src/parser.rs
@@ -37,7 +37,9 @@
         let faults = reader.faults();
         match number {
             Some(number) if faults.is_empty() => Ok(VersionedConfig { number, items }),
-            _ if faults.is_empty() => Err(vec![Fault { line: 1, column: 1, what: "no book".to_string() }]),
+            _ if faults.is_empty() => {
+                Err(vec![Fault { line: 1, column: 1, what: "no book".to_string().into() }])
+            }
             _ => Err(faults),
         }
     }
