--- a/crates/aldercrank-server/src/core/mod.rs
+++ b/crates/aldercrank-server/src/core/mod.rs
@@ -51,10 +51,9 @@
 impl<P: Ports> Core<P> {
     /// Creates a core. `now` is how long ago the worker pool came up; `room` is how many bytes cached results may take.
     pub fn start(settings: Settings, now: Duration, room: usize, ports: P) -> Core<P> {
-        let state = CoreState::new(now, room, ports);
-        let mut core = Core { admission: Admission::new(settings.clone(), now, state), slow_start: None };
-        core.admission.host.load_settings(&settings);
-        core
+        let mut state = CoreState::new(now, room, ports);
+        state.load_settings(&settings);
+        Core { admission: Admission::new(settings, now, state), slow_start: None }
     }
 
     /// Starts to follow the slow start. `cold`: whether the worker pool has just started.
--- a/crates/aldercrank-server/src/core/ports.rs
+++ b/crates/aldercrank-server/src/core/ports.rs
@@ -73,6 +73,7 @@
 }
 
 /// A complete request as it was read from an edge node.
+#[derive(Clone, Copy, Debug)]
 pub struct ReceivedRequest<'a> {
     /// The id that the edge node gave this attempt.
     pub attempt: AttemptId,
--- a/crates/aldercrank-server/src/core/timers.rs
+++ b/crates/aldercrank-server/src/core/timers.rs
@@ -21,7 +21,7 @@
             }
             // One poll is unanswered at a time; without a link the previous metrics stay.
             TimerId::LoadMetrics if state.link == LinkState::Up && !state.polling => {
-                state.poll_load_metrics()
+                state.poll_load_metrics();
             }
             TimerId::LoadMetrics => {}
             TimerId::DedupExpiry(entry) => {
