--- a/crates/aldercrank-server/src/logger.rs
+++ b/crates/aldercrank-server/src/logger.rs
@@ -45,15 +45,15 @@
 
 /// Limits the log lines of each source location.
 #[derive(Default)]
-pub struct Bound {
+pub struct LineLimiter {
     /// By file and line.
     counts: Mutex<BTreeMap<(String, u32), LineCount>>,
 }
 
-impl Bound {
+impl LineLimiter {
     /// Counts one more line from this source location in this interval. None if it must not be written; else how many
     /// lines were left out in the location's previous interval, if this is the first line since.
-    pub fn admits(&self, file: &str, line: u32, interval: u64) -> Option<u32> {
+    pub fn admit(&self, file: &str, line: u32, interval: u64) -> Option<u32> {
         let Ok(mut counts) = self.counts.lock() else { return None };
         let new = LineCount { interval, lines: 0 };
         let count = counts.entry((file.to_string(), line)).or_insert(new);
@@ -133,23 +133,23 @@
 type Sink = Box<dyn Fn(&[u8]) + Send + Sync>;
 
 /// Formats and limits log lines, and writes them.
-pub struct Lines {
+pub struct LogWriter {
     options: LogOptions,
     json: AtomicBool,
-    limit: Bound,
+    limiter: LineLimiter,
     server: OnceLock<String>,
     sink: Sink,
 }
 
-impl Lines {
+impl LogWriter {
     /// Creates a log that writes each line, with its line end, to `sink`.
-    pub fn new(options: LogOptions, sink: Sink) -> Lines {
+    pub fn new(options: LogOptions, sink: Sink) -> LogWriter {
         let json = AtomicBool::new(options.json);
-        Lines { options, json, limit: Bound::default(), server: OnceLock::new(), sink }
+        LogWriter { options, json, limiter: LineLimiter::default(), server: OnceLock::new(), sink }
     }
 
     /// Sets the server's name, which each JSON line has, and whether the service file asks for JSON.
-    pub fn called(&self, name: &str, json: bool) {
+    pub fn configure(&self, name: &str, json: bool) {
         let _ = self.server.set(name.to_string());
         self.json.fetch_or(json, Ordering::Relaxed);
     }
@@ -175,7 +175,7 @@
             Some(0)
         } else {
             let (file, line) = (metadata.file().unwrap_or_default(), metadata.line().unwrap_or_default());
-            self.limit.admits(file, line, at.as_secs() / INTERVAL_SECONDS)
+            self.limiter.admit(file, line, at.as_secs() / INTERVAL_SECONDS)
         };
         let Some(left_out) = left_out else { return };
         let mut recorded = EventFields::default();
@@ -196,7 +196,7 @@
 
 /// The log as a layer of `tracing`, shared by the registry and the program.
 #[derive(Clone)]
-pub struct Logger(pub Arc<Lines>);
+pub struct Logger(pub Arc<LogWriter>);
 
 impl Logger {
     /// Installs the log on standard error for the whole process.
@@ -204,7 +204,7 @@
         let sink = |line: &[u8]| {
             let _ = std::io::stderr().write_all(line);
         };
-        let logger = Logger(Arc::new(Lines::new(options, Box::new(sink))));
+        let logger = Logger(Arc::new(LogWriter::new(options, Box::new(sink))));
         let _ = tracing::subscriber::set_global_default(Registry::default().with(logger.clone()));
         logger
     }
--- a/crates/aldercrank-server/src/main.rs
+++ b/crates/aldercrank-server/src/main.rs
@@ -74,7 +74,7 @@
     let logger = Logger::install(log);
     let load = move || Config::load(config.as_deref(), service.as_deref());
     let config = load()?;
-    logger.0.called(&config.name, config.json_log);
+    logger.0.configure(&config.name, config.json_log);
     Ok(net::serve(config, load)?)
 }
 
--- a/crates/aldercrank-server/tests/suite/golden_command_line.rs
+++ b/crates/aldercrank-server/tests/suite/golden_command_line.rs
@@ -126,9 +126,9 @@
 fn the_recorded_flags_and_subcommands_are_accepted() {
     for line in ACCEPTED {
         let refused = program(&words(line)).arg(UNKNOWN).output().unwrap();
-        let said = String::from_utf8_lossy(&refused.stderr).into_owned();
-        assert_eq!(refused.status.code(), Some(1), "{line}: {said}");
-        assert!(said.contains(UNKNOWN), "{line}: not accepted: {said}");
+        let stderr = String::from_utf8_lossy(&refused.stderr).into_owned();
+        assert_eq!(refused.status.code(), Some(1), "{line}: {stderr}");
+        assert!(stderr.contains(UNKNOWN), "{line}: not accepted: {stderr}");
         let help = program(&words(line)).arg("--help").output().unwrap();
         assert_eq!(help.status.code(), Some(0), "{line} --help");
     }
@@ -142,8 +142,8 @@
 fn a_flag_or_subcommand_that_is_not_known_is_not_accepted() {
     for line in ["serve --verbos", "serve --log", "check-config --json-log", "versions", "rules chek FILE"] {
         let refused = program(&words(line)).arg(UNKNOWN).output().unwrap();
-        let said = String::from_utf8_lossy(&refused.stderr).into_owned();
-        assert_eq!(refused.status.code(), Some(1), "{line}: {said}");
-        assert!(!said.contains(UNKNOWN), "{line}: {said}");
+        let stderr = String::from_utf8_lossy(&refused.stderr).into_owned();
+        assert_eq!(refused.status.code(), Some(1), "{line}: {stderr}");
+        assert!(!stderr.contains(UNKNOWN), "{line}: {stderr}");
     }
 }
--- a/crates/aldercrank-server/tests/suite/golden_config.rs
+++ b/crates/aldercrank-server/tests/suite/golden_config.rs
@@ -32,17 +32,17 @@
     lines + &service_fields(config)
 }
 
-/// What the service file may have said.
+/// The fields that the service file sets.
 pub fn service_fields(config: &Config) -> String {
     let mut lines = format!("  longest result {} bytes\n", config.result);
     writeln!(lines, "  longest between reports {}", or_none(config.reports_longest)).unwrap();
     writeln!(lines, "  log in JSON {}", config.json_log).unwrap();
-    lines += &rule_book(config);
+    lines += &versioned_config(config);
     writeln!(lines, "  start: tell-share {}", config.start.tell_share).unwrap();
     lines
 }
 
-fn rule_book(config: &Config) -> String {
+fn versioned_config(config: &Config) -> String {
     let Some(rules) = &config.rules else { return "  rules: none\n".to_string() };
     let mut lines = format!("  rules: version {} ({})\n", rules.book.number, rules.book.digest());
     writeln!(lines, "  rules: dir {}, read-list {}", or_none(rules.dir.as_ref()), rules.read_list).unwrap();
@@ -78,7 +78,7 @@
 }
 
 /// What a change does, as a line: `/limits/sockets = 31`.
-fn said(changes: &[(&str, Json)]) -> String {
+fn described(changes: &[(&str, Json)]) -> String {
     changes.iter().map(|(pointer, value)| format!("{pointer} = {value}\n")).collect()
 }
 
@@ -183,7 +183,7 @@
 
 fn blocks(all: &[Vec<(&str, Json)>], variable: fn(&str) -> Option<String>) -> String {
     let one = |changes: &Vec<(&str, Json)>| {
-        format!("== {}--\n{}\n", said(changes), outcome(&changed(changes), variable))
+        format!("== {}--\n{}\n", described(changes), outcome(&changed(changes), variable))
     };
     all.iter().map(one).collect()
 }
--- a/crates/aldercrank-server/tests/suite/golden_reload.rs
+++ b/crates/aldercrank-server/tests/suite/golden_reload.rs
@@ -9,7 +9,7 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-const BOOK: &str = "rules 8 {
+const VERSION: &str = "rules 8 {
     agree-within-ms 2000
     committee { n1 \"127.0.0.1:7001\"; n2 \"127.0.0.1:7002\"; n3 \"127.0.0.1:7003\"; }
     product \"licence-buy\" { points 5 }
@@ -84,8 +84,9 @@
     let old = parsed(&[]);
     let mut built = String::new();
     for one in changes() {
-        let said: Vec<String> = one.iter().map(|(pointer, value)| format!("{pointer} = {value}")).collect();
-        writeln!(built, "== {}\n{}", said.join(", "), compared(&old, &parsed(&one))).unwrap();
+        let described: Vec<String> =
+            one.iter().map(|(pointer, value)| format!("{pointer} = {value}")).collect();
+        writeln!(built, "== {}\n{}", described.join(", "), compared(&old, &parsed(&one))).unwrap();
     }
     let without_cores = parsed(&[("/settings/family_info/cores", json!(null))]);
     writeln!(built, "== from no cores to some\n{}", compared(&without_cores, &old)).unwrap();
@@ -100,10 +101,10 @@
         let folder = std::env::temp_dir().join(format!("golden-reload-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("config.json"), changed(&[])).unwrap();
-        std::fs::write(folder.join("rules.kdl"), BOOK).unwrap();
-        std::fs::write(folder.join("rules-9.kdl"), BOOK.replace("rules 8", "rules 9")).unwrap();
-        std::fs::write(folder.join("misfit.kdl"), BOOK.replace("licence-buy", "never-sold")).unwrap();
-        std::fs::write(folder.join("bad.kdl"), BOOK.replace("points 5", "pionts 5")).unwrap();
+        std::fs::write(folder.join("rules.kdl"), VERSION).unwrap();
+        std::fs::write(folder.join("rules-9.kdl"), VERSION.replace("rules 8", "rules 9")).unwrap();
+        std::fs::write(folder.join("misfit.kdl"), VERSION.replace("licence-buy", "never-sold")).unwrap();
+        std::fs::write(folder.join("bad.kdl"), VERSION.replace("points 5", "pionts 5")).unwrap();
         Folder(folder)
     }
 
@@ -143,19 +144,20 @@
 #[test]
 fn a_reload_of_the_service_file_compares_as_recorded() {
     let folder = Folder::new();
-    let (plain, book) = (folder.load(SERVICE_FILES[0]).unwrap(), folder.load(SERVICE_FILES[6]).unwrap());
+    let (without_version, with_version) =
+        (folder.load(SERVICE_FILES[0]).unwrap(), folder.load(SERVICE_FILES[6]).unwrap());
     let mut built = String::new();
     for service in SERVICE_FILES {
-        let said = match folder.load(service) {
+        let outcome = match folder.load(service) {
             Err(why) => format!("  error: {why}\n"),
             Ok(new) => format!(
                 "{}  against no service file:\n{}  against rules alone:\n{}",
                 crate::golden_config::service_fields(&new),
-                compared(&plain, &new),
-                compared(&book, &new)
+                compared(&without_version, &new),
+                compared(&with_version, &new)
             ),
         };
-        writeln!(built, "== {service}\n{said}").unwrap();
+        writeln!(built, "== {service}\n{outcome}").unwrap();
     }
     compare::check("config/reload-service-file.txt", &built);
 }
--- a/crates/aldercrank-server/tests/suite/harness.rs
+++ b/crates/aldercrank-server/tests/suite/harness.rs
@@ -1,5 +1,5 @@
-//! The program as a process on loopback, between small stand-ins for the parties that it speaks to: how tests start
-//! it, speak to it and stop it.
+//! Runs the program as a process on loopback, with stubs of the services that it uses: starts it, sends it requests and
+//! stops it.
 
 use crate::codecs::call;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,16 +9,18 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// The longest that a test waits for anything.
 pub const LONG: Duration = Duration::from_secs(10);
 
+/// Listens on a free port.
 pub fn listen(ip: &str) -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((ip, 0)).unwrap();
     let addr = listener.local_addr().unwrap();
     (listener, addr)
 }
 
-/// A place where nobody listens, nor has: a child that another test starts holds what is open here for a moment,
-/// and would take a connection, or keep the program from listening.
+/// An address where nobody listens or has listened. A child that another test starts inherits open sockets for a
+/// moment, so that a former listener could still take a connection or keep the program from listening.
 pub fn free(ip: &str) -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
@@ -26,7 +28,7 @@
     socket.local_addr().unwrap().as_socket().unwrap()
 }
 
-/// Where a party was away; another test's child may hold the place for a moment yet.
+/// Listens at an address that was unreachable before; another test's child may have it open for a moment longer.
 pub fn back(addr: SocketAddr) -> TcpListener {
     let until = Instant::now() + LONG;
     loop {
@@ -38,7 +40,7 @@
     }
 }
 
-/// The next that comes to this place, or nothing after so long: a test must not wait for ever.
+/// The next connection to this listener; none after `span`.
 pub fn within(listener: &TcpListener, span: Duration) -> Option<TcpStream> {
     listener.set_nonblocking(true).unwrap();
     let until = Instant::now() + span;
@@ -55,36 +57,40 @@
     }
 }
 
-/// One link of the program to the worker pool, as the test plays it.
+/// The worker pool's end of a link, played by the test.
 pub struct PoolEnd {
     pub reader: BufReader<TcpStream>,
 }
 
 impl PoolEnd {
     pub fn accept(listener: &TcpListener) -> PoolEnd {
-        let stream = within(listener, LONG).expect("the program never dialled its pool");
+        let stream = within(listener, LONG).expect("the program never connected to its pool");
         PoolEnd { reader: BufReader::new(stream) }
     }
 
+    /// Writes to the program.
     pub fn say(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
+    /// The next command with its payload; fails if the link is closed.
     pub fn next(&mut self) -> (Vec<String>, Vec<u8>) {
         self.command().expect("the link has closed")
     }
 
-    fn word(&mut self) -> Option<Vec<String>> {
+    /// The words of the next line; none once the link is closed.
+    fn read_line(&mut self) -> Option<Vec<String>> {
         let mut line = String::new();
         let read = self.reader.read_line(&mut line).unwrap_or(0);
         (read > 0).then(|| line.split_whitespace().map(str::to_string).collect())
     }
 
-    fn load_metrics(&mut self, tag: &str) {
+    fn answer_poll(&mut self, tag: &str) {
         self.say(&format!("polled {tag} 0.1 1 0.2 3\r\n"));
     }
 
-    fn bytes_of(&mut self, words: &[String]) -> Vec<u8> {
+    /// The payload after a command that has one.
+    fn read_payload(&mut self, words: &[String]) -> Vec<u8> {
         if words[0] != "spawn" && words[0] != "supply" {
             return Vec::new();
         }
@@ -94,7 +100,7 @@
         bytes
     }
 
-    /// Runs all that comes, with the same result.
+    /// Completes every run with the same result.
     pub fn serve(mut self, result: &[u8]) {
         let mut notice = 0;
         while let Some((words, _)) = self.command() {
@@ -105,31 +111,33 @@
         }
     }
 
-    /// The next command but polls, which are answered on the way; with the bytes that it carries.
+    /// The next command with its payload. Polls are answered on the way and left out.
     pub fn command(&mut self) -> Option<(Vec<String>, Vec<u8>)> {
         let until = Instant::now() + LONG;
         loop {
-            let words = self.word()?;
-            assert!(Instant::now() < until, "nothing but polls");
+            let words = self.read_line()?;
+            assert!(Instant::now() < until, "no command but polls");
             if words[0] != "poll" {
-                let bytes = self.bytes_of(&words);
+                let bytes = self.read_payload(&words);
                 return Some((words, bytes));
             }
-            self.load_metrics(&words[1]);
+            self.answer_poll(&words[1]);
         }
     }
 
+    /// Expects the link to be bound from the notice `last`, and reports a warm pool of this age in seconds.
     pub fn bound(&mut self, last: &str, age: &str) {
         assert_eq!(self.next().0, ["bind", last]);
         self.say(&format!("bound warm {age}\r\n"));
     }
 
-    /// The next command has to be the word to run this one, which ends well.
+    /// Expects the start command of this attempt next, and completes its run.
     pub fn runs(&mut self, notice: u32, number: u32, result: &[u8]) {
         assert_eq!(self.next().0[1], attempt(number));
         self.finish(notice, &attempt(number), result);
     }
 
+    /// Completes a run by this notice.
     pub fn finish(&mut self, notice: u32, attempt: &str, result: &[u8]) {
         self.say(&format!("finished {notice} {attempt} ok 20.5 {}\r\n", result.len()));
         self.reader.get_mut().write_all(result).unwrap();
@@ -137,15 +145,15 @@
     }
 }
 
-/// Takes HTTP requests, one after another on each connection, and answers as it is told.
+/// Serves HTTP: forwards each request to `requests` and responds with `answer`; without a response it closes the connection.
 pub fn http(
     listener: TcpListener,
-    said: Sender<String>,
+    requests: Sender<String>,
     answer: impl Fn(&str) -> Option<String> + Send + 'static + Clone,
 ) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, said, answer) = (stream.unwrap(), said.clone(), answer.clone());
+            let (mut stream, requests, answer) = (stream.unwrap(), requests.clone(), answer.clone());
             std::thread::spawn(move || {
                 let mut buf = Vec::new();
                 loop {
@@ -161,7 +169,7 @@
                     if body.len() < length.parse().unwrap() {
                         continue;
                     }
-                    let _ = said.send(text.clone());
+                    let _ = requests.send(text.clone());
                     buf.clear();
                     match answer(&text) {
                         Some(reply) => stream.write_all(reply.as_bytes()).unwrap(),
@@ -173,64 +181,69 @@
     });
 }
 
-/// Starts the program as the platform does, by a line for the shell that ends in `exec`.
-fn launch(script: &str, config: &std::path::Path) -> Child {
+/// Starts the program as the platform does, by a shell script that ends in `exec`.
+fn spawn_program(script: &str, config: &std::path::Path) -> Child {
     let mut shell = Command::new("/bin/sh");
     shell.args(["-c", script, env!("CARGO_BIN_EXE_aldercrank")]);
     shell.env("ROUTER_CONFIG", config).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
     shell.spawn().unwrap()
 }
 
+/// A running program with its stubs; it is killed when dropped.
 pub struct Program {
+    /// The configuration that it was started with.
     pub told: serde_json::Value,
     script: String,
     pub child: Child,
     pub edge: SocketAddr,
     pub pool: TcpListener,
+    /// Requests to the upstream dependency.
     pub calls: Receiver<String>,
+    /// Requests to the membership service.
     pub reports: Receiver<String>,
     pub config: std::path::PathBuf,
-    /// Parties that are away: where they would be.
+    /// The addresses of stubs that were not started: upstream dependency and membership service.
     pub away: Vec<(SocketAddr, Sender<String>)>,
 }
 
 impl Program {
+    /// Starts the program; the upstream dependency responds with `answer`.
     pub fn start(answer: impl Fn(&str) -> Option<String> + Send + 'static + Clone) -> Program {
         Program::begin(Some(answer))
     }
 
-    /// Without an answer index and membership service are away.
+    /// The same; without `answer` the upstream dependency and the membership service are unreachable.
     pub fn begin(answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>) -> Program {
         Program::told(answer, |_| ())
     }
 
-    /// The same, told something else in its configuration.
+    /// The same, with a changed configuration.
     pub fn told(
         answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>,
         change: impl Fn(&mut serde_json::Value),
     ) -> Program {
-        Program::by("exec \"$0\" serve", answer, change)
+        Program::launch("exec \"$0\" serve", answer, change)
     }
 
-    /// The same, with the system's own limit on descriptors set to what the configuration tells.
+    /// The same, with the system's limit on descriptors equal to the configured limit on sockets.
     pub fn limited(
         answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>,
         change: impl Fn(&mut serde_json::Value),
         sockets: usize,
     ) -> Program {
         let script = format!("ulimit -n {sockets} && exec \"$0\" serve");
-        Program::by(&script, answer, |config| {
+        Program::launch(&script, answer, |config| {
             change(config);
             config["limits"]["sockets"] = sockets.into();
         })
     }
 
-    fn by(
+    fn launch(
         script: &str,
         answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>,
         change: impl Fn(&mut serde_json::Value),
     ) -> Program {
-        // Each on a loopback address of its own, so that no port that is free for a moment is another's.
+        // Each program has a loopback address of its own, so that tests can't take one another's ports.
         static PROGRAMS: AtomicU32 = AtomicU32::new(1);
         let (pid, number) = (std::process::id() % 60_000, PROGRAMS.fetch_add(1, Ordering::Relaxed));
         let ip = format!("127.{}.{}.{number}", 16 + pid / 250, 1 + pid % 250);
@@ -261,7 +274,7 @@
         let path =
             std::env::temp_dir().join(format!("aldercrank-{}-{}.json", std::process::id(), edge.port()));
         std::fs::write(&path, config.to_string()).unwrap();
-        let child = launch(script, &path);
+        let child = spawn_program(script, &path);
         Program {
             told: config,
             script: script.to_string(),
@@ -275,20 +288,20 @@
         }
     }
 
-    /// Killed outright and started again, under the same name and at the same places.
+    /// Kills the program and starts it again with the same name and addresses.
     pub fn restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        self.child = launch(&self.script, &self.config);
+        self.child = spawn_program(&self.script, &self.config);
     }
 
-    /// Stands still from here on: what comes meanwhile is there at once when it goes on.
+    /// Stops the process until `resume`; what arrives meanwhile waits in its sockets.
     pub fn pause(&self) {
         self.signal("-STOP");
         let status = format!("/proc/{}/stat", self.child.id());
         let until = Instant::now() + LONG;
         while !std::fs::read_to_string(&status).unwrap().contains(") T ") {
-            assert!(Instant::now() < until, "does not stand still");
+            assert!(Instant::now() < until, "was not stopped");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
@@ -297,14 +310,14 @@
         self.signal("-CONT");
     }
 
-    /// How often it has gone to sleep so far.
+    /// How often the process has blocked so far.
     pub fn sleeps(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|l| l.strip_prefix("voluntary_ctxt_switches:")).unwrap();
         line.trim().parse().unwrap()
     }
 
-    /// Serving, with its link to the pool.
+    /// Waits until the program serves; gives its link to the pool.
     pub fn serving(&mut self) -> PoolEnd {
         let mut pool = PoolEnd::accept(&self.pool);
         pool.bound("0", "3.5");
@@ -312,6 +325,7 @@
         pool
     }
 
+    /// Connects as an edge node, once the program listens.
     pub fn connect(&self) -> Edge {
         let until = Instant::now() + LONG;
         loop {
@@ -326,7 +340,7 @@
         }
     }
 
-    /// A connection whose reader takes little at a time: what is not read stays with the server.
+    /// Connects with a small receive buffer, so that responses that are not read stay with the server.
     pub fn connect_slow(&self) -> Edge {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(1024).unwrap();
@@ -345,21 +359,22 @@
         self.signal("-TERM");
     }
 
-    /// The file as it was told, with these addresses in it, and the word that it is new.
+    /// Writes the configuration with these addresses changed, and has the program read it again.
     pub fn reload(&self, addrs: &[(&str, SocketAddr)]) {
-        let mut told = self.told.clone();
-        addrs.iter().for_each(|(field, addr)| told[*field] = serde_json::json!(addr));
-        std::fs::write(&self.config, told.to_string()).unwrap();
+        let mut config = self.told.clone();
+        addrs.iter().for_each(|(field, addr)| config[*field] = serde_json::json!(addr));
+        std::fs::write(&self.config, config.to_string()).unwrap();
         self.signal("-HUP");
     }
 
+    /// Waits until the program has exited.
     pub fn ended(&mut self) -> ExitStatus {
         let until = Instant::now() + LONG;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < until, "still up");
+            assert!(Instant::now() < until, "still running");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -373,7 +388,7 @@
     }
 }
 
-/// A request that came to the machine now, as an edge node writes it.
+/// A request that arrives now, encoded as an edge node does.
 pub fn request(id: u32, class: &str, attempt: &str, token: Option<&str>, body: &[u8]) -> Vec<u8> {
     let t0 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string();
     let mut fields = vec![("rid", attempt), ("t0", &t0), ("peer", "4"), ("budget", "3000"), ("mem", "24.5")];
@@ -382,14 +397,16 @@
     call(id, class, &fields, body)
 }
 
+/// A connection of an edge node.
 pub struct Edge(pub TcpStream);
 
 impl Edge {
+    /// Sends a request.
     pub fn ask(&mut self, id: u32, class: &str, attempt: &str, token: Option<&str>, body: &[u8]) {
         self.0.write_all(&request(id, class, attempt, token, body)).unwrap();
     }
 
-    /// Reads until all these parts have come, one after the other; gives what came.
+    /// Reads until all these parts have arrived one after the other; gives all bytes read.
     pub fn hears(&mut self, parts: &[&[u8]]) -> Vec<u8> {
         let mut all = Vec::new();
         loop {
@@ -409,6 +426,7 @@
         }
     }
 
+    /// Reads until the server closes the connection.
     pub fn closes(&mut self) -> Vec<u8> {
         let mut all = Vec::new();
         self.0.read_to_end(&mut all).unwrap();
@@ -416,19 +434,22 @@
     }
 }
 
-/// How many answers to calls these bytes hold.
+/// How many responses to requests these bytes have.
 pub fn answers(bytes: &[u8]) -> usize {
     bytes.windows(2).filter(|w| *w == [0x94, 1]).count()
 }
 
+/// The attempt id with this number.
 pub fn attempt(n: u32) -> String {
     format!("{n:016x}")
 }
 
+/// The membership service's response to a report.
 pub fn listed(_: &str) -> Option<String> {
     Some("HTTP/1.1 204 No Content\r\n\r\n".to_string())
 }
 
+/// A successful HTTP response.
 pub fn ok(body: &str) -> Option<String> {
     Some(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
--- a/crates/aldercrank-server/tests/suite/logger.rs
+++ b/crates/aldercrank-server/tests/suite/logger.rs
@@ -1,14 +1,14 @@
 //! The log: its limit, its two forms, and events of single requests.
 
-use aldercrank_server::logger::{Bound, Lines, LogOptions, Logger};
+use aldercrank_server::logger::{LineLimiter, LogOptions, LogWriter, Logger};
 
 #[test]
 fn log_lines_are_limited_by_source_location() {
-    let limiter = Bound::default();
-    let admitted = (0..50).filter(|_| limiter.admits("a", 1, 7).is_some()).count();
+    let limiter = LineLimiter::default();
+    let admitted = (0..50).filter(|_| limiter.admit("a", 1, 7).is_some()).count();
     assert!((1..50).contains(&admitted));
-    assert_eq!(limiter.admits("a", 2, 7), Some(0));
-    assert_eq!(limiter.admits("a", 1, 8), Some(50 - admitted as u32), "gives how many it left out");
+    assert_eq!(limiter.admit("a", 2, 7), Some(0));
+    assert_eq!(limiter.admit("a", 1, 8), Some(50 - admitted as u32), "gives how many it left out");
 }
 
 /// What a few events add to the log under these options.
@@ -17,8 +17,8 @@
     let lines = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let into = lines.clone();
     let sink = Box::new(move |line: &[u8]| into.lock().unwrap().extend_from_slice(line));
-    let logger = Logger(std::sync::Arc::new(Lines::new(options, sink)));
-    logger.0.called("n7", false);
+    let logger = Logger(std::sync::Arc::new(LogWriter::new(options, sink)));
+    logger.0.configure("n7", false);
     let all = tracing_subscriber::registry().with(logger);
     tracing::subscriber::with_default(all, || {
         tracing::warn!(target: "aldercrank::a", status = 503u16, why = "two\nlines", "taken {}", "aback");
