--- a/crates/aldercrank-server/src/config/mod.rs
+++ b/crates/aldercrank-server/src/config/mod.rs
@@ -9,7 +9,7 @@
 pub use reload::ForeignConfig;
 
 use aldercrank::Settings;
-use aldercrank_service_config::Service;
+use aldercrank_service_config::{ServiceConfig, VersionedConfigOptions};
 use aldercrank_versioned_config::VersionedConfig;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -90,30 +90,33 @@
         Ok(config)
     }
 
-    fn apply(&mut self, service: &Service) -> Result<(), ConfigError> {
-        if let Some(kb) = service.results.longest_kb {
+    fn apply(&mut self, service: &ServiceConfig) -> Result<(), ConfigError> {
+        if let Some(kb) = service.results.max_kb {
             self.result = kb as usize * 1024;
         }
         self.json_log = service.log.json;
         self.start = service.start.clone();
-        self.reports_longest = service.reports.longest_ms.map(|ms| Duration::from_millis(u64::from(ms)));
-        if let Some(rules) = &service.rules {
-            self.rules = Some(self.initial_version(rules)?);
+        self.reports_longest = service.reports.max_backoff;
+        if let Some(options) = &service.versioned_config {
+            self.rules = Some(self.initial_version(options)?);
         }
         Ok(())
     }
 
-    fn initial_version(&self, rules: &aldercrank_service_config::Rules) -> Result<Rules, ConfigError> {
-        let version = VersionedConfig::parse(&read_file(&rules.book)?)
-            .map_err(|faults| FileFaults { path: rules.book.clone(), faults })?;
+    fn initial_version(&self, options: &VersionedConfigOptions) -> Result<Rules, ConfigError> {
+        let version = VersionedConfig::parse(&read_file(&options.version_file)?)
+            .map_err(|faults| FileFaults { path: options.version_file.clone(), faults })?;
         if let Some(reason) = version.incompatibilities(&self.settings, &self.name).first() {
-            return Err(ConfigError::Incompatible { path: rules.book.clone(), reason: reason.to_string() });
+            return Err(ConfigError::Incompatible {
+                path: options.version_file.clone(),
+                reason: reason.to_string(),
+            });
         }
         Ok(Rules {
             book: version,
-            dir: rules.dir.as_ref().map(PathBuf::from),
-            read_list: rules.read_list,
-            reach: rules.reach.clone(),
+            dir: options.state_dir.as_ref().map(PathBuf::from),
+            read_list: options.read_proposals,
+            reach: options.member_addresses.clone(),
             injected_fault: None,
         })
     }
--- a/crates/aldercrank-server/src/core/runs.rs
+++ b/crates/aldercrank-server/src/core/runs.rs
@@ -57,7 +57,7 @@
         self.notify_ended();
     }
 
-    /// The pool does not know a run that it was told to start, so the run never will start.
+    /// The pool does not know a run whose start command it received, so the run never will start.
     pub fn run_unknown(&mut self, now: Duration, attempt: AttemptId) {
         self.run_ended(now, attempt, Outcome::NeverStarted, Duration::ZERO, Payload::Passing(&[]));
     }
--- a/crates/aldercrank-service-config/src/fault.rs
+++ b/crates/aldercrank-service-config/src/fault.rs
@@ -76,7 +76,7 @@
         /// The value as `kind` displays it.
         found: String,
     },
-    /// A fault that the reader's caller found, in its words.
+    /// A fault that the user of the reader found, as a text.
     Other(String),
 }
 
--- a/crates/aldercrank-service-config/src/lib.rs
+++ b/crates/aldercrank-service-config/src/lib.rs
@@ -11,4 +11,4 @@
 pub use fault::{Fault, FaultKind};
 pub use parser::parse;
 pub use reader::{kind, Reader};
-pub use service::{Log, Reports, Results, Rules, Service, Start};
+pub use service::{LogConfig, ReportConfig, ResultConfig, ServiceConfig, Start, VersionedConfigOptions};
--- a/crates/aldercrank-service-config/src/parser.rs
+++ b/crates/aldercrank-service-config/src/parser.rs
@@ -2,8 +2,11 @@
 
 use crate::fault::{Fault, FaultKind};
 use crate::reader::Reader;
-use crate::service::{Log, Reports, Results, Rules, Service, Start};
+use crate::service::{LogConfig, ReportConfig, ResultConfig, ServiceConfig, Start, VersionedConfigOptions};
 use kdl::{KdlDocument, KdlNode};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
 
 /// A result is kept in memory at least once, so it is bounded by what one connection may take of it.
 const MAX_RESULT_KB: i128 = 64 * 1024;
@@ -13,16 +16,16 @@
 const MAX_REPORT_BACKOFF_MS: i128 = 60_000;
 
 /// Reads a service file. An error has all faults in the order of the file.
-pub fn parse(text: &str) -> Result<Service, Vec<Fault>> {
+pub fn parse(text: &str) -> Result<ServiceConfig, Vec<Fault>> {
     let mut reader = Reader::new(text);
-    let mut service = Service::default();
+    let mut service = ServiceConfig::default();
     let Some(document) = reader.document() else { return Err(reader.faults()) };
     reader.nodes(&document, &["results", "reports", "log", "rules", "start"], |reader, node| {
         reader.no_values(node);
         let Some(children) = reader.children(node) else { return };
         match node.name().value() {
             "reports" => service.reports = reports(reader, children),
-            "rules" => service.rules = Some(rules(reader, node, children)),
+            "rules" => service.versioned_config = Some(versioned_config(reader, node, children)),
             "start" => service.start = start(reader, children),
             "log" => service.log = log(reader, children),
             _ => service.results = results(reader, children),
@@ -36,26 +39,26 @@
     }
 }
 
-fn results(reader: &mut Reader, children: &KdlDocument) -> Results {
-    let mut results = Results::default();
+fn results(reader: &mut Reader, children: &KdlDocument) -> ResultConfig {
+    let mut results = ResultConfig::default();
     reader.nodes(children, &["longest-kb"], |reader, child| {
         let longest = reader.whole(child, 1, MAX_RESULT_KB);
-        results.longest_kb = longest.and_then(|kb| u32::try_from(kb).ok());
+        results.max_kb = longest.and_then(|kb| u32::try_from(kb).ok());
     });
     results
 }
 
-fn reports(reader: &mut Reader, children: &KdlDocument) -> Reports {
-    let mut reports = Reports::default();
+fn reports(reader: &mut Reader, children: &KdlDocument) -> ReportConfig {
+    let mut reports = ReportConfig::default();
     reader.nodes(children, &["longest-ms"], |reader, child| {
         let longest = reader.whole(child, MIN_REPORT_BACKOFF_MS, MAX_REPORT_BACKOFF_MS);
-        reports.longest_ms = longest.and_then(|ms| u32::try_from(ms).ok());
+        reports.max_backoff = longest.and_then(|ms| u64::try_from(ms).ok()).map(Duration::from_millis);
     });
     reports
 }
 
-fn log(reader: &mut Reader, children: &KdlDocument) -> Log {
-    let mut log = Log::default();
+fn log(reader: &mut Reader, children: &KdlDocument) -> LogConfig {
+    let mut log = LogConfig::default();
     reader.nodes(children, &["json"], |reader, child| {
         log.json = reader.flag(child).unwrap_or_default();
     });
@@ -70,29 +73,29 @@
     start
 }
 
-fn rules(reader: &mut Reader, node: &KdlNode, children: &KdlDocument) -> Rules {
-    let mut rules = Rules::default();
+fn versioned_config(reader: &mut Reader, node: &KdlNode, children: &KdlDocument) -> VersionedConfigOptions {
+    let mut options = VersionedConfigOptions::default();
     reader.nodes(children, &["book", "dir", "read-list", "reach"], |reader, child| {
         match child.name().value() {
-            "book" => rules.book = reader.text(child, "the name of a file").unwrap_or_default(),
-            "dir" => rules.dir = reader.text(child, "the name of a directory"),
-            "read-list" => rules.read_list = reader.flag(child).unwrap_or_default(),
-            _ => member_addresses(reader, child, &mut rules),
+            "book" => options.version_file = reader.text(child, "the name of a file").unwrap_or_default(),
+            "dir" => options.state_dir = reader.text(child, "the name of a directory"),
+            "read-list" => options.read_proposals = reader.flag(child).unwrap_or_default(),
+            _ => member_addresses(reader, child, &mut options.member_addresses),
         }
     });
-    if rules.book.is_empty() {
+    if options.version_file.is_empty() {
         let what = "rules needs book \"FILE\", the version that the fleet starts from";
         reader.fault(node.name().span().offset(), FaultKind::Other(what.to_string()));
     }
-    rules
+    options
 }
 
-fn member_addresses(reader: &mut Reader, node: &KdlNode, rules: &mut Rules) {
+fn member_addresses(reader: &mut Reader, node: &KdlNode, addresses: &mut BTreeMap<String, SocketAddr>) {
     reader.no_values(node);
     for member in reader.children(node).into_iter().flat_map(KdlDocument::nodes) {
         let Some(text) = reader.text(member, "an address with a port") else { continue };
         match text.parse() {
-            Ok(address) => drop(rules.reach.insert(member.name().value().to_string(), address)),
+            Ok(address) => drop(addresses.insert(member.name().value().to_string(), address)),
             Err(_) => {
                 let offset = member.name().span().offset();
                 reader.fault(offset, format!("{text:?} is no address with a port"));
--- a/crates/aldercrank-service-config/src/service.rs
+++ b/crates/aldercrank-service-config/src/service.rs
@@ -2,18 +2,19 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
-/// The program's own settings.
+/// The program's own settings, a field for each block of the file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Service {
+pub struct ServiceConfig {
     /// The block `results`.
-    pub results: Results,
+    pub results: ResultConfig,
     /// The block `reports`.
-    pub reports: Reports,
+    pub reports: ReportConfig,
     /// The block `log`.
-    pub log: Log,
+    pub log: LogConfig,
     /// The block `rules`; without it there is no versioned configuration.
-    pub rules: Option<Rules>,
+    pub versioned_config: Option<VersionedConfigOptions>,
     /// The block `start`.
     pub start: Start,
 }
@@ -27,34 +28,34 @@
 
 /// How a server takes part in the versioned configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Rules {
+pub struct VersionedConfigOptions {
     /// The file of the version that the fleet starts from.
-    pub book: String,
+    pub version_file: String,
     /// The directory of the server's durable state; without it nothing outlasts a restart.
-    pub dir: Option<String>,
+    pub state_dir: Option<String>,
     /// Whether proposed versions are read from the membership service.
-    pub read_list: bool,
+    pub read_proposals: bool,
     /// Addresses of committee members that differ from those in the version, by member.
-    pub reach: BTreeMap<String, SocketAddr>,
+    pub member_addresses: BTreeMap<String, SocketAddr>,
 }
 
 /// The log.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Log {
+pub struct LogConfig {
     /// A JSON document a line, in place of text.
     pub json: bool,
 }
 
 /// Load reports to the membership service.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reports {
-    /// The longest backoff between failed reports in ms. The default is well under the lifetime of an endpoint's entry.
-    pub longest_ms: Option<u32>,
+pub struct ReportConfig {
+    /// The longest backoff between failed reports. The default is well under the lifetime of an endpoint's entry.
+    pub max_backoff: Option<Duration>,
 }
 
 /// Results of runs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Results {
+pub struct ResultConfig {
     /// The longest result of a run in KB. The default is the server's own bound.
-    pub longest_kb: Option<u32>,
+    pub max_kb: Option<u32>,
 }
--- a/crates/aldercrank-service-config/tests/golden.rs
+++ b/crates/aldercrank-service-config/tests/golden.rs
@@ -9,7 +9,7 @@
     clippy::too_many_lines
 )]
 
-use aldercrank_service_config::{parse, Rules, Service};
+use aldercrank_service_config::{parse, ServiceConfig, VersionedConfigOptions};
 use std::fmt::Write;
 
 #[path = "../../../tests/golden/compare.rs"]
@@ -73,21 +73,27 @@
     value.map_or("none".to_string(), |value| format!("{value:?}"))
 }
 
-fn rule_book(rules: &Rules) -> String {
-    let mut lines = format!("  rules: book {:?}, dir {}, ", rules.book, or_none(rules.dir.as_ref()));
-    writeln!(lines, "read-list {}", rules.read_list).unwrap();
-    for (member, address) in &rules.reach {
+fn versioned_config(rules: &VersionedConfigOptions) -> String {
+    let mut lines =
+        format!("  rules: book {:?}, dir {}, ", rules.version_file, or_none(rules.state_dir.as_ref()));
+    writeln!(lines, "read-list {}", rules.read_proposals).unwrap();
+    for (member, address) in &rules.member_addresses {
         writeln!(lines, "  rules: reach {member:?} at {address}").unwrap();
     }
     lines
 }
 
-/// What the file says, by the file's own names.
-fn decoded(service: &Service) -> String {
-    let mut lines = format!("  results: longest-kb {}\n", or_none(service.results.longest_kb));
-    writeln!(lines, "  reports: longest-ms {}", or_none(service.reports.longest_ms)).unwrap();
+/// The decoded values by the file's own names.
+fn decoded(service: &ServiceConfig) -> String {
+    let mut lines = format!("  results: longest-kb {}\n", or_none(service.results.max_kb));
+    writeln!(
+        lines,
+        "  reports: longest-ms {}",
+        or_none(service.reports.max_backoff.map(|backoff| backoff.as_millis()))
+    )
+    .unwrap();
     writeln!(lines, "  log: json {}", service.log.json).unwrap();
-    lines += &service.rules.as_ref().map_or("  rules: none\n".to_string(), rule_book);
+    lines += &service.versioned_config.as_ref().map_or("  rules: none\n".to_string(), versioned_config);
     writeln!(lines, "  start: tell-share {}", service.start.tell_share).unwrap();
     lines
 }
--- a/crates/aldercrank-service-config/tests/service_file.rs
+++ b/crates/aldercrank-service-config/tests/service_file.rs
@@ -9,7 +9,10 @@
     clippy::too_many_lines
 )]
 
-use aldercrank_service_config::{parse, Log, Reports, Results, Rules, Service, Start};
+use aldercrank_service_config::{
+    parse, LogConfig, ReportConfig, ResultConfig, ServiceConfig, Start, VersionedConfigOptions,
+};
+use std::time::Duration;
 
 fn faults(text: &str) -> Vec<String> {
     parse(text).unwrap_err().iter().map(|fault| fault.to_string()).collect()
@@ -20,20 +23,20 @@
     let example = include_str!("../../../deploy/service.kdl");
     assert_eq!(
         parse(example),
-        Ok(Service {
-            results: Results { longest_kb: Some(1024) },
-            reports: Reports { longest_ms: Some(4000) },
-            log: Log { json: true },
-            rules: Some(Rules {
-                book: "/etc/aldercrank/rules.kdl".to_string(),
-                dir: Some("/var/lib/aldercrank".to_string()),
-                read_list: true,
-                reach: [("n2".to_string(), "127.0.0.1:7102".parse().unwrap())].into(),
+        Ok(ServiceConfig {
+            results: ResultConfig { max_kb: Some(1024) },
+            reports: ReportConfig { max_backoff: Some(Duration::from_millis(4000)) },
+            log: LogConfig { json: true },
+            versioned_config: Some(VersionedConfigOptions {
+                version_file: "/etc/aldercrank/rules.kdl".to_string(),
+                state_dir: Some("/var/lib/aldercrank".to_string()),
+                read_proposals: true,
+                member_addresses: [("n2".to_string(), "127.0.0.1:7102".parse().unwrap())].into(),
             }),
             start: Start { tell_share: true },
         })
     );
-    assert_eq!(parse("// nothing\n"), Ok(Service::default()));
+    assert_eq!(parse("// nothing\n"), Ok(ServiceConfig::default()));
 }
 
 #[test]
