--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
@@ -10,10 +10,15 @@
 fn decoded(text: &str) -> String {
     let read = parse(text).unwrap_or_else(|faults| panic!("{}", faults[0]));
     let mut lines = format!("  start: tell-share {}\n", read.start.tell_share);
-    if let Some(rules) = read.rules {
-        lines += &format!("  rules: book {:?}, dir {:?}, ", rules.book, rules.dir);
-        lines += &format!("read-list {}\n", rules.read_list);
-        lines.extend(rules.reach.iter().map(|(member, at)| format!("  rules: reach {member:?} at {at}\n")));
+    if let Some(options) = read.versioned_config {
+        lines += &format!("  rules: book {:?}, dir {:?}, ", options.version_file, options.state_dir);
+        lines += &format!("read-list {}\n", options.read_proposals);
+        lines.extend(
+            options
+                .member_addresses
+                .iter()
+                .map(|(member, at)| format!("  rules: reach {member:?} at {at}\n")),
+        );
     }
     lines
 }
