--- a/crates/aldercrank-server/src/core/pool_link.rs
+++ b/crates/aldercrank-server/src/core/pool_link.rs
@@ -71,10 +71,11 @@
 }
 
 impl<P: Ports> Core<P> {
-    /// The link to the worker pool is lost. Of the start commands of the attempts in `unsaid` no byte was written.
-    pub fn pool_lost(&mut self, now: Duration, unsaid: impl IntoIterator<Item = AttemptId>) {
+    /// The link to the worker pool is lost. No byte was written of the start commands of the attempts in
+    /// `unwritten`.
+    pub fn pool_lost(&mut self, now: Duration, unwritten: impl IntoIterator<Item = AttemptId>) {
         let state = self.advance_to(now);
-        for attempt in unsaid {
+        for attempt in unwritten {
             state.start_not_written(attempt);
         }
         (state.link, state.polling) = (LinkState::Down, false);
--- a/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
@@ -53,7 +53,7 @@
         let attempt = AttemptId::new(&format!("{n:016x}")).unwrap();
         let reply_to = ReplyTo { conn: ConnId(n), call: MessageId(1) };
         receive(&mut core, now, attempt, reply_to);
-        // The caller goes while it runs, its connection is lost while a call is outstanding or while it runs, or it ends.
+        // The caller goes while it runs, its connection is lost while a call is outstanding or it runs, or it ends.
         match n % 4 {
             0 => core.caller_gone(now, reply_to),
             1 => {
--- a/crates/aldercrank-server/tests/suite/core/generated_events.rs
+++ b/crates/aldercrank-server/tests/suite/core/generated_events.rs
@@ -1,5 +1,5 @@
-//! Invariants on generated events: each request has one response, none is lost, a keyed request runs once in its window,
-//! and no request is rejected after it ran.
+//! Invariants on generated events: each request has one response, none is lost, a keyed request runs once in its
+//! window, and no request is rejected after it ran.
 
 use super::scenario::{settings, Scenario, MS};
 use super::world::{RunState, WINDOW};
--- a/crates/aldercrank-server/tests/suite/harness.rs
+++ b/crates/aldercrank-server/tests/suite/harness.rs
@@ -145,7 +145,8 @@
     }
 }
 
-/// Serves HTTP: forwards each request to `requests` and responds with `answer`; without a response it closes the connection.
+/// Serves HTTP: forwards each request to `requests` and responds with `answer`. It closes the connection if that gives
+/// no response.
 pub fn http(
     listener: TcpListener,
     requests: Sender<String>,
