--- a/crates/aldercrank-server/tests/suite/harness.rs
+++ b/crates/aldercrank-server/tests/suite/harness.rs
@@ -272,8 +272,9 @@
                 "rules": {"answer_slack": 60000, "fall_multiple": 5.0, "stop_sending_within": 300000},
                 "profiles": [class("map", "retryable"), class("buy", "dedup")]}});
         change(&mut config);
-        let path =
-            std::env::temp_dir().join(format!("aldercrank-{}-{}.json", std::process::id(), edge.port()));
+        // Ports are free for each address apart, so two programs may have the same one.
+        let file = format!("aldercrank-{}-{number}.json", std::process::id());
+        let path = std::env::temp_dir().join(file);
         std::fs::write(&path, config.to_string()).unwrap();
         let child = spawn_program(script, &path);
         Program {
