--- a/crates/aldercrank-server/src/net/config_reload.rs
+++ b/crates/aldercrank-server/src/net/config_reload.rs
@@ -19,7 +19,7 @@
         };
         if let Some(reason) = self.config.foreign(&new) {
             return tracing::error!(
-                reason,
+                %reason,
                 "the new configuration belongs to another server; keeping the present one"
             );
         }
--- a/crates/aldercrank-server/tests/suite/main.rs
+++ b/crates/aldercrank-server/tests/suite/main.rs
@@ -9,6 +9,7 @@
     clippy::too_many_lines
 )]
 mod codecs;
+mod config;
 mod core;
 mod crossings;
 mod edge_connections;
@@ -19,6 +20,9 @@
 mod golden_reload;
 mod harness;
 mod lifecycle;
+mod logger;
+mod output_buffer;
+mod phase;
 mod state_file;
 mod tables;
 mod worker_pool_link;
--- a/crates/aldercrank-service-config/tests/file.rs
+++ b/crates/aldercrank-service-config/tests/service_file.rs
@@ -1,4 +1,4 @@
-//! The service file as people write it, and as nobody should.
+//! Valid and invalid service files.
 
 // Support code is shared by the modules of this test alone; a scenario may be long.
 #![allow(
@@ -9,35 +9,38 @@
     clippy::too_many_lines
 )]
 
-use aldercrank_service_config::{parse, Log, Reports, Results, Rules, Service, Start};
+use aldercrank_service_config::{
+    parse, LogConfig, ReportConfig, ResultConfig, ServiceConfig, Start, VersionedConfigOptions,
+};
+use std::time::Duration;
 
 fn faults(text: &str) -> Vec<String> {
     parse(text).unwrap_err().iter().map(|fault| fault.to_string()).collect()
 }
 
 #[test]
-fn the_example_is_read_and_an_empty_file_leaves_all_as_it_is() {
+fn the_example_is_read_and_an_empty_file_gives_the_defaults() {
     let example = include_str!("../../../deploy/service.kdl");
     assert_eq!(
         parse(example),
-        Ok(Service {
-            results: Results { longest_kb: Some(1024) },
-            reports: Reports { longest_ms: Some(4000) },
-            log: Log { json: true },
-            rules: Some(Rules {
-                book: "/etc/aldercrank/rules.kdl".to_string(),
-                dir: Some("/var/lib/aldercrank".to_string()),
-                read_list: true,
-                reach: [("n2".to_string(), "127.0.0.1:7102".parse().unwrap())].into(),
+        Ok(ServiceConfig {
+            results: ResultConfig { max_kb: Some(1024) },
+            reports: ReportConfig { max_backoff: Some(Duration::from_millis(4000)) },
+            log: LogConfig { json: true },
+            versioned_config: Some(VersionedConfigOptions {
+                version_file: "/etc/aldercrank/rules.kdl".to_string(),
+                state_dir: Some("/var/lib/aldercrank".to_string()),
+                read_proposals: true,
+                member_addresses: [("n2".to_string(), "127.0.0.1:7102".parse().unwrap())].into(),
             }),
             start: Start { tell_share: true },
         })
     );
-    assert_eq!(parse("// nothing\n"), Ok(Service::default()));
+    assert_eq!(parse("// nothing\n"), Ok(ServiceConfig::default()));
 }
 
 #[test]
-fn all_that_is_wrong_is_said_at_once_with_its_line_and_column() {
+fn all_faults_are_reported_at_once_with_line_and_column() {
     let text =
         "resluts {\n}\nresults 3 {\n    longest-kb \"big\"\n    longest-kb 4\n    colour #true\n}\nresults\n";
     assert_eq!(
@@ -70,14 +73,14 @@
 }
 
 #[test]
-fn what_is_no_kdl_is_a_fault_with_a_place_and_nothing_makes_it_panic() {
+fn invalid_kdl_is_reported_with_its_position_and_never_panics() {
     assert!(faults("results {\n  longest-kb 4\n").iter().all(|f| f.contains(':')));
     let example = include_str!("../../../deploy/service.kdl");
-    // Wounds at every place, by a byte that is left out, doubled or another.
+    // Corrupts every fifth byte: leaves it out or replaces it.
     for at in (0..example.len()).step_by(5) {
-        for wound in ["", "\"", "{", "\u{0}", "\u{fe0f}", "}"] {
+        for replacement in ["", "\"", "{", "\u{0}", "\u{fe0f}", "}"] {
             let (Some(head), Some(tail)) = (example.get(..at), example.get(at + 1..)) else { continue };
-            if let Err(faults) = parse(&format!("{head}{wound}{tail}")) {
+            if let Err(faults) = parse(&format!("{head}{replacement}{tail}")) {
                 assert!(!faults.is_empty() && faults.iter().all(|f| f.line > 0 && f.column > 0));
             }
         }
--- a/crates/aldercrank-testbench/src/server_modes.rs
+++ b/crates/aldercrank-testbench/src/server_modes.rs
@@ -3,7 +3,7 @@
 
 use crate::consensus_check::injected_fault;
 use crate::HEAP;
-use aldercrank_server::config::Config;
+use aldercrank_server::config::{Config, ConfigError};
 use aldercrank_server::net::serve;
 use std::io;
 
@@ -12,7 +12,7 @@
 pub(crate) fn serve_faulty(name: &str, config: String, service: Option<String>) -> io::Result<bool> {
     let unknown = || io::Error::other(format!("no injected fault is named {name}"));
     let fault = injected_fault(name).ok_or_else(unknown)?;
-    let load = move || -> Result<Config, String> {
+    let load = move || -> Result<Config, ConfigError> {
         let mut config = Config::load(Some(&config), service.as_deref())?;
         if let Some(rules) = &mut config.rules {
             rules.injected_fault = Some(fault);
--- a/crates/aldercrank-testbench/tests/suite/cluster.rs
+++ b/crates/aldercrank-testbench/tests/suite/cluster.rs
@@ -167,9 +167,9 @@
     assert!(story.contains("asks, as") && story.contains("over for its caller"), "{story}");
     // Fields are shown in the order of their names: the attempt's id stands before the request's class.
     assert!(
-        story.contains("logs: read attempt=")
+        story.contains("logs: request received attempt=")
             && story.contains(" class=")
-            && story.contains("logs: its run ended"),
+            && story.contains("logs: run ended"),
         "{story}"
     );
     assert_eq!(why("999999").0, Some(1));
--- a/crates/aldercrank-versioned-config/src/parser.rs
+++ b/crates/aldercrank-versioned-config/src/parser.rs
@@ -53,7 +53,7 @@
         match number {
             Some(number) if faults.is_empty() => Ok(VersionedConfig { number, items }),
             _ if faults.is_empty() => {
-                Err(vec![Fault { line: 1, column: 1, what: ParseFault::NoVersion.to_string() }])
+                Err(vec![Fault { line: 1, column: 1, what: ParseFault::NoVersion.to_string().into() }])
             }
             _ => Err(faults),
         }
