--- a/crates/aldercrank-server/src/core/mod.rs
+++ b/crates/aldercrank-server/src/core/mod.rs
@@ -50,10 +50,10 @@
 
 impl<P: Ports> Core<P> {
     /// Creates a core. `now` is how long ago the worker pool came up; `room` is how many bytes cached results may take.
-    pub fn start(settings: Settings, now: Duration, room: usize, ports: P) -> Core<P> {
+    pub fn new(settings: &Settings, now: Duration, room: usize, ports: P) -> Core<P> {
         let mut state = CoreState::new(now, room, ports);
-        state.load_settings(&settings);
-        Core { admission: Admission::new(&settings, now, state), slow_start: None }
+        state.load_settings(settings);
+        Core { admission: Admission::new(settings, now, state), slow_start: None }
     }
 
     /// Starts to follow the slow start. `cold`: whether the worker pool has just started.
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -448,7 +448,7 @@
         }
         let mut settings = self.config.settings.clone();
         settings.set("family_info.cold", Value::Flag(cold));
-        let core = Core::start(settings, age, self.result_memory_bytes, self.core_ports());
+        let core = Core::new(&settings, age, self.result_memory_bytes, self.core_ports());
         (self.core, self.pool_was_cold) = (Some(core), cold);
         if let (true, Some(core)) = (self.config.start.tell_share, &mut self.core) {
             core.warms_up(age, &self.config.settings, cold);
--- a/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_hundred_thousand_requests_abandoned_at_every_stage_leave_the_tables_empty() {
-    let mut core = Core::start(settings(), Duration::ZERO, 4000, NoPorts);
+    let mut core = Core::new(&settings(), Duration::ZERO, 4000, NoPorts);
     core.pool_bound(Duration::ZERO);
     core.polled(Duration::ZERO, 1, &[0.5, 0.0]);
     let mut now = Duration::ZERO;
--- a/crates/aldercrank-server/tests/suite/core/requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/requests.rs
@@ -93,7 +93,7 @@
     let mut cold_settings = settings();
     cold_settings.set("family_info.cold", Value::Flag(true));
     let ports = FakePorts::default();
-    Core::start(cold_settings, Duration::ZERO, 0, ports.clone()).reminded(MS * 30, TimerId::Tick);
+    Core::new(&cold_settings, Duration::ZERO, 0, ports.clone()).reminded(MS * 30, TimerId::Tick);
     assert!(ports.0.borrow().load_hint.is_some());
 }
 
--- a/crates/aldercrank-server/tests/suite/core/scenario.rs
+++ b/crates/aldercrank-server/tests/suite/core/scenario.rs
@@ -33,7 +33,7 @@
 impl Scenario {
     pub fn new() -> Scenario {
         let ports = FakePorts::default();
-        let core = Core::start(settings(), Duration::ZERO, 4000, ports.clone());
+        let core = Core::new(&settings(), Duration::ZERO, 4000, ports.clone());
         let mut scenario = Scenario { core, ports, requests_made: 0 };
         scenario.restore_link();
         scenario.exchange();
--- a/crates/aldercrank-testbench/src/soak_check.rs
+++ b/crates/aldercrank-testbench/src/soak_check.rs
@@ -155,7 +155,7 @@
 pub(crate) fn check() -> std::io::Result<bool> {
     let server = RecordingPorts::default();
     let before = heap_bytes();
-    let mut core = Core::start(settings(), Duration::ZERO, CACHE_BYTES, server.clone());
+    let mut core = Core::new(&settings(), Duration::ZERO, CACHE_BYTES, server.clone());
     core.pool_bound(Duration::ZERO);
     let (mut now, mut first, mut most, mut gone) = (Duration::ZERO, 0, 0, 0);
     for tenth in 1..=10 {
