--- a/crates/aldercrank-pacing/src/slow_start.rs
+++ b/crates/aldercrank-pacing/src/slow_start.rs
@@ -52,7 +52,7 @@
     /// There is no worker pool yet.
     NoPool,
     /// No run has ended since the pool came up.
-    NothingSettled,
+    NothingCompleted,
     /// Runs had headroom below their latency targets.
     Headroom,
     /// A run had no headroom, or missed its latency target.
@@ -70,7 +70,7 @@
     pub fn name(self) -> &'static str {
         match self {
             SlowStartReason::NoPool => "no worker pool yet",
-            SlowStartReason::NothingSettled => "nothing settled since",
+            SlowStartReason::NothingCompleted => "nothing settled since",
             SlowStartReason::Headroom => "what came back had headroom",
             SlowStartReason::Slow => "what came back had none",
             SlowStartReason::Refused => "the index turned calls away",
@@ -139,7 +139,7 @@
         (self.pool_up_at, self.evaluated_at) = (now, now);
         (self.slowest_run, self.call_rejected) = (None, false);
         if cold {
-            self.set_status(Phase::SlowStart, self.config.least, SlowStartReason::NothingSettled);
+            self.set_status(Phase::SlowStart, self.config.least, SlowStartReason::NothingCompleted);
         } else {
             self.set_status(Phase::Full, 1.0, SlowStartReason::Warm);
         }
--- a/crates/aldercrank-test-cluster/src/run_record.rs
+++ b/crates/aldercrank-test-cluster/src/run_record.rs
@@ -277,11 +277,11 @@
     /// Seconds from the first start until all servers were listed.
     pub start_s: f64,
     /// CPU seconds of the test cluster while requests arrived.
-    pub rig_cpu_s: f64,
+    pub cluster_cpu_s: f64,
     /// The most memory of the test cluster.
-    pub rig_memory_kb: u64,
+    pub cluster_memory_kb: u64,
     /// Seconds that the test cluster waited for a core.
-    pub rig_waited_s: f64,
+    pub cluster_waited_s: f64,
     /// By second since the callers began.
     pub seconds: Vec<Second>,
     /// The steps that began: from, until (in seconds since the callers began), and text.
--- a/crates/aldercrank-testbench/src/figures.rs
+++ b/crates/aldercrank-testbench/src/figures.rs
@@ -31,8 +31,8 @@
         twice(o),
         o.counts.across,
         o.counts.broken,
-        o.rig_cpu_s / o.span_s,
-        o.rig_memory_kb / 1000,
+        o.cluster_cpu_s / o.span_s,
+        o.cluster_memory_kb / 1000,
         o.start_s
     )
 }
--- a/crates/aldercrank-testbench/src/scenario_command.rs
+++ b/crates/aldercrank-testbench/src/scenario_command.rs
@@ -124,7 +124,7 @@
         println!("{:<34}{:>10}", "messages between servers", a.words);
         println!("{:<34}{:>10}", "reads of the membership service", a.reads);
     }
-    println!("{:<34}{:>10.2}", "test cluster's time on a core, s", o.rig_cpu_s);
+    println!("{:<34}{:>10.2}", "test cluster's time on a core, s", o.cluster_cpu_s);
     println!("{:<34}{:>10.2}", "start until all listed, s", o.start_s);
     for broken in &o.broken {
         let (attempt, server) =
--- a/crates/aldercrank-testbench/tests/suite/cold_start.rs
+++ b/crates/aldercrank-testbench/tests/suite/cold_start.rs
@@ -78,7 +78,7 @@
 const LATE_WARM: &str = "fleet cores=2 warm-ms=1500 warms-times=5\ncallers rate=220\nat 0 \"index-cold\"\n";
 
 #[test]
-fn a_server_whose_pool_warms_up_late_reports_its_progress() {
+fn a_server_with_a_late_warming_pool_reports_its_progress() {
     let steps = format!("{LATE_WARM}start tell-share=#true\n");
     let outcome = starts("late-warm", &steps);
     let parts = outcome["list"]["parts"].as_u64().unwrap();
--- a/crates/aldercrank-testbench/tests/suite/cost_budget.rs
+++ b/crates/aldercrank-testbench/tests/suite/cost_budget.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn fixed_bounds_hold_whatever_the_budget_says() {
+fn fixed_bounds_hold_for_any_budget() {
     let high = over(&budget(9.0), &budget(9.0));
     assert_eq!(high.len(), BOUNDS.len());
     let mut fewer = budget(0.5);
