--- a/crates/aldercrank-consensus/src/follower.rs
+++ b/crates/aldercrank-consensus/src/follower.rs
@@ -139,7 +139,7 @@
             evaluation: None,
             fetch_deferred: None,
             ready_proposal: None,
-            last_level: PermissionLevel::Mute,
+            last_level: PermissionLevel::Denied,
         }
     }
 
@@ -153,7 +153,7 @@
         environment: &mut impl FollowerEnvironment,
     ) {
         let Some(summary) = environment.read(&version.version_id, &version.text, None) else { return };
-        if version.version_id == committed.book {
+        if version.version_id == committed.version_id {
             self.isolated_since = Some(now);
             let state = ReportedState { committed, committed_for: Duration::ZERO, lease_until: None };
             self.apply(&state, version, summary, environment);
@@ -192,7 +192,7 @@
     pub fn bounds(&self) -> PermissionBounds {
         let compatible = self.known.as_ref().is_some_and(|known| known.incompatibility.is_none());
         match (compatible, self.isolated_since) {
-            (true, _) if self.timing.injected_fault == Some(InjectedFault::NoFence) => {
+            (true, _) if self.timing.injected_fault == Some(InjectedFault::NoLeaseCheck) => {
                 PermissionBounds { full_until: Duration::MAX, alone_until: Duration::MAX }
             }
             (true, Some(since)) => PermissionBounds {
@@ -208,14 +208,14 @@
         if now < full_until {
             PermissionLevel::Full
         } else if now < alone_until {
-            PermissionLevel::Alone
+            PermissionLevel::IdempotentOnly
         } else {
-            PermissionLevel::Mute
+            PermissionLevel::Denied
         }
     }
 
     /// When [`Follower::timer_fired`] is to be called next.
-    pub fn next(&self) -> Duration {
+    pub fn next_timeout(&self) -> Duration {
         self.outstanding
             .as_ref()
             .map_or(self.renewal_due, |request| request.sent_at + self.timing.response_timeout())
@@ -347,14 +347,14 @@
         let from_response = self.timing.injected_fault == Some(InjectedFault::LeaseFromResponse);
         let lease_start = if from_response { now } else { request.sent_at };
         match (request.purpose, response) {
-            (Purpose::Renew, PeerResponse::Lease { committed, age, stood, proposed }) => {
+            (Purpose::Renew, PeerResponse::Lease { committed, age, committed_for, proposed }) => {
                 let lease_until =
                     age.and_then(|age| (lease_start + self.timing.lease_duration()).checked_sub(age));
-                let state = ReportedState { committed, committed_for: stood, lease_until };
+                let state = ReportedState { committed, committed_for: committed_for, lease_until };
                 self.lease_received(now, state, proposed, environment);
             }
             (Purpose::FetchCommitted(state), PeerResponse::Text { version_id, text })
-                if version_id == state.committed.book =>
+                if version_id == state.committed.version_id =>
             {
                 self.committed_text_received(now, &state, &text, environment);
             }
@@ -378,7 +378,7 @@
         text: &str,
         environment: &mut impl FollowerEnvironment,
     ) {
-        let version_id = state.committed.book;
+        let version_id = state.committed.version_id;
         match environment.read(&version_id, text, self.version()) {
             Some(summary) => {
                 let version = ConfigVersion { version_id, text: Arc::from(text) };
@@ -393,7 +393,7 @@
         self.ready_proposal = None;
         let version_id = version.version_id;
         let result = match environment.read(&version_id, &version.text, self.version()) {
-            Some(VersionSummary { misfit: Some(reason), .. }) => Err(reason),
+            Some(VersionSummary { incompatibility: Some(reason), .. }) => Err(reason),
             Some(summary) => {
                 self.ready_proposal = Some(ReadyProposal { version, summary });
                 Ok(())
@@ -416,14 +416,14 @@
             return self.try_next_member(now, environment);
         }
         // Two versions with one number: whichever server is wrong, this one does not follow.
-        if own.is_some_and(|own| own.last == committed.last && own.book != committed.book) {
+        if own.is_some_and(|own| own.last == committed.last && own.version_id != committed.version_id) {
             return self.try_next_member(now, environment);
         }
-        let is_committed = |ready: &mut ReadyProposal| ready.version.version_id == committed.book;
+        let is_committed = |ready: &mut ReadyProposal| ready.version.version_id == committed.version_id;
         if let Some(ready) = self.ready_proposal.take_if(is_committed) {
             self.apply(&state, ready.version, ready.summary, environment);
-        } else if own.map(|own| own.book) != Some(committed.book) {
-            let request = PeerRequest::Fetch { version_id: committed.book };
+        } else if own.map(|own| own.version_id) != Some(committed.version_id) {
+            let request = PeerRequest::Fetch { version_id: committed.version_id };
             return self.send(now, Purpose::FetchCommitted(state), request, environment);
         }
         if let Some(known) = &mut self.known {
@@ -453,7 +453,7 @@
             self.current_member = index.unwrap_or(self.current_member % self.committee.len());
         }
         self.known =
-            Some(KnownVersion { committed: state.committed, version, incompatibility: summary.misfit });
+            Some(KnownVersion { committed: state.committed, version, incompatibility: summary.incompatibility });
         self.lease_until = Duration::ZERO;
     }
 
--- a/crates/aldercrank-consensus/src/member/events.rs
+++ b/crates/aldercrank-consensus/src/member/events.rs
@@ -21,7 +21,7 @@
     ) -> PeerResponse {
         match request {
             PeerRequest::Renew { from, last, evaluation } => {
-                let lease_granted = self.confirms(now);
+                let lease_granted = self.is_confirmed(now);
                 let renewal = Renewal { received_at: now, lease_granted, last_decided: last, evaluation };
                 self.handle_renewal(now, from, renewal, environment)
             }
@@ -46,7 +46,7 @@
                 PeerResponse::Acknowledged
             }
             // The server answers this one itself.
-            PeerRequest::Status => PeerResponse::Silent,
+            PeerRequest::Status => PeerResponse::Unavailable,
         }
     }
 
@@ -83,7 +83,7 @@
                 Purpose::Prepare { .. } | Purpose::Accept { .. },
                 PeerResponse::DifferentState { committed },
             ) if committed.last > self.committed.last => {
-                self.fetch(now, &from, committed.book, Purpose::FetchCommitted(committed), environment);
+                self.fetch(now, &from, committed.version_id, Purpose::FetchCommitted(committed), environment);
             }
             (Purpose::Accept { .. }, PeerResponse::TextMissing { .. }) => self.check(now, environment),
             (Purpose::FetchCommitted(committed), PeerResponse::Text { version_id, text }) => {
@@ -104,7 +104,7 @@
     }
 
     /// When [`CommitteeMember::timer_fired`] is to be called next.
-    pub fn next(&self) -> Duration {
+    pub fn next_timeout(&self) -> Duration {
         let check_due = self.confirmation.check_due();
         self.proposer.round_deadline().map_or(check_due, |deadline| deadline.min(check_due))
     }
@@ -134,7 +134,7 @@
     ) -> Result<(), ProposalError> {
         let version_id = version.version_id;
         let (number, last) = (version_id.number, self.committed.last);
-        if version_id == self.committed.book || self.proposals.find(&version_id).is_some() {
+        if version_id == self.committed.version_id || self.proposals.find(&version_id).is_some() {
             return Ok(());
         }
         if number <= last {
@@ -185,7 +185,7 @@
         PeerResponse::Lease {
             committed: self.committed,
             age: self.confirmation_age(now),
-            stood: now.saturating_sub(self.committed_since),
+            committed_for: now.saturating_sub(self.committed_since),
             proposed: self.proposals.first_id(),
         }
     }
--- a/crates/aldercrank-consensus/src/member/followers.rs
+++ b/crates/aldercrank-consensus/src/member/followers.rs
@@ -31,13 +31,13 @@
 
 /// A follower's state for operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerState {
+pub struct FollowerStatus {
     /// The follower.
     pub name: ServerName,
     /// The number decided last, as the follower knows it.
     pub last: u64,
     /// Time since its last renewal.
-    pub heard: Duration,
+    pub since_last_seen: Duration,
     /// What is left of its lease at most.
     pub lease_left: Duration,
     /// Its evaluation of a proposed version.
@@ -95,12 +95,12 @@
     }
 
     /// The followers in the order of their names.
-    pub(super) fn states(&self, now: Duration, timing: &Terms) -> Vec<ServerState> {
+    pub(super) fn states(&self, now: Duration, timing: &Terms) -> Vec<FollowerStatus> {
         let lease = timing.lease_duration();
-        let state = |(name, renewal): (&ServerName, &Renewal)| ServerState {
+        let state = |(name, renewal): (&ServerName, &Renewal)| FollowerStatus {
             name: name.clone(),
             last: renewal.last_decided,
-            heard: now.saturating_sub(renewal.received_at),
+            since_last_seen: now.saturating_sub(renewal.received_at),
             lease_left: (renewal.received_at + lease).saturating_sub(now),
             evaluation: renewal.evaluation.clone(),
         };
--- a/crates/aldercrank-consensus/src/member/learning.rs
+++ b/crates/aldercrank-consensus/src/member/learning.rs
@@ -74,8 +74,8 @@
         if committed != self.committed || !nothing_newer {
             return;
         }
-        let (confirmed_before, quorum) = (self.confirms(now), self.quorum());
-        if self.confirmation.record(from, quorum) && !confirmed_before && self.confirms(now) {
+        let (confirmed_before, quorum) = (self.is_confirmed(now), self.quorum());
+        if self.confirmation.record(from, quorum) && !confirmed_before && self.is_confirmed(now) {
             environment.notify(None);
         }
     }
@@ -93,10 +93,10 @@
             return;
         }
         if committed.last > self.committed.last {
-            self.fetch(now, from, committed.book, Purpose::FetchCommitted(committed), environment);
+            self.fetch(now, from, committed.version_id, Purpose::FetchCommitted(committed), environment);
         }
-        if committed.last == self.committed.last && committed.book != self.committed.book {
-            self.conflicting_members.insert(from.clone(), committed.book);
+        if committed.last == self.committed.last && committed.version_id != self.committed.version_id {
+            self.conflicting_members.insert(from.clone(), committed.version_id);
         }
         let is_new = |version_id: &VersionId| {
             version_id.number > self.committed.last && self.proposals.find(version_id).is_none()
@@ -146,7 +146,7 @@
         environment: &mut impl MemberEnvironment,
     ) {
         let committed = decision.after(&self.committed);
-        if committed.book == self.committed.book {
+        if committed.version_id == self.committed.version_id {
             if let Verdict::Refused(reason) = decision.verdict {
                 self.refusals.push(Refusal { number: committed.last, reason });
                 let excess = self.refusals.len().saturating_sub(MAX_REFUSALS);
@@ -154,7 +154,7 @@
             }
             let (version, summary) = (self.version.clone(), self.summary.clone());
             self.commit(now, committed, version, summary, environment);
-        } else if let Some(proposal) = self.proposals.find(&committed.book).cloned() {
+        } else if let Some(proposal) = self.proposals.find(&committed.version_id).cloned() {
             self.commit(now, committed, proposal.version, proposal.summary, environment);
         }
     }
@@ -168,7 +168,7 @@
         text: &str,
         environment: &mut impl MemberEnvironment,
     ) {
-        let newer = committed.last > self.committed.last && version_id == committed.book;
+        let newer = committed.last > self.committed.last && version_id == committed.version_id;
         let summary = environment.read(&version_id, text, Some(&self.version));
         if let Some(summary) = summary.filter(|_| newer) {
             let version = ConfigVersion { version_id, text: Arc::from(text) };
@@ -185,7 +185,7 @@
         summary: VersionSummary,
         environment: &mut impl MemberEnvironment,
     ) {
-        if committed.book != self.committed.book {
+        if committed.version_id != self.committed.version_id {
             self.committed_since = now;
         }
         (self.committed, self.version, self.summary) = (committed, version, summary);
--- a/crates/aldercrank-consensus/src/member/proposer.rs
+++ b/crates/aldercrank-consensus/src/member/proposer.rs
@@ -35,7 +35,7 @@
 
 impl Proposer {
     pub(super) fn new(name: ServerName, incarnation: u64, round_timeout: Duration) -> Proposer {
-        let ballot = Ballot { round: 0, by: Some(name), life: incarnation };
+        let ballot = Ballot { round: 0, proposer: Some(name), incarnation: incarnation };
         Proposer { round: Round::Idle, ballot, round_timeout }
     }
 
--- a/crates/aldercrank-consensus/src/member/state.rs
+++ b/crates/aldercrank-consensus/src/member/state.rs
@@ -3,7 +3,7 @@
 use super::acceptor::{Acceptor, AcceptorState};
 use super::confirmation::ReadConfirmation;
 use super::environment::MemberEnvironment;
-use super::followers::{FollowerRegistry, ServerState};
+use super::followers::{FollowerRegistry, FollowerStatus};
 use super::proposals::Proposals;
 use super::proposer::Proposer;
 use super::quorum::Quorum;
@@ -70,11 +70,11 @@
         let MemberIdentity { name, incarnation } = identity;
         let (recovery, committed, version) = match &acceptor_state {
             Some(state) => {
-                let version = ConfigVersion { version_id: state.committed.book, text: state.text.clone() };
+                let version = ConfigVersion { version_id: state.committed.version_id, text: state.text.clone() };
                 (Recovery::Active, state.committed, version)
             }
             None => {
-                let committed = CommittedState { last: version.version_id.number, book: version.version_id };
+                let committed = CommittedState { last: version.version_id.number, version_id: version.version_id };
                 (Recovery::begin(now + timing.recovery_quarantine()), committed, version)
             }
         };
@@ -133,7 +133,7 @@
     }
 
     /// Whether it grants leases on its committed state now.
-    pub fn confirms(&self, now: Duration) -> bool {
+    pub fn is_confirmed(&self, now: Duration) -> bool {
         self.confirmation_age(now).is_some()
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// The followers that renew at this member, in the order of their names.
-    pub fn servers(&self, now: Duration) -> Vec<ServerState> {
+    pub fn servers(&self, now: Duration) -> Vec<FollowerStatus> {
         self.followers.states(now, &self.timing)
     }
 
--- a/crates/aldercrank-consensus/src/member/verdict.rs
+++ b/crates/aldercrank-consensus/src/member/verdict.rs
@@ -67,7 +67,7 @@
         }
         match self.restriction_at_risk() {
             Some(reason) => gather_ended.then_some(Verdict::Refused(reason)),
-            None => Some(Verdict::InForce),
+            None => Some(Verdict::Committed),
         }
     }
 
--- a/crates/aldercrank-consensus/src/member/voting.rs
+++ b/crates/aldercrank-consensus/src/member/voting.rs
@@ -11,7 +11,7 @@
     /// Why a ballot for the decision after `after` can't be considered, if it can't.
     fn ballot_refusal(&self, after: u64, ballot: &Ballot) -> Option<PeerResponse> {
         if !self.may_vote() {
-            Some(PeerResponse::Silent)
+            Some(PeerResponse::Unavailable)
         } else if after != self.committed.last {
             Some(PeerResponse::DifferentState { committed: self.committed })
         } else if ballot < self.acceptor.promised() {
@@ -47,7 +47,7 @@
             return refusal;
         }
         // An acceptor must be able to send the text of what it has accepted.
-        if decision.verdict == Verdict::InForce && self.proposals.find(&decision.version_id).is_none() {
+        if decision.verdict == Verdict::Committed && self.proposals.find(&decision.version_id).is_none() {
             return PeerResponse::TextMissing { version_id: decision.version_id };
         }
         self.acceptor.accept(now, ballot, decision);
--- a/crates/aldercrank-consensus/src/messages.rs
+++ b/crates/aldercrank-consensus/src/messages.rs
@@ -69,7 +69,8 @@
     /// The number decided last. It differs from the committed version's where that decision was a refusal.
     pub last: u64,
     /// The committed version.
-    pub book: VersionId,
+    #[serde(rename = "book")]
+    pub version_id: VersionId,
 }
 
 /// A Paxos ballot number. It is unique per member and incarnation: a member that has forgotten a round must not begin
@@ -79,16 +80,19 @@
     /// Number of the round.
     pub round: u64,
     /// The proposer; `None` in the ballot below all others.
-    pub by: Option<ServerName>,
+    #[serde(rename = "by")]
+    pub proposer: Option<ServerName>,
     /// The proposer's incarnation.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 /// What a decision does with a proposed version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
     /// It is committed.
-    InForce,
+    #[serde(rename = "InForce")]
+    Committed,
     /// It is refused for this reason: its number is used up, and the version before it stays committed.
     Refused(String),
 }
@@ -106,8 +110,8 @@
 impl Decision {
     /// The committed state after this decision.
     pub fn after(&self, before: &CommittedState) -> CommittedState {
-        let book = if self.verdict == Verdict::InForce { self.version_id } else { before.book };
-        CommittedState { last: self.version_id.number, book }
+        let version_id = if self.verdict == Verdict::Committed { self.version_id } else { before.version_id };
+        CommittedState { last: self.version_id.number, version_id }
     }
 }
 
@@ -279,7 +283,8 @@
         /// Time since the state was confirmed to be the newest; `None` where it is not, and no lease is granted.
         age: Option<Duration>,
         /// How long the version has been committed at least.
-        stood: Duration,
+        #[serde(rename = "stood")]
+        committed_for: Duration,
         /// A proposed version to evaluate.
         #[serde(rename = "draft")]
         proposed: Option<VersionId>,
@@ -336,7 +341,8 @@
         committed: CommittedState,
     },
     /// The server has not recovered its acceptor state, or is not on the committee.
-    Silent,
+    #[serde(rename = "Silent")]
+    Unavailable,
     /// Answers [`PeerRequest::Learn`].
     #[serde(rename = "Fine")]
     Acknowledged,
@@ -351,7 +357,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct VersionSummary {
     /// Why this very server can't apply the version; `None` where it can.
-    pub misfit: Option<String>,
+    pub incompatibility: Option<String>,
     /// The committee that decides on the next version, in the order of names.
     pub committee: Vec<ServerName>,
     /// The servers in service, in the order of names; `None` where the text does not name them.
--- a/crates/aldercrank-consensus/src/permission.rs
+++ b/crates/aldercrank-consensus/src/permission.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PermissionLevel {
     /// Nothing: it has never known the committed version, or its lease ended too long ago.
-    Mute,
+    Denied,
     /// Repeatable requests alone: it has no lease, or has restarted with a version from disk.
-    Alone,
+    IdempotentOnly,
     /// Everything that its version allows.
     Full,
 }
@@ -18,6 +18,6 @@
 pub struct PermissionBounds {
     /// End of [`PermissionLevel::Full`]: of the lease.
     pub full_until: Duration,
-    /// End of [`PermissionLevel::Alone`].
+    /// End of [`PermissionLevel::IdempotentOnly`].
     pub alone_until: Duration,
 }
--- a/crates/aldercrank-consensus/src/timing.rs
+++ b/crates/aldercrank-consensus/src/timing.rs
@@ -31,7 +31,7 @@
     /// After a pause, the server acts on its permission level from before the pause.
     StaleLevelAfterPause,
     /// The server acts without a lease.
-    NoFence,
+    NoLeaseCheck,
 }
 
 /// Timing parameters, the same on all servers.
--- a/crates/aldercrank-consensus/tests/agreement_bound.rs
+++ b/crates/aldercrank-consensus/tests/agreement_bound.rs
@@ -115,7 +115,7 @@
 #[test]
 fn each_injected_fault_is_detected_under_random_faults() {
     for injected_fault in
-        [InjectedFault::LeaseFromResponse, InjectedFault::StaleLevelAfterPause, InjectedFault::NoFence]
+        [InjectedFault::LeaseFromResponse, InjectedFault::StaleLevelAfterPause, InjectedFault::NoLeaseCheck]
     {
         let found = (0..3000).find(|seed| {
             random_run(*seed, Some(injected_fault), Disks::AllMembers).longest_overlap > AGREEMENT_BOUND
@@ -155,7 +155,7 @@
     fleet.isolated.extend([2, 7, 8]);
     fleet.run_for(AGREEMENT_BOUND + MILLISECOND * 100);
     for n in [2, 7, 8] {
-        assert_eq!(fleet.level(n), PermissionLevel::Alone, "n{n}");
+        assert_eq!(fleet.level(n), PermissionLevel::IdempotentOnly, "n{n}");
     }
     fleet.propose(0, &version(2, &[0, 1, 2], "servers=9"));
     fleet.run_for(SECOND * 2);
@@ -165,7 +165,7 @@
     assert_eq!(fleet.servers_using(2), 9);
     fleet.isolated.extend([2, 7, 8]);
     fleet.run_for(Duration::from_secs(63));
-    assert_eq!(fleet.level(7), PermissionLevel::Mute, "isolated for too long");
+    assert_eq!(fleet.level(7), PermissionLevel::Denied, "isolated for too long");
 }
 
 #[test]
@@ -185,7 +185,7 @@
     let mut fleet = started_fleet(9);
     (0..3).for_each(|n| fleet.kill(n));
     fleet.run_for(AGREEMENT_BOUND + MILLISECOND * 50);
-    assert!((3..9).all(|n| fleet.level(n) == PermissionLevel::Alone));
+    assert!((3..9).all(|n| fleet.level(n) == PermissionLevel::IdempotentOnly));
     (0..3).for_each(|n| fleet.restart(n));
     fleet.run_for(SECOND * 5);
     assert_eq!(fleet.servers_using(1), 9);
@@ -300,7 +300,7 @@
     assert!(fleet.longest_overlap <= AGREEMENT_BOUND);
     fleet.isolated.clear();
     fleet.run_for(SECOND * 3);
-    let last = fleet.committed(0).unwrap().book.number;
+    let last = fleet.committed(0).unwrap().version_id.number;
     assert_eq!(fleet.servers_using(last), 9);
     assert!(last > 20, "versions are committed nevertheless: {last}");
 }
--- a/crates/aldercrank-consensus/tests/golden.rs
+++ b/crates/aldercrank-consensus/tests/golden.rs
@@ -49,15 +49,15 @@
 }
 
 fn committed(last: u64, number: u64) -> CommittedState {
-    CommittedState { last, book: version(number) }
+    CommittedState { last, version_id: version(number) }
 }
 
 fn ballot() -> Ballot {
-    Ballot { round: 300, by: Some(ServerName::new("n2")), life: 1_764_748_800_123_456_789 }
+    Ballot { round: 300, proposer: Some(ServerName::new("n2")), incarnation: 1_764_748_800_123_456_789 }
 }
 
 fn committed_decision(number: u64) -> Decision {
-    Decision { version_id: version(number), verdict: Verdict::InForce }
+    Decision { version_id: version(number), verdict: Verdict::Committed }
 }
 
 fn refused(number: u64, why: &str) -> Decision {
@@ -117,11 +117,11 @@
     let second = Duration::from_secs(1);
     let span = Duration::new(86_400, 999_999_999);
     vec![
-        PeerResponse::Lease { committed: committed(8, 8), age: None, stood: Duration::ZERO, proposed: None },
+        PeerResponse::Lease { committed: committed(8, 8), age: None, committed_for: Duration::ZERO, proposed: None },
         PeerResponse::Lease {
             committed: committed(9, 8),
             age: Some(second),
-            stood: span,
+            committed_for: span,
             proposed: Some(version(10)),
         },
         PeerResponse::Text {
@@ -149,7 +149,7 @@
         PeerResponse::BallotSuperseded { ballot: Ballot::default() },
         PeerResponse::TextMissing { version_id: version(9) },
         PeerResponse::DifferentState { committed: committed(9, 8) },
-        PeerResponse::Silent,
+        PeerResponse::Unavailable,
         PeerResponse::Acknowledged,
         PeerResponse::Status { text: "{\"server\":\"n1\"}".to_string() },
     ]
@@ -166,17 +166,17 @@
 }
 
 fn describe_committed(committed: &CommittedState) -> String {
-    format!("last {}, book {}", committed.last, describe_version(&committed.book))
+    format!("last {}, version_id {}", committed.last, describe_version(&committed.version_id))
 }
 
 fn describe_ballot(ballot: &Ballot) -> String {
-    let by = ballot.by.as_ref().map(|name| name.to_string());
-    format!("round {}, by {by:?}, life {}", ballot.round, ballot.life)
+    let by = ballot.proposer.as_ref().map(|name| name.to_string());
+    format!("round {}, by {by:?}, life {}", ballot.round, ballot.incarnation)
 }
 
 fn describe_decision(decision: &Decision) -> String {
     let verdict = match &decision.verdict {
-        Verdict::InForce => "InForce".to_string(),
+        Verdict::Committed => "InForce".to_string(),
         Verdict::Refused(why) => format!("Refused {why:?}"),
     };
     format!("{verdict} for {}", describe_version(&decision.version_id))
@@ -243,9 +243,9 @@
 
 fn describe_response(response: &PeerResponse) -> String {
     match response {
-        PeerResponse::Lease { committed, age, stood, proposed } => {
+        PeerResponse::Lease { committed, age, committed_for, proposed } => {
             let (committed, proposed) = (describe_committed(committed), describe_proposal(proposed));
-            format!("Lease: standing [{committed}], age {age:?}, stood {stood:?}, draft {proposed}")
+            format!("Lease: standing [{committed}], age {age:?}, stood {committed_for:?}, draft {proposed}")
         }
         PeerResponse::Text { version_id, text } => {
             format!("Text: {}, text {text:?}", describe_version(version_id))
@@ -263,7 +263,7 @@
         PeerResponse::DifferentState { committed } => {
             format!("Elsewhere: standing [{}]", describe_committed(committed))
         }
-        PeerResponse::Silent => "Silent".to_string(),
+        PeerResponse::Unavailable => "Silent".to_string(),
         PeerResponse::Acknowledged => "Fine".to_string(),
         PeerResponse::Status { text } => format!("Status: {text:?}"),
     }
@@ -321,18 +321,18 @@
 /// Values as another writer might send them, built without the program's own types.
 fn odd_requests() -> Vec<Json> {
     let digest: Vec<u8> = (0..32).collect();
-    let book = json!([9, digest]);
+    let version_id = json!([9, digest]);
     let long_digest = [&digest[..], &[1]].concat();
     let tally = json!([null, 0, 0, null, [], []]);
     vec![
         json!({"Renew": {"from": "n1", "last": 3, "weighed": null}}),
         json!({"Renew": {"from": "n1", "last": 3}}),
         json!({"Renew": {"from": "n1", "last": 3, "weighed": null, "later": 1}}),
-        json!({"Renew": ["n1", 3, [book, {"Ok": null}]]}),
-        json!({"Renew": ["n1", 3, [book, {"Err": "why"}]]}),
-        json!({"Renew": ["n1", 3, [book, {"Ok": 1}]]}),
-        json!({"Renew": ["n1", 3, [book, "Ok"]]}),
-        json!({"Renew": ["n1", 3, [book, {"Perhaps": null}]]}),
+        json!({"Renew": ["n1", 3, [version_id, {"Ok": null}]]}),
+        json!({"Renew": ["n1", 3, [version_id, {"Err": "why"}]]}),
+        json!({"Renew": ["n1", 3, [version_id, {"Ok": 1}]]}),
+        json!({"Renew": ["n1", 3, [version_id, "Ok"]]}),
+        json!({"Renew": ["n1", 3, [version_id, {"Perhaps": null}]]}),
         json!({"Renew": ["n1", 3, [{"number": 9, "digest": digest}, {"Ok": null}]]}),
         json!({"Renew": [["n1"], 3, null]}),
         json!({"Renew": [7, 3, null]}),
@@ -342,25 +342,25 @@
         json!({"Renew": ["n1", 3]}),
         json!({"Renew": ["n1", 3, null, 4]}),
         json!({"renew": ["n1", 3, null]}),
-        json!({"Fetch": [book], "Status": null}),
-        json!({"Fetch": book}),
-        json!({"Fetch": {"stamp": book}}),
+        json!({"Fetch": [version_id], "Status": null}),
+        json!({"Fetch": version_id}),
+        json!({"Fetch": {"stamp": version_id}}),
         json!({"Fetch": [[9, &digest[..31]]]}),
         json!({"Fetch": [[9, long_digest]]}),
         json!({"Fetch": [[9, vec![256; 32]]]}),
-        json!({"Check": ["n1", [8, book], tally]}),
-        json!({"Check": {"from": "n1", "standing": {"last": 8, "book": book}, "tally": {"draft": null,
+        json!({"Check": ["n1", [8, version_id], tally]}),
+        json!({"Check": {"from": "n1", "standing": {"last": 8, "version_id": version_id}, "tally": {"draft": null,
             "attached": 1, "hold": 2, "refuses": "x", "holders": [3], "loud": [0, 255]}}}),
-        json!({"Check": ["n1", [8, book], [null, 4294967296u64, 0, null, [], []]]}),
-        json!({"Check": ["n1", [8, book], [null, 0, 0, null, [256], []]]}),
-        json!({"Check": ["n1", [8, book], [null, 0, 0, null, [[1]], []]]}),
+        json!({"Check": ["n1", [8, version_id], [null, 4294967296u64, 0, null, [], []]]}),
+        json!({"Check": ["n1", [8, version_id], [null, 0, 0, null, [256], []]]}),
+        json!({"Check": ["n1", [8, version_id], [null, 0, 0, null, [[1]], []]]}),
         json!({"Prepare": [8, {"round": 1, "by": "n1", "life": 2}]}),
-        json!({"Accept": [8, [1, "n1", 2], [book, {"InForce": null}]]}),
+        json!({"Accept": [8, [1, "n1", 2], [version_id, {"InForce": null}]]}),
         json!({"Accept": {"after": 8, "ballot": [1, null, 2],
-            "decision": {"stamp": book, "verdict": {"Refused": "why"}}}}),
-        json!({"Accept": [8, [1, null, 2], [book, "Refused"]]}),
-        json!({"Accept": [8, [1, null, 2], [book, "Withdrawn"]]}),
-        json!({"Learn": {"after": 8, "decision": [book, "InForce"]}}),
+            "decision": {"stamp": version_id, "verdict": {"Refused": "why"}}}}),
+        json!({"Accept": [8, [1, null, 2], [version_id, "Refused"]]}),
+        json!({"Accept": [8, [1, null, 2], [version_id, "Withdrawn"]]}),
+        json!({"Learn": {"after": 8, "decision": [version_id, "InForce"]}}),
         json!({"Status": null}),
         json!({"Status": []}),
         json!({"Status": 4}),
@@ -378,8 +378,8 @@
 
 fn odd_responses() -> Vec<Json> {
     let digest: Vec<u8> = (0..32).collect();
-    let book = json!([9, digest]);
-    let committed = json!([9, book]);
+    let version_id = json!([9, digest]);
+    let committed = json!([9, version_id]);
     vec![
         json!({"Lease": {"standing": committed, "age": [1, 5], "stood": [2, 0], "draft": null}}),
         json!({"Lease": [committed, {"secs": 1, "nanos": 5}, [2, 0], null]}),
@@ -388,16 +388,16 @@
         json!({"Lease": [committed, null, [1, -1], null]}),
         json!({"Lease": [committed, null, 2, null]}),
         json!({"Lease": [committed, null, [2, 0]]}),
-        json!({"Text": {"stamp": book, "text": "rules"}}),
-        json!({"Text": [book, null]}),
+        json!({"Text": {"stamp": version_id, "text": "rules"}}),
+        json!({"Text": [version_id, null]}),
         json!({"Checked": {"standing": committed, "sound": true, "accepted": null,
             "tally": [null, 0, 0, null, [], []]}}),
         json!({"Checked": [committed, 1, null, [null, 0, 0, null, [], []]]}),
-        json!({"Promised": {"accepted": [[1, "n1", 2], [book, "InForce"]]}}),
+        json!({"Promised": {"accepted": [[1, "n1", 2], [version_id, "InForce"]]}}),
         json!({"Promised": null}),
         json!({"Promised": [null]}),
         json!({"Outbid": {"ballot": [1, "n1", 2]}}),
-        json!({"Lacks": {"stamp": book}}),
+        json!({"Lacks": {"stamp": version_id}}),
         json!({"Elsewhere": {"standing": committed}}),
         json!({"Status": {"text": "{}"}}),
         json!({"Status": "{}"}),
--- a/crates/aldercrank-consensus/tests/model_checking.rs
+++ b/crates/aldercrank-consensus/tests/model_checking.rs
@@ -176,7 +176,7 @@
                 model.max_proposals < 2
                     || state.members[1]
                         .as_ref()
-                        .is_some_and(|member| member.committed().last != member.committed().book.number)
+                        .is_some_and(|member| member.committed().last != member.committed().version_id.number)
             }),
         ]
     }
@@ -325,7 +325,7 @@
     for (injected_fault, invariant, faults) in [
         (InjectedFault::LeaseFromResponse, INVARIANT, delays),
         (InjectedFault::StaleLevelAfterPause, INVARIANT, vec![Pause(4), Pause(3)]),
-        (InjectedFault::NoFence, INVARIANT, vec![Isolate(4), Isolate(3)]),
+        (InjectedFault::NoLeaseCheck, INVARIANT, vec![Isolate(4), Isolate(3)]),
         (InjectedFault::NoHandoverWait, QUOTAS_WITHIN_LIMIT, vec![Isolate(4), Isolate(3)]),
     ] {
         let model = |injected_fault| {
--- a/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
+++ b/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
@@ -47,7 +47,7 @@
     ServerName::new(&format!("n{index:04}"))
 }
 
-/// A version whose text is its number, its committee, and properties (`misfit=NAME`, `restrictions`, `servers=N`).
+/// A version whose text is its number, its committee, and properties (`incompatibility=NAME`, `restrictions`, `servers=N`).
 pub fn version(number: u64, committee: &[usize], properties: &str) -> ConfigVersion {
     let members: Vec<String> = committee.iter().map(|index| server_name(*index).to_string()).collect();
     let text = format!("{number};{};{properties}", members.join(","));
@@ -67,10 +67,10 @@
     }
     let property = |key: &str| parts[2].split(' ').find_map(|property| property.strip_prefix(key));
     let servers = property("servers=").map(|count| (0..count.parse().unwrap()).map(server_name).collect());
-    let misfit = property("misfit=").filter(|name| **name == *own_name.0);
+    let incompatibility = property("misfit=").filter(|name| **name == *own_name.0);
     let restrictions = property("restrictions").map(|_| "a request class may not run again".to_string());
     Some(VersionSummary {
-        misfit: misfit.map(|_| "it has no such request class".to_string()),
+        incompatibility: incompatibility.map(|_| "it has no such request class".to_string()),
         committee: parts[1].split(',').map(ServerName::new).collect(),
         servers,
         restrictions: restrictions.into_iter().collect(),
@@ -345,8 +345,8 @@
 
     fn schedule_timer(&mut self, index: usize) {
         let process = &self.processes[index];
-        let follower_due = process.follower.next();
-        let due = process.member.as_ref().map_or(follower_due, |member| member.next().min(follower_due));
+        let follower_due = process.follower.next_timeout();
+        let due = process.member.as_ref().map_or(follower_due, |member| member.next_timeout().min(follower_due));
         let elapsed = due.saturating_sub(process.clock_offset).as_nanos() as u64;
         let at = Duration::from_nanos(elapsed.saturating_mul(1000) / u64::from(process.clock_rate));
         // A moment later, since a clock's rate is rounded.
@@ -398,7 +398,7 @@
                     .with_member(to, |member, now, environment| {
                         member.handle_request(now, request, environment)
                     })
-                    .unwrap_or(PeerResponse::Silent);
+                    .unwrap_or(PeerResponse::Unavailable);
                 let response = Box::new(response);
                 self.transmit(to, from, Event::Response { to: from, correlation_id, sender, response });
             }
@@ -430,10 +430,10 @@
 
     fn fire_due_timers(&mut self, index: usize) {
         let now = self.local_now(index);
-        if self.processes[index].member.as_ref().is_some_and(|member| member.next() <= now) {
+        if self.processes[index].member.as_ref().is_some_and(|member| member.next_timeout() <= now) {
             self.with_member(index, |member, now, environment| member.timer_fired(now, environment));
         }
-        if self.processes[index].follower.next() <= now {
+        if self.processes[index].follower.next_timeout() <= now {
             self.with_follower(index, |follower, now, environment| follower.timer_fired(now, environment));
         }
     }
--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -97,7 +97,7 @@
         if before != permission {
             let level = permission_name(permission);
             tracing::info!(level, "permission by the versioned configuration changed");
-            if (before == PermissionLevel::Mute) != (permission == PermissionLevel::Mute) {
+            if (before == PermissionLevel::Denied) != (permission == PermissionLevel::Denied) {
                 self.net().health_changed = true;
             }
         }
@@ -146,7 +146,7 @@
 
     /// Whether nothing may be done, since the version in force is not known.
     pub(in crate::net) fn lacks_permission(&self) -> bool {
-        self.agreement.as_ref().is_some_and(|agreement| agreement.permission == PermissionLevel::Mute)
+        self.agreement.as_ref().is_some_and(|agreement| agreement.permission == PermissionLevel::Denied)
     }
 
     /// The number of the version in force.
@@ -174,8 +174,8 @@
 /// The name of a permission level in logs and in the status.
 pub(super) fn permission_name(permission: PermissionLevel) -> &'static str {
     match permission {
-        PermissionLevel::Mute => "mute",
-        PermissionLevel::Alone => "alone",
+        PermissionLevel::Denied => "mute",
+        PermissionLevel::IdempotentOnly => "alone",
         PermissionLevel::Full => "full",
     }
 }
--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -114,7 +114,7 @@
             in_force: None,
             in_force_since: now,
             permission_bounds: PermissionBounds::default(),
-            permission: PermissionLevel::Mute,
+            permission: PermissionLevel::Denied,
             followers: BTreeMap::new(),
             polling: agreement.read_list.then(|| VersionPolling::new(config, now)),
         };
@@ -186,7 +186,7 @@
             if let Some((correlation_id, request)) = self.context.local_requests.pop_front() {
                 let response = match &mut self.member {
                     Some(member) => member.handle_request(now, request, &mut MemberPorts(&mut self.context)),
-                    None => PeerResponse::Silent,
+                    None => PeerResponse::Unavailable,
                 };
                 let tag = RequestTag { requester: Requester::Follower, correlation_id };
                 self.handle_response(now, tag, response);
@@ -199,21 +199,21 @@
     }
 
     fn timer_fired(&mut self, now: Duration) {
-        if now >= self.follower.next() {
+        if now >= self.follower.next_timeout() {
             self.follower.timer_fired(now, &mut FollowerPorts(&mut self.context));
         }
-        if let Some(member) = self.member.as_mut().filter(|member| now >= member.next()) {
+        if let Some(member) = self.member.as_mut().filter(|member| now >= member.next_timeout()) {
             member.timer_fired(now, &mut MemberPorts(&mut self.context));
         }
     }
 
     /// When something is due next, on the agreement's clock.
     fn next_due(&mut self, now: Duration) -> Duration {
-        let member = self.member.as_ref().map(CommitteeMember::next);
+        let member = self.member.as_ref().map(CommitteeMember::next_timeout);
         let quota = self.quotas.as_mut().and_then(|quotas| quotas.share(now).grows_at);
         let polling = self.polling.as_ref().filter(|_| self.member.is_some()).map(VersionPolling::due);
         let others = [member, quota, polling].into_iter().flatten();
-        others.fold(self.follower.next(), Duration::min)
+        others.fold(self.follower.next_timeout(), Duration::min)
     }
 
     /// The settings in force; none before a version is.
--- a/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
@@ -24,10 +24,10 @@
         if matches!(request, PeerRequest::Status) {
             return PeerResponse::Status { text: self.status(now, slow_start) };
         }
-        let Some(member) = &mut self.member else { return PeerResponse::Silent };
+        let Some(member) = &mut self.member else { return PeerResponse::Unavailable };
         if let PeerRequest::Renew { from, .. } = &request {
             if self.followers.len() >= MAX_FOLLOWERS && !self.followers.contains_key(from) {
-                return PeerResponse::Silent;
+                return PeerResponse::Unavailable;
             }
             self.followers.insert(from.clone(), reply_to.conn);
         }
--- a/crates/aldercrank-server/src/net/config_agreement/ports.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/ports.rs
@@ -94,7 +94,7 @@
         }
         let servers = parsed.servers().map(|all| all.into_keys().map(ServerName::new).collect());
         Some(VersionSummary {
-            misfit: incompatibilities.into_iter().next(),
+            incompatibility: incompatibilities.into_iter().next(),
             committee: parsed.committee().iter().map(|member| ServerName::new(&member.name)).collect(),
             servers,
             restrictions: tightened,
--- a/crates/aldercrank-server/src/net/config_agreement/status.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/status.rs
@@ -33,8 +33,8 @@
 fn committed_status(committed: CommittedState) -> Value {
     json!({
         "last": committed.last,
-        "version": committed.book.number,
-        "digest": format!("{}", Digest(committed.book.digest)),
+        "version": committed.version_id.number,
+        "digest": format!("{}", Digest(committed.version_id.digest)),
     })
 }
 
@@ -52,7 +52,7 @@
     json!({
         "standing": committed_status(member.committed()),
         "sound": member.is_active(),
-        "vouches": member.confirms(now),
+        "vouches": member.is_confirmed(now),
         "draft": member.proposed().map(|version| version.version_id.number),
         "held_up": member.blocked_by(now),
         "at_odds": conflicting,
@@ -71,7 +71,7 @@
         json!({
             "name": &*server.name.0,
             "last": server.last,
-            "heard_ms": millis(server.heard),
+            "heard_ms": millis(server.since_last_seen),
             "lease_ms": millis(server.lease_left),
             "weighed": evaluation,
         })
--- a/crates/aldercrank-server/src/net/state_file.rs
+++ b/crates/aldercrank-server/src/net/state_file.rs
@@ -117,7 +117,7 @@
     /// The version that the server went by last.
     pub fn version(&self) -> Option<StoredVersion> {
         let committed = self.state.committed?;
-        let version = ConfigVersion { version_id: committed.book, text: self.state.text.clone()? };
+        let version = ConfigVersion { version_id: committed.version_id, text: self.state.text.clone()? };
         Some(StoredVersion { committed, version })
     }
 
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -148,17 +148,17 @@
     whole(&mut out, "request Renew", &request(128, &pack(&renew)), read_as_server);
     let fetch = request(u32::MAX, &pack(&PeerRequest::Fetch { version_id: version(9) }));
     whole(&mut out, "request Fetch", &fetch, read_as_server);
-    let standing = CommittedState { last: 9, book: version(8) };
+    let standing = CommittedState { last: 9, version_id: version(8) };
     let lease = PeerResponse::Lease {
         committed: standing,
         age: Some(Duration::from_millis(1500)),
-        stood: Duration::from_secs(60),
+        committed_for: Duration::from_secs(60),
         proposed: Some(version(10)),
     };
     let plain = ResponseFields::default();
     let full = ResponseFields { hint: Some("0.85"), rules: Some(8) };
     whole(&mut out, "response Fine", &response(1, &pack(&PeerResponse::Acknowledged), plain), read_as_caller);
-    whole(&mut out, "response Silent", &response(300, &pack(&PeerResponse::Silent), full), read_as_caller);
+    whole(&mut out, "response Silent", &response(300, &pack(&PeerResponse::Unavailable), full), read_as_caller);
     whole(&mut out, "response Lease", &response(70_000, &pack(&lease), full), read_as_caller);
     let text = PeerResponse::Text { version_id: version(8), text: "rules 8 {\n}\n".repeat(1000) };
     block(&mut out, "response Text, long", &response(2, &pack(&text), plain), read_as_caller);
--- a/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
@@ -98,11 +98,11 @@
 }
 
 fn standing(last: u64, number: u64) -> CommittedState {
-    CommittedState { last, book: version(number) }
+    CommittedState { last, version_id: version(number) }
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: Some(ServerName::new("n2")), life: 1_764_748_800_123_456_789 }
+    Ballot { round, proposer: Some(ServerName::new("n2")), incarnation: 1_764_748_800_123_456_789 }
 }
 
 fn votes(promised: Ballot, accepted: Option<(Decision, Option<&str>)>) -> AcceptorState {
@@ -116,7 +116,7 @@
 }
 
 fn in_force() -> Decision {
-    Decision { version_id: version(9), verdict: Verdict::InForce }
+    Decision { version_id: version(9), verdict: Verdict::Committed }
 }
 
 fn refused() -> Decision {
@@ -128,12 +128,12 @@
 }
 
 fn say_ballot(ballot: &Ballot) -> String {
-    let by = ballot.by.as_ref().map(|name| name.to_string());
-    format!("round {}, by {by:?}, life {}", ballot.round, ballot.life)
+    let by = ballot.proposer.as_ref().map(|name| name.to_string());
+    format!("round {}, by {by:?}, life {}", ballot.round, ballot.incarnation)
 }
 
 fn say_standing(standing: &CommittedState) -> String {
-    format!("last {}, book {}", standing.last, say_version(&standing.book))
+    format!("last {}, book {}", standing.last, say_version(&standing.version_id))
 }
 
 /// What a memory holds, a line for each thing.
@@ -143,7 +143,7 @@
         None => out.push_str("  version none\n"),
         Some(StoredVersion { committed: standing, version: text }) => {
             let _ = writeln!(out, "  version standing {}", say_standing(&standing));
-            assert_eq!(text.version_id, standing.book);
+            assert_eq!(text.version_id, standing.version_id);
             let _ = writeln!(out, "  version text {:?}", &text.text[..text.text.len().min(60)]);
         }
     }
@@ -155,7 +155,7 @@
         None => out.push_str("  votes accepted none\n"),
         Some(AcceptedDecision { ballot, decision }) => {
             let verdict = match &decision.verdict {
-                Verdict::InForce => "InForce".to_string(),
+                Verdict::Committed => "InForce".to_string(),
                 Verdict::Refused(why) => format!("Refused {why:?}"),
             };
             let (ballot, of) = (say_ballot(ballot), say_version(&decision.version_id));
--- a/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
@@ -68,7 +68,7 @@
     let mut service = format!("rules {{\n    book {:?}\n", file("rules.kdl", text).to_str().unwrap());
     if memory {
         let version = VersionId { number: 8, digest: book.digest().0 };
-        let standing = CommittedState { last: 9, book: version };
+        let standing = CommittedState { last: 9, version_id: version };
         StateFile::open(Some(&directory)).store_version(standing, &Arc::from(book.text()));
         let _ = writeln!(service, "    dir {:?}", directory.to_str().unwrap());
     }
@@ -109,12 +109,12 @@
         &body,
     );
     stream.write_all(&request).unwrap();
-    let (mut heard, mut chunk) = (Vec::new(), [0; 4096]);
+    let (mut since_last_seen, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
         let count = stream.read(&mut chunk).ok().filter(|count| *count > 0)?;
-        heard.extend_from_slice(&chunk[..count]);
+        since_last_seen.extend_from_slice(&chunk[..count]);
         let mut answer = Answer::default();
-        if msgpack_rpc::read_response(&heard, 1 << 20, &mut answer).unwrap().is_some() {
+        if msgpack_rpc::read_response(&since_last_seen, 1 << 20, &mut answer).unwrap().is_some() {
             return match answer.0 {
                 Some(PeerResponse::Status { text }) => Some(text),
                 _ => panic!("no status"),
--- a/crates/aldercrank-server/tests/suite/state_file.rs
+++ b/crates/aldercrank-server/tests/suite/state_file.rs
@@ -13,7 +13,7 @@
 const HEADER_BYTES: u64 = 24;
 
 fn committed(number: u64) -> CommittedState {
-    CommittedState { last: number, book: VersionId { number, digest: [number as u8; 32] } }
+    CommittedState { last: number, version_id: VersionId { number, digest: [number as u8; 32] } }
 }
 
 #[test]
--- a/crates/aldercrank-testbench/src/consensus_check.rs
+++ b/crates/aldercrank-testbench/src/consensus_check.rs
@@ -71,7 +71,7 @@
 /// An injected fault by its name on the command line.
 pub(crate) fn injected_fault(name: &str) -> Option<InjectedFault> {
     match name {
-        "no-fence" => Some(InjectedFault::NoFence),
+        "no-fence" => Some(InjectedFault::NoLeaseCheck),
         _ => None,
     }
 }
