--- a/crates/aldercrank-server/src/clock.rs
+++ b/crates/aldercrank-server/src/clock.rs
@@ -27,7 +27,7 @@
     }
 
     /// The Unix time; zero if the system's clock is set before 1970.
-    pub fn unix() -> Duration {
+    pub fn unix_time() -> Duration {
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
     }
 }
--- a/crates/aldercrank-server/src/core/configuration.rs
+++ b/crates/aldercrank-server/src/core/configuration.rs
@@ -8,14 +8,14 @@
 impl<P: Ports> Core<P> {
     /// Puts a configuration version in force. Its settings apply to requests received from now on; `share` is this
     /// server's quota of upstream calls, where the version gives one.
-    pub fn in_force(&mut self, now: Duration, settings: &Settings, version: u64, share: Option<f64>) {
+    pub fn apply_version(&mut self, now: Duration, settings: &Settings, version: u64, share: Option<f64>) {
         let state = self.advance_to(now);
         (state.version, state.upstream_quota) = (Some(version), share);
-        self.goes_by(now, settings);
+        self.apply_settings(now, settings);
     }
 
     /// Applies other settings to requests received from now on. Those in flight keep their effect and deadline.
-    pub fn goes_by(&mut self, now: Duration, settings: &Settings) {
+    pub fn apply_settings(&mut self, now: Duration, settings: &Settings) {
         self.advance_to(now).load_settings(settings);
         if let Some(tracker) = &mut self.slow_start {
             tracker.apply_settings(settings);
@@ -25,7 +25,7 @@
     }
 
     /// Renews the lease: everything is permitted until `full`, idempotent requests until `alone`.
-    pub fn leased(&mut self, now: Duration, full: Duration, alone: Duration) {
+    pub fn renew_lease(&mut self, now: Duration, full: Duration, alone: Duration) {
         self.advance_to(now).lease.renew(full, alone);
         self.apply_lease(now);
         self.notify_ended();
--- a/crates/aldercrank-server/src/core/host.rs
+++ b/crates/aldercrank-server/src/core/host.rs
@@ -110,7 +110,7 @@
     }
 
     fn set_health(&mut self, good: bool, _stored: bool) {
-        self.ports.health(good);
+        self.ports.set_health(good);
     }
 
     fn close_idle(&mut self, span: Duration) {
@@ -118,7 +118,7 @@
     }
 
     fn set_load_hint(&mut self, value: f64) {
-        self.ports.advertise(value);
+        self.ports.set_load_hint(value);
     }
 
     fn set_timer(&mut self, after: Duration) {
--- a/crates/aldercrank-server/src/core/mod.rs
+++ b/crates/aldercrank-server/src/core/mod.rs
@@ -30,7 +30,7 @@
 use std::time::Duration;
 
 /// The share of the server's memory that cached results may take.
-pub const RESULTS_SHARE: f64 = 0.1;
+pub const CACHED_RESULTS_MEMORY_SHARE: f64 = 0.1;
 
 /// How many entries the core's tables have, expired ones included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -57,29 +57,29 @@
     }
 
     /// Starts to follow the slow start. `cold`: whether the worker pool has just started.
-    pub fn warms_up(&mut self, now: Duration, settings: &Settings, cold: bool) {
+    pub fn follow_slow_start(&mut self, now: Duration, settings: &Settings, cold: bool) {
         let mut tracker = SlowStartTracker::new(settings);
         tracker.pool_up(now, cold);
         self.slow_start = Some(tracker);
     }
 
     /// How far the slow start has come; none where it is not followed.
-    pub fn started(&self) -> Option<SlowStartStatus> {
+    pub fn slow_start_status(&self) -> Option<SlowStartStatus> {
         self.slow_start.as_ref().map(SlowStartTracker::status)
     }
 
     /// How many requests are queued, joined to another or running.
-    pub fn in_hand(&self) -> usize {
+    pub fn requests_in_flight(&self) -> usize {
         self.admission.host.in_flight.len()
     }
 
     /// How many requests a response is owed to.
-    pub fn owed(&self) -> usize {
+    pub fn responses_owed(&self) -> usize {
         self.admission.host.replies_owed.len()
     }
 
     /// How many entries the tables have.
-    pub fn in_tables(&self) -> TableSizes {
+    pub fn table_sizes(&self) -> TableSizes {
         let state = &self.admission.host;
         TableSizes { requests: state.requests.len(), dedup_entries: state.dedup.len() }
     }
--- a/crates/aldercrank-server/src/core/ports.rs
+++ b/crates/aldercrank-server/src/core/ports.rs
@@ -63,12 +63,12 @@
     /// Abandons an upstream call.
     fn cancel_call(&mut self, request: RequestId);
     /// Sets what health checks report from now on.
-    fn health(&mut self, good: bool);
+    fn set_health(&mut self, good: bool);
     /// Closes connections that have been idle for this long.
     fn close_idle(&mut self, span: Duration);
     /// Sets the load hint that goes with each response.
-    fn advertise(&mut self, value: f64);
-    /// Sets a timer; `Core::reminded` is called once it is due.
+    fn set_load_hint(&mut self, value: f64);
+    /// Sets a timer; `Core::timer_fired` is called once it is due.
     fn set_timer(&mut self, what: TimerId, after: Duration);
 }
 
--- a/crates/aldercrank-server/src/core/runs.rs
+++ b/crates/aldercrank-server/src/core/runs.rs
@@ -59,7 +59,7 @@
 
     /// The pool does not know a run whose start command it received, so the run never will start.
     pub fn run_unknown(&mut self, now: Duration, attempt: AttemptId) {
-        self.run_ended(now, attempt, Outcome::NeverStarted, Duration::ZERO, Payload::Passing(&[]));
+        self.run_ended(now, attempt, Outcome::NeverStarted, Duration::ZERO, Payload::Transient(&[]));
     }
 
     /// A run waits for an upstream call with this body; `notice` identifies the call to the pool.
@@ -77,7 +77,7 @@
     }
 
     /// The pool answered the poll with this tag. It has received every command sent before that poll.
-    pub fn polled(&mut self, now: Duration, tag: u64, load_metrics: &[f64]) {
+    pub fn metrics_received(&mut self, now: Duration, tag: u64, load_metrics: &[f64]) {
         let state = self.advance_to(now);
         state.load_metrics.clear();
         state.load_metrics.extend_from_slice(load_metrics);
--- a/crates/aldercrank-server/src/core/timers.rs
+++ b/crates/aldercrank-server/src/core/timers.rs
@@ -8,7 +8,7 @@
 
 impl<P: Ports> Core<P> {
     /// A timer is due.
-    pub fn reminded(&mut self, now: Duration, what: TimerId) {
+    pub fn timer_fired(&mut self, now: Duration, what: TimerId) {
         let state = self.advance_to(now);
         match what {
             TimerId::Tick => {
--- a/crates/aldercrank-server/src/logger.rs
+++ b/crates/aldercrank-server/src/logger.rs
@@ -230,6 +230,6 @@
     }
 
     fn on_event(&self, event: &Event, _: Context<S>) {
-        self.0.write(Clock::unix(), event);
+        self.0.write(Clock::unix_time(), event);
     }
 }
--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -80,7 +80,7 @@
             effective.settings.set("family_info.cold", aldercrank::Value::Flag(pool_was_cold));
             let number = agreement.in_force.as_ref().map_or(0, |version| version.number.0);
             let at = self.net.borrow().clock.now();
-            core.in_force(at, &effective.settings, number, effective.quota);
+            core.apply_version(at, &effective.settings, number, effective.quota);
         }
     }
 
@@ -112,7 +112,7 @@
         };
         let PermissionBounds { full_until, alone_until } = agreement.permission_bounds;
         if let Some(core) = &mut self.core {
-            core.leased(at, on_core_clock(full_until), on_core_clock(alone_until));
+            core.renew_lease(at, on_core_clock(full_until), on_core_clock(alone_until));
         }
     }
 
--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -106,7 +106,7 @@
             clock,
             terms,
             // Only its difference from other incarnations matters, not that it is a time.
-            next_incarnation: Clock::unix().as_nanos() as u64,
+            next_incarnation: Clock::unix_time().as_nanos() as u64,
             follower,
             member: None,
             context,
--- a/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
@@ -41,7 +41,7 @@
     pub(in crate::net) fn consensus_request(&mut self, reply_to: ReplyTo, body: &[u8]) -> bool {
         let Ok(request) = rmp_serde::from_slice::<PeerRequest>(body) else { return false };
         let mut response = None;
-        let slow_start = self.core.as_ref().and_then(|core| core.started());
+        let slow_start = self.core.as_ref().and_then(|core| core.slow_start_status());
         self.update_agreement(|agreement, now| {
             response = Some(agreement.handle_request(now, reply_to, request, slow_start));
         });
--- a/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
@@ -70,7 +70,7 @@
             servers: Some(1.0),
         };
         VersionPolling {
-            pacer: RetryPacer::new(terms, &config.seed, &config.name, Clock::unix()),
+            pacer: RetryPacer::new(terms, &config.seed, &config.name, Clock::unix_time()),
             outstanding: None,
             last_number: 0,
             due: now,
--- a/crates/aldercrank-server/src/net/config_reload.rs
+++ b/crates/aldercrank-server/src/net/config_reload.rs
@@ -31,7 +31,7 @@
         if let Some(settings) = self.config.settings_of(&new) {
             self.settings_changed(settings);
         }
-        if !self.phase.draining() {
+        if !self.phase.is_draining() {
             (self.time_to_stop, self.config.stop) = (new.stop, new.stop);
         }
         self.addresses_changed(&new);
@@ -80,7 +80,7 @@
         settings.set("family_info.cold", aldercrank::Value::Flag(self.pool_was_cold));
         let now = self.now();
         if let Some(core) = &mut self.core {
-            core.goes_by(now, &settings);
+            core.apply_settings(now, &settings);
         }
     }
 }
--- a/crates/aldercrank-server/src/net/core_ports.rs
+++ b/crates/aldercrank-server/src/net/core_ports.rs
@@ -58,7 +58,7 @@
     fn cancel_call(&mut self, request_id: RequestId) {
         self.0.borrow_mut().close_call(request_id);
     }
-    fn health(&mut self, healthy: bool) {
+    fn set_health(&mut self, healthy: bool) {
         let mut net = self.0.borrow_mut();
         net.health_changed |= std::mem::replace(&mut net.core_healthy, healthy) != healthy;
     }
@@ -67,7 +67,7 @@
         let net = &mut *net;
         net.edge.set_idle_timeout(timeout, &mut net.timers);
     }
-    fn advertise(&mut self, value: f64) {
+    fn set_load_hint(&mut self, value: f64) {
         self.0.borrow_mut().edge.set_hint(value);
     }
     fn set_timer(&mut self, timer: TimerId, after: Duration) {
--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -88,7 +88,7 @@
         body: &'b [u8],
     ) -> Result<ReceivedRequest<'b>, ProtocolViolation> {
         use ProtocolViolation::{FieldOutOfRange, MissingField};
-        let unix_now = Clock::unix();
+        let unix_now = Clock::unix_time();
         let sent_at = Duration::from_millis(fields.t0.ok_or(MissingField("t0"))?);
         let stated_budget = fields.budget.map(Duration::from_millis);
         let budget = stated_budget
--- a/crates/aldercrank-server/src/net/mod.rs
+++ b/crates/aldercrank-server/src/net/mod.rs
@@ -170,13 +170,13 @@
 
     /// The health that edge nodes see in health checks.
     fn is_healthy(&self) -> bool {
-        self.phase.serving() && self.net().core_healthy && !self.lacks_permission()
+        self.phase.is_serving() && self.net().core_healthy && !self.lacks_permission()
     }
 
     /// The health that is reported to the membership service; the core's health counts only where the settings say so.
     fn reports_healthy(&self) -> bool {
         let core_counts = self.socket_settings.reports_health;
-        self.phase.serving() && (!core_counts || self.net().core_healthy) && !self.lacks_permission()
+        self.phase.is_serving() && (!core_counts || self.net().core_healthy) && !self.lacks_permission()
     }
 
     /// Accepts connections again after a pause.
@@ -193,7 +193,7 @@
         match timer {
             TimerEvent::Core(id) => {
                 if let Some(core) = &mut self.core {
-                    core.reminded(now, id);
+                    core.timer_fired(now, id);
                 }
             }
             TimerEvent::IdleTimeout => {
@@ -210,7 +210,7 @@
             TimerEvent::ConfigAgreement => self.agreement_due(),
             TimerEvent::StopListening => self.stop_listening(now),
             TimerEvent::Exit => {
-                self.phase.done();
+                self.phase.stop();
             }
         }
     }
@@ -228,12 +228,12 @@
         if std::mem::take(&mut self.net().health_changed) {
             tracing::info!(healthy = self.is_healthy(), "health changed");
             // A draining server has its report scheduled.
-            if !self.phase.draining() {
+            if !self.phase.is_draining() {
                 self.report_soon();
             }
         }
         if self.is_drained() {
-            self.phase.done();
+            self.phase.stop();
         }
         let mut net = self.net();
         net.edge.flush();
--- a/crates/aldercrank-server/src/net/shutdown.rs
+++ b/crates/aldercrank-server/src/net/shutdown.rs
@@ -18,7 +18,7 @@
         let closing_span = self.time_to_stop.mul_f64(CLOSING_SHARE);
         let drained_by = now + self.time_to_stop - closing_span;
         let grace_period = self.config.settings.span("rules.stop_sending_within").unwrap_or_default();
-        if !self.phase.told_to_leave() {
+        if !self.phase.start_draining() {
             return;
         }
         // Hundreds of servers may be stopped together, and their reports must not come in one burst. No connection
@@ -61,9 +61,9 @@
 
     /// Whether a draining server has nothing left to do.
     pub(super) fn is_drained(&self) -> bool {
-        let owes_answers = self.core.as_ref().is_some_and(|core| core.owed() > 0);
+        let owes_answers = self.core.as_ref().is_some_and(|core| core.responses_owed() > 0);
         let owes_report = self.net().reports.shutdown_report_pending();
         let is_closed = self.listener.is_none() && self.net().edge.is_empty();
-        self.phase.draining() && is_closed && !owes_answers && !owes_report
+        self.phase.is_draining() && is_closed && !owes_answers && !owes_report
     }
 }
--- a/crates/aldercrank-server/src/net/startup.rs
+++ b/crates/aldercrank-server/src/net/startup.rs
@@ -11,7 +11,7 @@
 use super::{Net, ReadConfig, Server, TimerEvent, LISTEN_RETRY_INTERVAL};
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::core::{ConnId, RESULTS_SHARE};
+use crate::core::{ConnId, CACHED_RESULTS_MEMORY_SHARE};
 use crate::deadlines::Deadlines;
 use crate::membership::{ENTRY_TTL, REPORT_INTERVAL};
 use crate::phase::Phase;
@@ -61,7 +61,7 @@
         server.agreement_due();
     }
     let mut events = Vec::new();
-    while !server.phase.stopped() {
+    while !server.phase.is_stopped() {
         let sleep_span = server.sleep_span();
         server.net.borrow().poller.wait(&mut events, sleep_span)?;
         for event in &events {
@@ -136,7 +136,7 @@
         longest: config.reports_longest.unwrap_or(ENTRY_TTL.mul_f64(REPORT_BACKOFF_SHARE)),
         servers: config.settings.num("peers_total"),
     };
-    RetryPacer::new(terms, &config.seed, &config.name, Clock::unix())
+    RetryPacer::new(terms, &config.seed, &config.name, Clock::unix_time())
 }
 
 impl Server {
@@ -159,7 +159,7 @@
             pool_was_cold: false,
             phase: Phase::Starting,
             read_config,
-            result_memory_bytes: (config.memory as f64 * RESULTS_SHARE) as usize,
+            result_memory_bytes: (config.memory as f64 * CACHED_RESULTS_MEMORY_SHARE) as usize,
             time_to_stop: config.stop,
             config,
             socket_settings,
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -96,7 +96,7 @@
             lost_at: None,
             bind_sent_at: Duration::ZERO,
             pool_started_at: Duration::ZERO,
-            pacer: RetryPacer::new(terms, seed, name, Clock::unix()),
+            pacer: RetryPacer::new(terms, seed, name, Clock::unix_time()),
         }
     }
 
@@ -172,7 +172,7 @@
             let now = self.server.now();
             let is_large = result.len() >= LARGE;
             let shared = self.shared_input.filter(|_| is_large).map(|input| input.slice_ref(result));
-            let result = shared.as_ref().map_or(Payload::Passing(result), Payload::Shared);
+            let result = shared.as_ref().map_or(Payload::Transient(result), Payload::Shared);
             if let Some(core) = &mut self.server.core {
                 core.run_ended(now, attempt, outcome, run_time, result);
             }
@@ -195,7 +195,7 @@
     fn metrics_reported(&mut self, tag: u64, load_metrics: &[f64]) {
         let now = self.server.now();
         if let Some(core) = &mut self.server.core {
-            core.polled(now, tag, load_metrics);
+            core.metrics_received(now, tag, load_metrics);
         }
     }
 
@@ -216,7 +216,7 @@
 impl Server {
     /// Connects to the worker pool if there is no connection, or ends an attempt that has taken too long.
     pub(super) fn connect_pool(&mut self) {
-        if self.phase.stopped() {
+        if self.phase.is_stopped() {
             return;
         }
         if self.net().pool.connection.as_ref().is_some_and(Connection::is_connecting) {
@@ -274,7 +274,7 @@
                 connection.flush();
                 net.pool.bind_sent_at = net.clock.now();
                 drop(net);
-                self.phase.linked();
+                self.phase.pool_linked();
             }
             Err(e) => {
                 drop(net);
@@ -425,7 +425,7 @@
     /// start.
     fn pool_bound(&mut self, cold: bool, age: Duration) {
         tracing::info!(cold, "bound to the worker pool");
-        if self.phase.bound() {
+        if self.phase.pool_up() {
             self.start_core(cold, age);
         }
         let now = self.now();
@@ -451,7 +451,7 @@
         let core = Core::new(&settings, age, self.result_memory_bytes, self.core_ports());
         (self.core, self.pool_was_cold) = (Some(core), cold);
         if let (true, Some(core)) = (self.config.start.tell_share, &mut self.core) {
-            core.warms_up(age, &self.config.settings, cold);
+            core.follow_slow_start(age, &self.config.settings, cold);
         }
         self.apply_config_to_new_core();
         self.schedule_first_report();
--- a/crates/aldercrank-server/src/payload.rs
+++ b/crates/aldercrank-server/src/payload.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Payload<'a> {
     /// In a buffer that is reused after the call.
-    Passing(&'a [u8]),
+    Transient(&'a [u8]),
     /// In a buffer that can be kept.
     Shared(&'a Bytes),
 }
@@ -43,7 +43,7 @@
     /// The result's bytes.
     pub fn bytes(&self) -> &[u8] {
         match self {
-            Payload::Passing(bytes) => bytes,
+            Payload::Transient(bytes) => bytes,
             Payload::Shared(bytes) => bytes,
         }
     }
--- a/crates/aldercrank-server/src/phase.rs
+++ b/crates/aldercrank-server/src/phase.rs
@@ -37,38 +37,38 @@
     }
 
     /// The link to the worker pool is up. Whether the phase changed.
-    pub fn linked(&mut self) -> bool {
+    pub fn pool_linked(&mut self) -> bool {
         *self == Phase::Starting && self.transition_to(Phase::WaitingForPool)
     }
 
     /// The worker pool is up. True the first time, when the admission module is to start.
-    pub fn bound(&mut self) -> bool {
+    pub fn pool_up(&mut self) -> bool {
         matches!(self, Phase::Starting | Phase::WaitingForPool) && self.transition_to(Phase::Serving)
     }
 
     /// The program was asked to shut down. False for each further time.
-    pub fn told_to_leave(&mut self) -> bool {
+    pub fn start_draining(&mut self) -> bool {
         let before = matches!(self, Phase::Starting | Phase::WaitingForPool | Phase::Serving);
         before && self.transition_to(Phase::Draining)
     }
 
     /// All responses are written and all connections closed, or the time to stop has come.
-    pub fn done(&mut self) -> bool {
+    pub fn stop(&mut self) -> bool {
         *self == Phase::Draining && self.transition_to(Phase::Stopped)
     }
 
     /// Whether requests are admitted.
-    pub fn serving(self) -> bool {
+    pub fn is_serving(self) -> bool {
         self == Phase::Serving
     }
 
     /// Whether the graceful shutdown is under way.
-    pub fn draining(self) -> bool {
+    pub fn is_draining(self) -> bool {
         self == Phase::Draining
     }
 
     /// Whether the program is to exit.
-    pub fn stopped(self) -> bool {
+    pub fn is_stopped(self) -> bool {
         self == Phase::Stopped
     }
 }
--- a/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
@@ -24,9 +24,9 @@
     fn request_metrics(&mut self, _: u64) {}
     fn start_call(&mut self, _: RequestId, _: AttemptId, _: &[u8], _: Duration) {}
     fn cancel_call(&mut self, _: RequestId) {}
-    fn health(&mut self, _: bool) {}
+    fn set_health(&mut self, _: bool) {}
     fn close_idle(&mut self, _: Duration) {}
-    fn advertise(&mut self, _: f64) {}
+    fn set_load_hint(&mut self, _: f64) {}
     fn set_timer(&mut self, _: TimerId, _: Duration) {}
 }
 
@@ -46,7 +46,7 @@
 fn a_hundred_thousand_requests_abandoned_at_every_stage_leave_the_tables_empty() {
     let mut core = Core::new(&settings(), Duration::ZERO, 4000, NoPorts);
     core.pool_bound(Duration::ZERO);
-    core.polled(Duration::ZERO, 1, &[0.5, 0.0]);
+    core.metrics_received(Duration::ZERO, 1, &[0.5, 0.0]);
     let mut now = Duration::ZERO;
     for n in 1..=100_000u32 {
         now += MS;
@@ -63,10 +63,10 @@
             2 => core.conn_lost(now, reply_to.conn),
             _ => {}
         }
-        core.run_ended(now, attempt, Outcome::Completed, MS, Payload::Passing(b"r"));
+        core.run_ended(now, attempt, Outcome::Completed, MS, Payload::Transient(b"r"));
         core.caller_gone(now, reply_to);
         assert_eq!(
-            (core.in_hand(), core.owed(), core.in_tables()),
+            (core.requests_in_flight(), core.responses_owed(), core.table_sizes()),
             (0, 0, TableSizes::default()),
             "after {n}"
         );
@@ -77,12 +77,12 @@
         let reply_to = ReplyTo { conn: ConnId(7), call: MessageId(n) };
         receive(&mut core, now, attempt, reply_to);
     }
-    assert!(core.in_hand() > 8);
+    assert!(core.requests_in_flight() > 8);
     core.conn_lost(now, ConnId(7));
     // The pool ends what runs; nothing is queued, and no response is owed.
     for n in 0..500u32 {
         let attempt = AttemptId::new(&format!("{:016x}", 200_000 + n)).unwrap();
-        core.run_ended(now, attempt, Outcome::Cancelled, MS, Payload::Passing(b""));
+        core.run_ended(now, attempt, Outcome::Cancelled, MS, Payload::Transient(b""));
     }
-    assert_eq!((core.in_hand(), core.owed(), core.in_tables()), (0, 0, TableSizes::default()));
+    assert_eq!((core.requests_in_flight(), core.responses_owed(), core.table_sizes()), (0, 0, TableSizes::default()));
 }
--- a/crates/aldercrank-server/tests/suite/core/configuration.rs
+++ b/crates/aldercrank-server/tests/suite/core/configuration.rs
@@ -26,7 +26,7 @@
 fn the_first_event_after_a_pause_finds_the_lease_expired() {
     let mut scenario = Scenario::new();
     let now = scenario.now();
-    scenario.core.leased(now, now + MS * 1000, now + MS * 2500);
+    scenario.core.renew_lease(now, now + MS * 1000, now + MS * 2500);
     let all: Vec<ReplyTo> = (0..9).map(|n| scenario.receive(Some(n), MS * 2900, Duration::ZERO)).collect();
     scenario.exchange();
     let queued: Vec<ReplyTo> =
@@ -52,7 +52,7 @@
     let idempotent = scenario.receive(None, MS * 900, Duration::ZERO);
     assert_eq!(fate(&scenario, idempotent), REJECTED);
     let later = scenario.now();
-    scenario.core.leased(later, later + MS * 1000, later + MS * 2500);
+    scenario.core.renew_lease(later, later + MS * 1000, later + MS * 2500);
     let keyed = scenario.receive(Some(78), MS * 900, Duration::ZERO);
     scenario.exchange();
     assert_eq!(fate(&scenario, keyed).responses, 0);
@@ -63,7 +63,7 @@
 fn without_an_upstream_quota_no_call_is_made_and_the_run_continues_without_it() {
     let mut scenario = Scenario::new();
     let now = scenario.now();
-    scenario.core.in_force(now, &settings(), 3, Some(0.0));
+    scenario.core.apply_version(now, &settings(), 3, Some(0.0));
     let idempotent = scenario.receive(None, MS * 2500, Duration::ZERO);
     scenario.exchange();
     let attempt = scenario.attempt(idempotent);
@@ -79,6 +79,6 @@
     }
     assert!(scenario.world().calls.is_empty(), "no call is made");
     assert_eq!(scenario.world().runs[&attempt], RunState::Running, "the run continues without its call");
-    scenario.core.in_force(scenario.now(), &settings(), 4, Some(2.0));
+    scenario.core.apply_version(scenario.now(), &settings(), 4, Some(2.0));
     assert!(scenario.world().violations.is_empty());
 }
--- a/crates/aldercrank-server/tests/suite/core/generated_events.rs
+++ b/crates/aldercrank-server/tests/suite/core/generated_events.rs
@@ -44,7 +44,7 @@
         16 if selector < 100 => {
             let now = scenario.now();
             let full = now + MS * u32::from(amount % 700);
-            scenario.core.leased(now, full, full + MS * u32::from(selector) * 20);
+            scenario.core.renew_lease(now, full, full + MS * u32::from(selector) * 20);
         }
         16 if selector < 160 => {
             // The window grows and shrinks; an entry keeps the longer one, which the model checks.
@@ -52,7 +52,7 @@
             let window = WINDOW.as_micros() as f64 * (1.0 + f64::from(amount % 3));
             settings.set("profiles.1.window", aldercrank::Value::Num(window));
             let share = [None, Some(0.0), Some(3.0)][usize::from(selector % 3)];
-            scenario.core.in_force(scenario.now(), &settings, u64::from(amount), share);
+            scenario.core.apply_version(scenario.now(), &settings, u64::from(amount), share);
         }
         13 => scenario.lose_link_with_unwritten(usize::from(selector % 4), usize::from(selector / 4 % 5)),
         14 => scenario.restore_link(),
@@ -77,7 +77,7 @@
         }
         scenario.advance(MS * 500);
     }
-    let (owed, in_flight) = (scenario.core.owed(), scenario.core.in_hand());
+    let (owed, in_flight) = (scenario.core.responses_owed(), scenario.core.requests_in_flight());
     let mut world = scenario.world_mut();
     if owed + in_flight > 0 {
         world
--- a/crates/aldercrank-server/tests/suite/core/pool_link.rs
+++ b/crates/aldercrank-server/tests/suite/core/pool_link.rs
@@ -19,7 +19,7 @@
         assert_eq!((scenario.responses(keyed), scenario.responses(read)), (1, 1));
         scenario.advance(MS * 2000);
         scenario.exchange();
-        assert_eq!((scenario.starts_of(1), scenario.core.in_hand()), (started, started));
+        assert_eq!((scenario.starts_of(1), scenario.core.requests_in_flight()), (started, started));
         assert!(scenario.world().violations.is_empty());
     }
 }
@@ -39,13 +39,13 @@
     assert!(scenario.world().violations.is_empty());
 
     // The start of a request whose caller has gone by then is not sent again.
-    let in_flight = scenario.core.in_hand();
+    let in_flight = scenario.core.requests_in_flight();
     let abandoned = scenario.receive(Some(4), MS * 1500, MS);
     scenario.cancel(abandoned);
     scenario.lose_link_with_unwritten(0, 0);
     scenario.restore_link();
     scenario.exchange();
-    assert_eq!((scenario.starts_of(4), scenario.core.in_hand()), (0, in_flight));
+    assert_eq!((scenario.starts_of(4), scenario.core.requests_in_flight()), (0, in_flight));
 }
 
 #[test]
@@ -57,7 +57,7 @@
     assert_eq!((scenario.responses(long), scenario.responses(short)), (0, 1));
     scenario.restore_link();
     scenario.exchange();
-    assert_eq!((scenario.starts_of(1), scenario.starts_of(2), scenario.core.in_hand()), (1, 0, 1));
+    assert_eq!((scenario.starts_of(1), scenario.starts_of(2), scenario.core.requests_in_flight()), (1, 0, 1));
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let unsent = scenario.receive(None, MS * 2000, MS);
     scenario.core.pool_restarted(scenario.now(), false);
     assert_eq!(
-        (replies_owed.map(|reply_to| scenario.responses(reply_to)), scenario.core.in_hand()),
+        (replies_owed.map(|reply_to| scenario.responses(reply_to)), scenario.core.requests_in_flight()),
         ([1, 1], 1)
     );
     scenario.restore_link();
--- a/crates/aldercrank-server/tests/suite/core/requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/requests.rs
@@ -61,13 +61,13 @@
     let unknown = scenario.receive(None, MS * 2000, MS);
     let attempt = scenario.attempt(unknown);
     scenario.core.run_unknown(scenario.now(), attempt);
-    assert_eq!((scenario.responses(unknown), scenario.core.in_hand()), (1, 1));
+    assert_eq!((scenario.responses(unknown), scenario.core.requests_in_flight()), (1, 1));
     // Notices for unknown ids change nothing.
     let unknown_attempt = AttemptId::new("ffffffffffffffff").unwrap();
-    scenario.core.run_ended(scenario.now(), unknown_attempt, Outcome::Completed, MS, Payload::Passing(b"x"));
+    scenario.core.run_ended(scenario.now(), unknown_attempt, Outcome::Completed, MS, Payload::Transient(b"x"));
     scenario.core.call_needed(scenario.now(), unknown_attempt, NoticeNumber(99), b"x");
     scenario.core.call_ended(scenario.now(), RequestId(4_000_000_000), Outcome::Completed, b"x");
-    assert_eq!((scenario.responses(valid), scenario.core.owed()), (0, 1));
+    assert_eq!((scenario.responses(valid), scenario.core.responses_owed()), (0, 1));
 }
 
 #[test]
@@ -83,17 +83,17 @@
         .for_each(|(_, record)| record.caller_gone = true);
     scenario.core.conn_lost(now, ConnId(1));
     let open = replies_owed.iter().filter(|to| to.conn != ConnId(1) && scenario.responses(**to) == 0).count();
-    assert_eq!(scenario.core.owed(), open);
+    assert_eq!(scenario.core.responses_owed(), open);
     scenario.core.drain(now, now + MS * 1500);
     scenario.advance(MS * 1100);
     let late = scenario.receive(None, MS * 3000, MS);
     assert_eq!(scenario.responses(late), 1, "came too late in the shutdown");
     scenario.advance(MS * 400);
-    assert_eq!((scenario.core.owed(), scenario.world().violations.len()), (0, 0));
+    assert_eq!((scenario.core.responses_owed(), scenario.world().violations.len()), (0, 0));
     let mut cold_settings = settings();
     cold_settings.set("family_info.cold", Value::Flag(true));
     let ports = FakePorts::default();
-    Core::new(&cold_settings, Duration::ZERO, 0, ports.clone()).reminded(MS * 30, TimerId::Tick);
+    Core::new(&cold_settings, Duration::ZERO, 0, ports.clone()).timer_fired(MS * 30, TimerId::Tick);
     assert!(ports.0.borrow().load_hint.is_some());
 }
 
--- a/crates/aldercrank-server/tests/suite/core/scenario.rs
+++ b/crates/aldercrank-server/tests/suite/core/scenario.rs
@@ -128,9 +128,9 @@
                 }
             };
             match next {
-                Err(tag) => self.core.polled(now, tag, &[0.5, 1.0]),
+                Err(tag) => self.core.metrics_received(now, tag, &[0.5, 1.0]),
                 Ok((_, Notice::Ended(attempt, how, bytes))) => {
-                    self.core.run_ended(now, attempt, how, MS * 100, Payload::Passing(&bytes))
+                    self.core.run_ended(now, attempt, how, MS * 100, Payload::Transient(&bytes))
                 }
                 Ok((n, Notice::Blocked(attempt, body))) => {
                     self.core.call_needed(now, attempt, NoticeNumber(n), &body)
@@ -180,7 +180,7 @@
             loop {
                 let timer = self.world_mut().timers.due(next);
                 let Some(timer) = timer else { break };
-                self.core.reminded(next, timer);
+                self.core.timer_fired(next, timer);
             }
             let mut world = self.world_mut();
             let late =
--- a/crates/aldercrank-server/tests/suite/core/world.rs
+++ b/crates/aldercrank-server/tests/suite/core/world.rs
@@ -203,11 +203,11 @@
     fn cancel_call(&mut self, request: RequestId) {
         self.0.borrow_mut().calls.remove(&request);
     }
-    fn health(&mut self, healthy: bool) {
+    fn set_health(&mut self, healthy: bool) {
         self.0.borrow_mut().healthy = healthy;
     }
     fn close_idle(&mut self, _: Duration) {}
-    fn advertise(&mut self, value: f64) {
+    fn set_load_hint(&mut self, value: f64) {
         self.0.borrow_mut().load_hint = Some(value);
     }
     fn set_timer(&mut self, timer: TimerId, after: Duration) {
--- a/crates/aldercrank-server/tests/suite/output_buffer.rs
+++ b/crates/aldercrank-server/tests/suite/output_buffer.rs
@@ -41,7 +41,7 @@
             match random(5) {
                 0 => output.words(|words| words.extend(&bytes)),
                 1 => output.body(&bytes.as_slice().into()),
-                2 => output.result(&Payload::Passing(&bytes)),
+                2 => output.result(&Payload::Transient(&bytes)),
                 3 => output.result(&Payload::Shared(&bytes.clone().into())),
                 _ => {
                     writer.takes.extend([random(5) as usize * 700, random(40) as usize]);
--- a/crates/aldercrank-server/tests/suite/tables.rs
+++ b/crates/aldercrank-server/tests/suite/tables.rs
@@ -44,13 +44,13 @@
     let entry = table.store(&key, a, S * 10).unwrap().entry;
     assert_eq!(table.find_original(&key, S * 11, S * 11), None, "came after the window");
     assert!(table.run_started(&key, a).is_none());
-    table.run_ended(&key, a, Some(Payload::Passing(b"12345678")));
+    table.run_ended(&key, a, Some(Payload::Transient(b"12345678")));
     assert_eq!(table.find_original(&key, S * 9, S * 12), Some(a), "came within the window, read late");
     assert_eq!(table.outcome(&key), CachedOutcome::Completed(b"12345678".as_slice().into()));
     // Another result evicts the first; its entry stays, so the request does not run again.
     table.store(&other, c, S * 10).unwrap();
     table.run_started(&other, c);
-    table.run_ended(&other, c, Some(Payload::Passing(b"123")));
+    table.run_ended(&other, c, Some(Payload::Transient(b"123")));
     assert_eq!((table.outcome(&key), table.find_original(&key, S, S)), (CachedOutcome::Unavailable, Some(a)));
     // A request after the window runs again; the entry refers to it alone.
     assert_eq!(table.store(&key, b, S * 30).unwrap().replaced, None);
--- a/crates/aldercrank-testbench/src/soak_check.rs
+++ b/crates/aldercrank-testbench/src/soak_check.rs
@@ -63,9 +63,9 @@
     }
     fn start_call(&mut self, _: RequestId, _: AttemptId, _: &[u8], _: Duration) {}
     fn cancel_call(&mut self, _: RequestId) {}
-    fn health(&mut self, _: bool) {}
+    fn set_health(&mut self, _: bool) {}
     fn close_idle(&mut self, _: Duration) {}
-    fn advertise(&mut self, _: f64) {}
+    fn set_load_hint(&mut self, _: f64) {}
     fn set_timer(&mut self, what: TimerId, after: Duration) {
         let mut server = self.0.borrow_mut();
         let at = server.now + after;
@@ -98,12 +98,12 @@
     loop {
         let due = server.0.borrow_mut().timers.due(now);
         let Some(reminder) = due else { break };
-        core.reminded(now, reminder);
+        core.timer_fired(now, reminder);
     }
     loop {
         let tag = server.0.borrow_mut().polls.pop_front();
         let Some(tag) = tag else { break };
-        core.polled(now, tag, &[0.5, 2.0]);
+        core.metrics_received(now, tag, &[0.5, 2.0]);
     }
     loop {
         let ended = server.0.borrow_mut().runs.pop_front_if(|(ends, _)| *ends <= now);
@@ -113,7 +113,7 @@
             attempt,
             Outcome::Completed,
             RUN_TIME,
-            Payload::Passing(b"what the run made, thirty-two b."),
+            Payload::Transient(b"what the run made, thirty-two b."),
         );
     }
 }
@@ -140,7 +140,7 @@
         reply_to,
         ReceivedRequest { attempt, dedup_key, arrival: incoming, unread: REQUEST_INTERVAL, body: b"a body" },
     );
-    let owed = core.owed();
+    let owed = core.responses_owed();
     // One in a hundred has a caller that goes; a connection goes with all that is open on it.
     if n.is_multiple_of(100) {
         core.caller_gone(now, reply_to);
@@ -148,7 +148,7 @@
     if n % REQUESTS_PER_CONNECTION == REQUESTS_PER_CONNECTION - 1 {
         core.conn_lost(now, reply_to.conn);
     }
-    (owed - core.owed()) as u64
+    (owed - core.responses_owed()) as u64
 }
 
 /// Plays the check. Gives whether memory stayed flat and each request was answered once.
@@ -165,11 +165,11 @@
             gone += send(&mut core, now, (tenth - 1) * (REQUESTS / 10) + n + 1);
         }
         let bytes = heap_bytes().saturating_sub(before);
-        let TableSizes { requests: slots, dedup_entries } = core.in_tables();
+        let TableSizes { requests: slots, dedup_entries } = core.table_sizes();
         println!(
             "{:>10} requests: {bytes} bytes on the heap, {slots} slots, {dedup_entries} dedup entries, {} in flight",
             tenth * (REQUESTS / 10),
-            core.in_hand()
+            core.requests_in_flight()
         );
         if tenth == 1 {
             first = bytes;
@@ -179,11 +179,11 @@
     let (completed, others) = (server.0.borrow().completed, server.0.borrow().others);
     let flat = most as f64 <= first as f64 * MAX_GROWTH;
     // Each request whose caller stayed has had one response or is still owed it.
-    let all = completed + others + gone + core.owed() as u64 == REQUESTS;
+    let all = completed + others + gone + core.responses_owed() as u64 == REQUESTS;
     println!(
         "check soak: {most} bytes at most, {first} after the first tenth; {completed} completed, {others} not, \
          {gone} callers gone, {} still owed",
-        core.owed()
+        core.responses_owed()
     );
     Ok(flat && all && others < REQUESTS / 100)
 }
