--- a/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
@@ -49,7 +49,7 @@
             return false;
         };
         self.net().answer(reply_to, |output, fields| {
-            output.words(|bytes| {
+            output.append_framing(|bytes| {
                 msgpack_rpc::write_completed(bytes, reply_to.call, encoded.len());
                 bytes.extend_from_slice(&encoded);
                 msgpack_rpc::write_completed_end(bytes, fields);
@@ -82,7 +82,7 @@
         agreement.followers.retain(|_, conn| net.edge.get(*conn).is_some());
         for conn in agreement.followers.values() {
             net.edge.send(*conn, |output, _| {
-                output.words(|bytes| msgpack_rpc::write_notification(bytes, &body));
+                output.append_framing(|bytes| msgpack_rpc::write_notification(bytes, &body));
             });
         }
     }
--- a/crates/aldercrank-server/src/net/connection.rs
+++ b/crates/aldercrank-server/src/net/connection.rs
@@ -131,22 +131,22 @@
 
     /// Bytes that have not been written yet.
     pub(super) fn unsent_bytes(&self) -> usize {
-        self.output.waiting()
+        self.output.pending_bytes()
     }
 
     /// Bytes that have been written since the connection was made.
     pub(super) fn written_bytes(&self) -> u64 {
-        self.output.written()
+        self.output.written_bytes()
     }
 
     /// Whether any byte has been written.
     pub(super) fn has_written(&self) -> bool {
-        self.output.written() > 0
+        self.output.written_bytes() > 0
     }
 
     /// Writes as much as the socket takes. An error shows at the next read.
     pub(super) fn flush(&mut self) {
-        while self.output.waiting() > 0 && !self.connecting {
+        while self.output.pending_bytes() > 0 && !self.connecting {
             match self.output.write_to(&*self.stream) {
                 Ok(written) if written > 0 => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
--- a/crates/aldercrank-server/src/net/core_ports.rs
+++ b/crates/aldercrank-server/src/net/core_ports.rs
@@ -17,21 +17,21 @@
     fn complete(&mut self, reply_to: ReplyTo, result: Payload) {
         self.0.borrow_mut().answer(reply_to, |output, fields| {
             let length = result.bytes().len();
-            output.words(|bytes| msgpack_rpc::write_completed(bytes, reply_to.call, length));
-            output.result(&result);
-            output.words(|bytes| msgpack_rpc::write_completed_end(bytes, fields));
+            output.append_framing(|bytes| msgpack_rpc::write_completed(bytes, reply_to.call, length));
+            output.append_result(&result);
+            output.append_framing(|bytes| msgpack_rpc::write_completed_end(bytes, fields));
         });
     }
     fn reject(&mut self, reply_to: ReplyTo, retry_after: Option<Duration>, last: bool) {
         self.0.borrow_mut().answer(reply_to, |output, fields| {
-            output.words(|bytes| {
+            output.append_framing(|bytes| {
                 msgpack_rpc::write_rejected(bytes, reply_to.call, fields, retry_after, last);
             });
         });
     }
     fn fail(&mut self, reply_to: ReplyTo) {
         self.0.borrow_mut().answer(reply_to, |output, fields| {
-            output.words(|bytes| msgpack_rpc::write_failed(bytes, reply_to.call, fields));
+            output.append_framing(|bytes| msgpack_rpc::write_failed(bytes, reply_to.call, fields));
         });
     }
     fn decided_by_version(&mut self, reply_to: ReplyTo, version: u64) {
--- a/crates/aldercrank-server/src/net/edge_connections.rs
+++ b/crates/aldercrank-server/src/net/edge_connections.rs
@@ -412,7 +412,7 @@
     fn ask_to_close(&mut self, conn: ConnId, now: Duration, timers: &mut Deadlines<TimerEvent>) {
         if let Some(edge) = self.get(conn).filter(|edge| edge.state == ConnectionState::Open) {
             edge.state = ConnectionState::Closing;
-            self.send(conn, |output, _| output.words(msgpack_rpc::write_closing));
+            self.send(conn, |output, _| output.append_framing(msgpack_rpc::write_closing));
             self.mark_idle(conn, now, timers);
         }
     }
--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -8,7 +8,7 @@
 use crate::core::{ConnId, MessageId, ReceivedRequest, ReplyTo};
 use crate::dedup::DedupKey;
 use crate::msgpack_rpc::{self, Edge, InvalidRequest, ProtocolError, RequestFields, UnknownNotification};
-use crate::payload::count;
+use crate::payload::count_copied;
 use crate::worker_pool::{AttemptId, MAX_PAYLOAD_BYTES};
 use aldercrank::{CallerId, IncomingRequest};
 use std::io::ErrorKind;
@@ -152,7 +152,7 @@
     fn health_check(&mut self, call: MessageId) {
         let (healthy, mut net) = (self.server.is_healthy(), self.server.net());
         net.edge.send(self.conn, |output, fields| {
-            output.words(|bytes| msgpack_rpc::write_health(bytes, call, healthy, fields));
+            output.append_framing(|bytes| msgpack_rpc::write_health(bytes, call, healthy, fields));
         });
         net.mark_idle(self.conn);
     }
@@ -337,7 +337,7 @@
         // Most messages come complete and are decoded in the read buffer.
         let has_earlier_input = !input.is_empty();
         if has_earlier_input {
-            count(bytes.len());
+            count_copied(bytes.len());
             input.extend_from_slice(bytes);
         }
         let received = if has_earlier_input { &input } else { bytes };
@@ -360,7 +360,7 @@
         edge.connection.input = if has_earlier_input {
             discard_consumed(input, consumed)
         } else {
-            count(bytes.len() - consumed);
+            count_copied(bytes.len() - consumed);
             input.extend_from_slice(&bytes[consumed..]);
             input
         };
@@ -402,7 +402,7 @@
     /// Answers a call without the core: one that makes no sense, or that came when nothing can run.
     pub(super) fn answer_directly(&mut self, reply_to: ReplyTo, answer: DirectAnswer) {
         self.net().answer(reply_to, |output, fields| {
-            output.words(|bytes| match answer {
+            output.append_framing(|bytes| match answer {
                 DirectAnswer::Rejected => {
                     msgpack_rpc::write_rejected(bytes, reply_to.call, fields, None, false);
                 }
--- a/crates/aldercrank-server/src/net/http_exchange.rs
+++ b/crates/aldercrank-server/src/net/http_exchange.rs
@@ -48,7 +48,7 @@
                 on_event(server, id);
             }
         })?;
-        connection.output.words(|bytes| bytes.extend_from_slice(request));
+        connection.output.append_framing(|bytes| bytes.extend_from_slice(request));
         let id = store(HttpExchange { connection, reader: ResponseReader::default() });
         id_cell.set(id);
         Ok(id)
--- a/crates/aldercrank-server/src/net/peer_connections.rs
+++ b/crates/aldercrank-server/src/net/peer_connections.rs
@@ -188,7 +188,7 @@
         peer.last_message_id += 1;
         let call = MessageId(peer.last_message_id);
         peer.outstanding.insert(call, tag);
-        peer.connection.output.words(|bytes| {
+        peer.connection.output.append_framing(|bytes| {
             msgpack_rpc::write_request(bytes, call, CONSENSUS_METHOD, &RequestFields::default(), &body);
         });
         peer.connection.flush();
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -5,7 +5,7 @@
 use super::{Server, TimerEvent};
 use crate::clock::Clock;
 use crate::core::Core;
-use crate::payload::{count, Payload, LARGE};
+use crate::payload::{count_copied, Payload, BY_REFERENCE_BYTES};
 use crate::worker_pool::{self, AttemptId, EventHandler, NoticeNumber};
 use aldercrank::{Outcome, Value};
 use aldercrank_pacing::{RetryPacer, Terms};
@@ -104,24 +104,24 @@
     /// send again.
     pub(super) fn send(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         if let Some(connection) = self.connection.as_mut().filter(|_| self.is_bound) {
-            connection.output.words(write);
+            connection.output.append_framing(write);
         }
     }
 
     /// Sends the command that starts a run, as [`WorkerPoolLink::send`] does.
     pub(super) fn start_run(&mut self, attempt: AttemptId, class: &str, body: &Rc<[u8]>) {
         let Some(connection) = self.connection.as_mut().filter(|_| self.is_bound) else { return };
-        self.queued_runs.push_back(QueuedRun { start: connection.output.end(), attempt });
-        connection.output.words(|bytes| worker_pool::write_start_run(bytes, attempt, class, body.len()));
-        connection.output.body(body);
-        connection.output.words(worker_pool::write_payload_end);
+        self.queued_runs.push_back(QueuedRun { start: connection.output.end_offset(), attempt });
+        connection.output.append_framing(|bytes| worker_pool::write_start_run(bytes, attempt, class, body.len()));
+        connection.output.append_body(body);
+        connection.output.append_framing(worker_pool::write_payload_end);
     }
 
     /// Writes what the socket takes.
     pub(super) fn flush(&mut self) {
         let Some(connection) = self.connection.as_mut() else { return };
         connection.flush();
-        let written = connection.output.written();
+        let written = connection.output.written_bytes();
         while self.queued_runs.front().is_some_and(|run| run.start < written) {
             self.queued_runs.pop_front();
         }
@@ -170,7 +170,7 @@
     ) {
         if self.is_new(notice) {
             let now = self.server.now();
-            let is_large = result.len() >= LARGE;
+            let is_large = result.len() >= BY_REFERENCE_BYTES;
             let shared = self.shared_input.filter(|_| is_large).map(|input| input.slice_ref(result));
             let result = shared.as_ref().map_or(Payload::Transient(result), Payload::Shared);
             if let Some(core) = &mut self.server.core {
@@ -270,7 +270,7 @@
         }
         match connection.finish_connecting() {
             Ok(()) => {
-                connection.output.words(|bytes| worker_pool::write_bind(bytes, last_notice));
+                connection.output.append_framing(|bytes| worker_pool::write_bind(bytes, last_notice));
                 connection.flush();
                 net.pool.bind_sent_at = net.clock.now();
                 drop(net);
@@ -342,7 +342,7 @@
         let awaited = self.net().pool.awaited_length.take();
         let shared_input = awaited.map(|_| Bytes::from(std::mem::take(&mut input)));
         if has_earlier_input && shared_input.is_none() {
-            count(bytes.len());
+            count_copied(bytes.len());
             input.extend_from_slice(bytes);
         }
         let received = match &shared_input {
@@ -357,7 +357,7 @@
         }
         let rest = &received[consumed..];
         // Room is made for a message of a stated length, within the limit, once it is known to be large.
-        let awaited_length = reader.wants(rest).filter(|length| *length > rest.len().max(LARGE));
+        let awaited_length = reader.wants(rest).filter(|length| *length > rest.len().max(BY_REFERENCE_BYTES));
         let mut net = self.net();
         let net = &mut *net;
         (net.pool.reader, net.pool.awaited_length) = (reader, awaited_length);
@@ -366,12 +366,12 @@
             Some(length) => {
                 let mut large = Vec::with_capacity(length);
                 large.extend_from_slice(rest);
-                count(rest.len());
+                count_copied(rest.len());
                 large
             }
             None if has_earlier_input && shared_input.is_none() => discard_consumed(input, consumed),
             None => {
-                count(rest.len());
+                count_copied(rest.len());
                 rest.to_vec()
             }
         };
--- a/crates/aldercrank-server/src/payload.rs
+++ b/crates/aldercrank-server/src/payload.rs
@@ -11,7 +11,7 @@
 
 /// From this size in bytes on a result goes by reference: the buffer it was read into is kept until it is written.
 /// Below, a copy costs less than keeping a whole buffer.
-pub const LARGE: usize = 4 * 1024;
+pub const BY_REFERENCE_BYTES: usize = 4 * 1024;
 /// The most slices in one vectored write.
 const MAX_SLICES: usize = 96;
 /// The most bytes of capacity that an empty buffer keeps.
@@ -26,7 +26,7 @@
 }
 
 /// Counts payload bytes that were copied elsewhere.
-pub fn count(bytes: usize) {
+pub fn count_copied(bytes: usize) {
     COPIED_BYTES.fetch_add(bytes as u64, Ordering::Relaxed);
 }
 
@@ -51,7 +51,7 @@
     /// The result by reference, if it is large enough. A small part of a large buffer would keep all of that.
     fn by_reference(&self) -> Option<Bytes> {
         match self {
-            Payload::Shared(bytes) if bytes.len() >= LARGE => Some((*bytes).clone()),
+            Payload::Shared(bytes) if bytes.len() >= BY_REFERENCE_BYTES => Some((*bytes).clone()),
             _ => None,
         }
     }
@@ -59,7 +59,7 @@
     /// The result in a form that can be kept: by reference or as a copy.
     pub fn keep(&self) -> Bytes {
         self.by_reference().unwrap_or_else(|| {
-            count(self.bytes().len());
+            count_copied(self.bytes().len());
             Bytes::copy_from_slice(self.bytes())
         })
     }
@@ -67,7 +67,7 @@
 
 /// Copies a request's body from the buffer it was read into.
 pub fn copy_body(bytes: &[u8]) -> Rc<[u8]> {
-    count(bytes.len());
+    count_copied(bytes.len());
     bytes.into()
 }
 
@@ -112,24 +112,24 @@
 
 impl OutputBuffer {
     /// Lets `write` append framing.
-    pub fn words(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
+    pub fn append_framing(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         let before = self.framing.len();
         write(&mut self.framing);
         self.waiting += self.framing.len() - before;
     }
 
     /// Appends a request's body by reference.
-    pub fn body(&mut self, body: &Rc<[u8]>) {
+    pub fn append_body(&mut self, body: &Rc<[u8]>) {
         self.push_blob(Blob::Body(body.clone()));
     }
 
     /// Appends a result, by reference if it is large.
-    pub fn result(&mut self, result: &Payload) {
+    pub fn append_result(&mut self, result: &Payload) {
         match result.by_reference() {
             Some(bytes) => self.push_blob(Blob::Result(bytes)),
             None => {
-                count(result.bytes().len());
-                self.words(|framing| framing.extend_from_slice(result.bytes()));
+                count_copied(result.bytes().len());
+                self.append_framing(|framing| framing.extend_from_slice(result.bytes()));
             }
         }
     }
@@ -142,17 +142,17 @@
     }
 
     /// How many bytes wait to be written.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_bytes(&self) -> usize {
         self.waiting
     }
 
     /// The offset, in all that is ever written, of the next byte to be appended.
-    pub fn end(&self) -> u64 {
+    pub fn end_offset(&self) -> u64 {
         self.written + self.waiting as u64
     }
 
     /// How many bytes have been written so far.
-    pub fn written(&self) -> u64 {
+    pub fn written_bytes(&self) -> u64 {
         self.written
     }
 
--- a/crates/aldercrank-server/tests/suite/output_buffer.rs
+++ b/crates/aldercrank-server/tests/suite/output_buffer.rs
@@ -39,10 +39,10 @@
             let most = if random(9) == 0 { 9000 } else { 90 };
             let bytes = vec![step as u8; random(most) as usize];
             match random(5) {
-                0 => output.words(|words| words.extend(&bytes)),
-                1 => output.body(&bytes.as_slice().into()),
-                2 => output.result(&Payload::Transient(&bytes)),
-                3 => output.result(&Payload::Shared(&bytes.clone().into())),
+                0 => output.append_framing(|words| words.extend(&bytes)),
+                1 => output.append_body(&bytes.as_slice().into()),
+                2 => output.append_result(&Payload::Transient(&bytes)),
+                3 => output.append_result(&Payload::Shared(&bytes.clone().into())),
                 _ => {
                     writer.takes.extend([random(5) as usize * 700, random(40) as usize]);
                     while let Ok(n) = output.write_to(&mut writer) {
@@ -54,12 +54,12 @@
                 }
             }
             expected.extend(&bytes);
-            assert_eq!(output.end(), expected.len() as u64);
+            assert_eq!(output.end_offset(), expected.len() as u64);
         }
-        assert_eq!(output.written(), writer.taken.len() as u64);
-        assert_eq!(output.waiting(), expected.len() - writer.taken.len());
+        assert_eq!(output.written_bytes(), writer.taken.len() as u64);
+        assert_eq!(output.pending_bytes(), expected.len() - writer.taken.len());
         writer.takes = std::iter::repeat_n(1_000_000, 1000).collect();
-        while output.waiting() > 0 {
+        while output.pending_bytes() > 0 {
             output.write_to(&mut writer).unwrap();
         }
         assert!(writer.taken == expected, "seed {seed}");
