--- a/crates/aldercrank-server/src/config/mod.rs
+++ b/crates/aldercrank-server/src/config/mod.rs
@@ -18,15 +18,15 @@
 
 /// How a server takes part in the versioned configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct AgreementConfig {
     /// The version that the fleet starts from.
-    pub book: VersionedConfig,
+    pub initial_version: VersionedConfig,
     /// The directory of the server's durable state.
-    pub dir: Option<PathBuf>,
+    pub state_dir: Option<PathBuf>,
     /// Whether proposed versions are read from the membership service.
-    pub read_list: bool,
+    pub read_proposals: bool,
     /// Addresses of committee members that differ from those in the version.
-    pub reach: BTreeMap<String, SocketAddr>,
+    pub member_addresses: BTreeMap<String, SocketAddr>,
     /// A fault injected by a check, so that the check is seen to find it; no file can set it.
     pub injected_fault: Option<aldercrank_consensus::InjectedFault>,
 }
@@ -59,7 +59,7 @@
     /// Whether the service file asks for a log in JSON.
     pub json_log: bool,
     /// The versioned configuration, where the service file names one.
-    pub rules: Option<Rules>,
+    pub rules: Option<AgreementConfig>,
     /// How this server starts, by the service file.
     pub start: aldercrank_service_config::Start,
     /// The settings of the admission module.
@@ -103,7 +103,7 @@
         Ok(())
     }
 
-    fn initial_version(&self, options: &VersionedConfigOptions) -> Result<Rules, ConfigError> {
+    fn initial_version(&self, options: &VersionedConfigOptions) -> Result<AgreementConfig, ConfigError> {
         let version = VersionedConfig::parse(&read_file(&options.version_file)?)
             .map_err(|faults| FileFaults { path: options.version_file.clone(), faults })?;
         if let Some(reason) = version.incompatibilities(&self.settings, &self.name).first() {
@@ -112,11 +112,11 @@
                 reason: reason.to_string(),
             });
         }
-        Ok(Rules {
-            book: version,
-            dir: options.state_dir.as_ref().map(PathBuf::from),
-            read_list: options.read_proposals,
-            reach: options.member_addresses.clone(),
+        Ok(AgreementConfig {
+            initial_version: version,
+            state_dir: options.state_dir.as_ref().map(PathBuf::from),
+            read_proposals: options.read_proposals,
+            member_addresses: options.member_addresses.clone(),
             injected_fault: None,
         })
     }
--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -15,7 +15,7 @@
         let Some(mut agreement) = self.agreement.take() else { return };
         let now = agreement.clock.now();
         update(&mut agreement, now);
-        agreement.settle_local_requests(now);
+        agreement.answer_local_requests(now);
         self.apply_agreement(&mut agreement, now);
         self.agreement = Some(agreement);
     }
@@ -30,7 +30,7 @@
             self.notify_followers(agreement, proposed);
             // The follower in this very server is notified as well.
             agreement.follower.notify(now, proposed, &mut FollowerPorts(&mut agreement.context));
-            agreement.settle_local_requests(now);
+            agreement.answer_local_requests(now);
         }
         if let (None, Some(member)) = (&agreement.member, agreement.follower.current_member()) {
             agreement.context.peers.close_idle_except(member);
--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -20,7 +20,7 @@
 use super::peer_connections::{PeerConnections, RequestTag, Requester};
 use super::state_file::{StateFile, StoredVersion};
 use crate::clock::Clock;
-use crate::config::{Config, Rules as AgreementConfig};
+use crate::config::{Config, AgreementConfig};
 use crate::core::ConnId;
 use aldercrank::Settings;
 use aldercrank_consensus::{
@@ -82,17 +82,17 @@
     ) -> ConfigAgreement {
         let (clock, server) = (Clock::default(), ServerName::new(&config.name));
         let now = clock.now();
-        let mut terms = Terms::new(agreement.book.within(), agreement.book.alone());
+        let mut terms = Terms::new(agreement.initial_version.within(), agreement.initial_version.alone());
         terms.injected_fault = agreement.injected_fault;
         let initial =
-            ConfigVersion { version_id: version_id(&agreement.book), text: Arc::from(agreement.book.text()) };
-        let committee = agreement.book.committee();
+            ConfigVersion { version_id: version_id(&agreement.initial_version), text: Arc::from(agreement.initial_version.text()) };
+        let committee = agreement.initial_version.committee();
         let member_names: Vec<ServerName> =
             committee.iter().map(|member| ServerName::new(&member.name)).collect();
         let own_index = member_names.iter().position(|name| *name == server);
-        let mut peers = PeerConnections::new(event_loop, &agreement.reach);
+        let mut peers = PeerConnections::new(event_loop, &agreement.member_addresses);
         peers.set_addresses(committee);
-        let state_file = StateFile::open(agreement.dir.as_deref());
+        let state_file = StateFile::open(agreement.state_dir.as_deref());
         let mut context = PortContext::new(server.clone(), config.settings.clone(), peers, state_file);
         // Spreads the followers over the members.
         let spread = own_index.map_or_else(|| aldercrank_pacing::digest(&config.name), |index| index as u64);
@@ -116,7 +116,7 @@
             permission_bounds: PermissionBounds::default(),
             permission: PermissionLevel::Denied,
             followers: BTreeMap::new(),
-            polling: agreement.read_list.then(|| VersionPolling::new(config, now)),
+            polling: agreement.read_proposals.then(|| VersionPolling::new(config, now)),
         };
         created.join_committee(now, &newest);
         created
@@ -180,7 +180,7 @@
 
     /// Answers the follower's requests to the member in this server and reports requests that could not be sent, until
     /// nothing more follows.
-    fn settle_local_requests(&mut self, now: Duration) {
+    fn answer_local_requests(&mut self, now: Duration) {
         // Ends, since the follower asks one member after another and then waits.
         loop {
             if let Some((correlation_id, request)) = self.context.local_requests.pop_front() {
--- a/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
@@ -19,7 +19,7 @@
 /// How long the membership service holds back its answer while nothing changes.
 const POLL_WAIT: Duration = Duration::from_secs(5);
 /// An answer that comes after this share of [`POLL_WAIT`] was held back.
-const HELD_BACK_SHARE: f64 = 0.9;
+const LONG_POLL_SHARE: f64 = 0.9;
 /// After a change the next poll follows after this share of [`POLL_WAIT`], so that a service whose answer differs each
 /// time is not polled more often than that.
 const POLL_AGAIN_SHARE: f64 = 0.02;
@@ -147,8 +147,8 @@
             poll.exchange.close(&event_loop);
         }
         // A service that does not hold back its answers is polled once in the time that it should hold them back.
-        let was_held_back = now >= started_at + POLL_WAIT.mul_f64(HELD_BACK_SHARE);
-        polling.due = if was_held_back { now } else { started_at + POLL_WAIT };
+        let was_long_poll = now >= started_at + POLL_WAIT.mul_f64(LONG_POLL_SHARE);
+        polling.due = if was_long_poll { now } else { started_at + POLL_WAIT };
         self.handle_poll_result(now, result);
         self.update_agreement(|_, _| {});
     }
--- a/crates/aldercrank-server/src/net/membership_reports.rs
+++ b/crates/aldercrank-server/src/net/membership_reports.rs
@@ -65,7 +65,7 @@
     /// Sends a report now.
     fn send_report(&mut self) {
         let (healthy, version) = (self.reports_healthy(), self.config_version_number());
-        let warming = self.core.as_ref().filter(|_| self.config.start.tell_share);
+        let warming = self.core.as_ref().filter(|_| self.config.start.report_share);
         let share = warming.and_then(|core| core.slow_start_status()).map(|status| status.share);
         let mut net = self.net();
         let net = &mut *net;
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -450,7 +450,7 @@
         settings.set("family_info.cold", Value::Flag(cold));
         let core = Core::new(&settings, age, self.result_memory_bytes, self.core_ports());
         (self.core, self.pool_was_cold) = (Some(core), cold);
-        if let (true, Some(core)) = (self.config.start.tell_share, &mut self.core) {
+        if let (true, Some(core)) = (self.config.start.report_share, &mut self.core) {
             core.follow_slow_start(age, &self.config.settings, cold);
         }
         self.apply_config_to_new_core();
--- a/crates/aldercrank-server/tests/suite/golden_config.rs
+++ b/crates/aldercrank-server/tests/suite/golden_config.rs
@@ -38,15 +38,15 @@
     writeln!(lines, "  longest between reports {}", or_none(config.reports_longest)).unwrap();
     writeln!(lines, "  log in JSON {}", config.json_log).unwrap();
     lines += &versioned_config(config);
-    writeln!(lines, "  start: tell-share {}", config.start.tell_share).unwrap();
+    writeln!(lines, "  start: tell-share {}", config.start.report_share).unwrap();
     lines
 }
 
 fn versioned_config(config: &Config) -> String {
     let Some(rules) = &config.rules else { return "  rules: none\n".to_string() };
-    let mut lines = format!("  rules: version {} ({})\n", rules.book.number, rules.book.digest());
-    writeln!(lines, "  rules: dir {}, read-list {}", or_none(rules.dir.as_ref()), rules.read_list).unwrap();
-    for (member, address) in &rules.reach {
+    let mut lines = format!("  rules: version {} ({})\n", rules.initial_version.number, rules.initial_version.digest());
+    writeln!(lines, "  rules: dir {}, read-list {}", or_none(rules.state_dir.as_ref()), rules.read_proposals).unwrap();
+    for (member, address) in &rules.member_addresses {
         writeln!(lines, "  rules: reach {member:?} at {address}").unwrap();
     }
     lines
--- a/crates/aldercrank-service-config/src/parser.rs
+++ b/crates/aldercrank-service-config/src/parser.rs
@@ -68,7 +68,7 @@
 fn start(reader: &mut Reader, children: &KdlDocument) -> Start {
     let mut start = Start::default();
     reader.nodes(children, &["tell-share"], |reader, child| {
-        start.tell_share = reader.flag(child).unwrap_or_default();
+        start.report_share = reader.flag(child).unwrap_or_default();
     });
     start
 }
--- a/crates/aldercrank-service-config/src/service.rs
+++ b/crates/aldercrank-service-config/src/service.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Start {
     /// Whether the progress of the slow start is followed, logged and added to load reports.
-    pub tell_share: bool,
+    pub report_share: bool,
 }
 
 /// How a server takes part in the versioned configuration.
--- a/crates/aldercrank-service-config/tests/golden.rs
+++ b/crates/aldercrank-service-config/tests/golden.rs
@@ -94,7 +94,7 @@
     .unwrap();
     writeln!(lines, "  log: json {}", service.log.json).unwrap();
     lines += &service.versioned_config.as_ref().map_or("  rules: none\n".to_string(), versioned_config);
-    writeln!(lines, "  start: tell-share {}", service.start.tell_share).unwrap();
+    writeln!(lines, "  start: tell-share {}", service.start.report_share).unwrap();
     lines
 }
 
--- a/crates/aldercrank-service-config/tests/service_file.rs
+++ b/crates/aldercrank-service-config/tests/service_file.rs
@@ -33,7 +33,7 @@
                 read_proposals: true,
                 member_addresses: [("n2".to_string(), "127.0.0.1:7102".parse().unwrap())].into(),
             }),
-            start: Start { tell_share: true },
+            start: Start { report_share: true },
         })
     );
     assert_eq!(parse("// nothing\n"), Ok(ServiceConfig::default()));
--- a/crates/aldercrank-test-cluster/src/cluster/run.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/run.rs
@@ -20,7 +20,7 @@
 /// A process that was started at the end of the run has so long to link to its pool before it is asked to shut down.
 const LATE_START_ALLOWANCE: Duration = Duration::from_secs(2);
 /// The load on the membership service counts separately from this time after the callers began.
-const SETTLING_TIME: Duration = Duration::from_secs(5);
+const STABILIZATION_TIME: Duration = Duration::from_secs(5);
 /// After the last arrival, open requests may take so much longer than the longest deadline.
 const FINAL_ALLOWANCE: Duration = Duration::from_secs(2);
 /// Beyond the scenario's stop timeout, processes are killed after this.
@@ -101,7 +101,7 @@
     fn note_membership_load(&mut self, began: Duration, end: Duration) {
         let membership = &self.testbed.membership;
         let all = membership.connection_peaks(Duration::ZERO, end);
-        let later = membership.connection_peaks(began + SETTLING_TIME, end);
+        let later = membership.connection_peaks(began + STABILIZATION_TIME, end);
         let load = &mut self.totals.membership_load;
         load.connections = membership.connections.len() as u64;
         load.refused = membership.reports.iter().filter(|report| !report.accepted).count() as u64;
@@ -162,7 +162,7 @@
         if self.testbed.sockets.out_of_descriptors {
             // Nothing that is seen from here on would be the program's doing.
             return Err(io::Error::other(
-                "the rig itself is out of descriptors: raise its limit (ulimit -n)",
+                "the test cluster itself is out of descriptors: raise its limit (ulimit -n)",
             ));
         }
         let began = self.now();
--- a/crates/aldercrank-test-cluster/src/config.rs
+++ b/crates/aldercrank-test-cluster/src/config.rs
@@ -93,17 +93,17 @@
 
 /// The `start` section of a server's service file.
 pub fn start_section(start: &Start) -> String {
-    format!("start {{\n    tell-share #{}\n}}\n", start.tell_share)
+    format!("start {{\n    tell-share #{}\n}}\n", start.report_share)
 }
 
 /// The `rules` section of a server's service file: the file of the first version, the directory of its durable state,
 /// and where it reaches the committee.
 pub fn rules_section(genesis: &Path, dir: Option<&Path>, members: &[MemberAddress]) -> String {
     let dir = dir.map_or(String::new(), |dir| format!("    dir {:?}\n", dir.to_string_lossy()));
-    let reach = |at: &MemberAddress| format!("        {} \"{}\"\n", at.member, at.address);
-    let reach: String = members.iter().map(reach).collect();
+    let member_addresses = |at: &MemberAddress| format!("        {} \"{}\"\n", at.member, at.address);
+    let member_addresses: String = members.iter().map(member_addresses).collect();
     format!(
-        "rules {{\n    book {:?}\n{dir}    read-list #true\n    reach {{\n{reach}    }}\n}}\n",
+        "rules {{\n    book {:?}\n{dir}    read-list #true\n    reach {{\n{member_addresses}    }}\n}}\n",
         genesis.to_string_lossy()
     )
 }
--- a/crates/aldercrank-test-cluster/src/process.rs
+++ b/crates/aldercrank-test-cluster/src/process.rs
@@ -40,7 +40,7 @@
     if current_parent == Some(parent) {
         Ok(())
     } else {
-        Err(io::Error::other("the rig that asked for this program has gone"))
+        Err(io::Error::other("the test cluster that started this program has gone"))
     }
 }
 
--- a/crates/aldercrank-test-cluster/src/scenario/read.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/read.rs
@@ -150,7 +150,7 @@
             "index" => self.read_index(properties),
             "list" => self.read_membership(properties),
             "rules" => self.read_versioned_config(properties),
-            "start" => set(&mut self.start.tell_share, properties.flag("tell-share")),
+            "start" => set(&mut self.start.report_share, properties.flag("tell-share")),
             "at" => self.read_step(properties),
             "bounds" => self.read_bounds(properties),
             _ => self.read_injected_violation(properties),
--- a/crates/aldercrank-test-cluster/src/version_checker.rs
+++ b/crates/aldercrank-test-cluster/src/version_checker.rs
@@ -108,7 +108,7 @@
     /// The furthest apart that two contradicting decisions were.
     pub farthest_ms: f64,
     /// How many were further apart than the bound.
-    pub too_far: u64,
+    pub beyond_bound: u64,
     /// The 99th percentile, over versions that change free items alone and servers, of the time from the publication
     /// to the server's first response by the version.
     pub free_p99_ms: f64,
@@ -244,7 +244,7 @@
         let Some(apart) = first.and_then(|first| decision.sent_at.checked_sub(first)) else { return };
         self.figures.farthest_ms = self.figures.farthest_ms.max(apart.as_secs_f64() * 1e3);
         if apart > self.bound {
-            self.figures.too_far += 1;
+            self.figures.beyond_bound += 1;
             let number = decision.version;
             let what = format!("acted by version {number} {apart:?} after another acted by a newer one");
             self.record(decision, what);
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
@@ -33,7 +33,7 @@
     scenario.classes.iter().for_each(|one| lines += &class(one));
     lines += &callers(scenario);
     lines += &services_below(scenario);
-    writeln!(lines, "start tell-share={}", scenario.start.tell_share).unwrap();
+    writeln!(lines, "start tell-share={}", scenario.start.report_share).unwrap();
     for (number, one) in scenario.timeline.iter().enumerate() {
         lines += &step(one);
         let reached: Vec<String> = scenario.reached(number).iter().map(|server| server.to_string()).collect();
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
@@ -9,7 +9,7 @@
 /// The decoded meaning, by the names of the file.
 fn decoded(text: &str) -> String {
     let read = parse(text).unwrap_or_else(|faults| panic!("{}", faults[0]));
-    let mut lines = format!("  start: tell-share {}\n", read.start.tell_share);
+    let mut lines = format!("  start: tell-share {}\n", read.start.report_share);
     if let Some(options) = read.versioned_config {
         lines += &format!("  rules: book {:?}, dir {:?}, ", options.version_file, options.state_dir);
         lines += &format!("read-list {}\n", options.read_proposals);
@@ -26,15 +26,15 @@
 #[test]
 fn service_files_of_the_test_cluster_are_read_as_recorded() {
     let book = Path::new("/run/a \"b\"/rules.kdl");
-    let reach = |server: u16| MemberAddress {
+    let member_addresses = |server: u16| MemberAddress {
         member: ServerNo(server),
         address: ([127, 0, 0, 1], 7100 + server).into(),
     };
     let texts = [
-        start_section(&Start { tell_share: true }),
-        start_section(&Start { tell_share: false }),
+        start_section(&Start { report_share: true }),
+        start_section(&Start { report_share: false }),
         rules_section(book, None, &[]),
-        rules_section(book, Some(Path::new("/run/n1")), &[reach(1), reach(2)]),
+        rules_section(book, Some(Path::new("/run/n1")), &[member_addresses(1), member_addresses(2)]),
     ];
     let both = format!("{}{}", texts[3], texts[0]);
     let all = texts.iter().chain([&both]);
