--- a/crates/aldercrank-server/tests/suite/crossings.rs
+++ b/crates/aldercrank-server/tests/suite/crossings.rs
@@ -3,7 +3,7 @@
 
 use crate::codecs::check;
 use crate::harness::{
-    answers, attempt, back, http, listed, listen, request, within, Edge, PoolEnd, Program, LONG,
+    count_responses, attempt, listen_again, http, report_accepted, listen, request, accept_within, EdgeConnection, PoolConnection, Program, TIMEOUT,
 };
 use std::io::{Read, Write};
 use std::sync::mpsc::channel;
@@ -17,8 +17,8 @@
 }
 
 /// Sends this many requests and completes them with results of [`RESULT_BYTES`].
-fn complete_requests(edge: &mut Edge, pool: &mut PoolEnd, requests: u32) {
-    (1..=requests).for_each(|n| edge.ask(n, "map", &attempt(n), None, b""));
+fn complete_requests(edge: &mut EdgeConnection, pool: &mut PoolConnection, requests: u32) {
+    (1..=requests).for_each(|n| edge.send_request(n, "map", &attempt(n), None, b""));
     for n in 1..=requests {
         let (command, _) = pool.next();
         pool.finish(n, &command[1], &[7; RESULT_BYTES]);
@@ -26,7 +26,7 @@
 }
 
 /// Reads until the server closes; a reset is a failure.
-fn read_to_close(edge: &mut Edge) -> Vec<u8> {
+fn read_to_close(edge: &mut EdgeConnection) -> Vec<u8> {
     let mut all = Vec::new();
     edge.0.read_to_end(&mut all).expect("the connection was reset");
     all
@@ -36,30 +36,30 @@
 #[test]
 fn input_behind_a_protocol_violation_loses_no_answer() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect_slow();
     complete_requests(&mut edge, &mut pool, 8);
-    edge.ask(9, "map", &attempt(9), None, b"");
+    edge.send_request(9, "map", &attempt(9), None, b"");
     assert_eq!(pool.next().0[1], attempt(9));
     let mut writer = edge.0.try_clone().unwrap();
     let flood = std::thread::spawn(move || writer.write_all(&[0xc1; 300 * 1024]));
     let received = read_to_close(&mut edge);
     flood.join().unwrap().unwrap();
     // All eight results, and an error for what was open.
-    assert_eq!(answers(&received), 9);
+    assert_eq!(count_responses(&received), 9);
     assert!(received.len() > 8 * RESULT_BYTES && received.windows(8).any(|w| w == b"Internal"));
 }
 
 #[test]
 fn an_idle_connection_with_a_slow_reader_closes_only_once_all_is_written() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect_slow();
     complete_requests(&mut edge, &mut pool, 32);
     // Longer than the idle timeout and the close timeout together.
     std::thread::sleep(Duration::from_millis(2000));
     let received = read_to_close(&mut edge);
-    assert_eq!(answers(&received), 32);
+    assert_eq!(count_responses(&received), 32);
     assert!(
         received.len() > 32 * RESULT_BYTES && received.ends_with(&[b"closing".as_slice(), &[0x90]].concat())
     );
@@ -67,64 +67,64 @@
 
 #[test]
 fn shutdown_waits_for_a_slow_reader() {
-    let mut program = Program::told(Some(|_: &str| None), |config| set(config, "/stop_ms", 4000));
-    let mut pool = program.serving();
+    let mut program = Program::start_with(Some(|_: &str| None), |config| set(config, "/stop_ms", 4000));
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect_slow();
     complete_requests(&mut edge, &mut pool, 32);
     program.term();
     // Longer than the idle timeout and the close timeout together.
     std::thread::sleep(Duration::from_millis(2000));
-    assert_eq!(answers(&read_to_close(&mut edge)), 32);
+    assert_eq!(count_responses(&read_to_close(&mut edge)), 32);
     drop(edge);
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
 }
 
 /// A close is no reset: answers that the caller has not read yet are still written.
 #[test]
 fn a_caller_that_closes_its_write_side_gets_all_answers() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect_slow();
     complete_requests(&mut edge, &mut pool, 32);
     // The server has handled all results once it has sent this command.
     let mut other = program.connect();
-    other.ask(1, "map", &attempt(99), None, b"");
+    other.send_request(1, "map", &attempt(99), None, b"");
     assert_eq!(pool.next().0[1], attempt(99));
     edge.0.shutdown(std::net::Shutdown::Write).unwrap();
     std::thread::sleep(Duration::from_millis(1200));
-    assert_eq!(answers(&read_to_close(&mut edge)), 32);
+    assert_eq!(count_responses(&read_to_close(&mut edge)), 32);
 }
 
 #[test]
 fn a_request_that_arrives_as_its_idle_connection_closes_is_answered() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     edge.0.write_all(&check(1)).unwrap();
-    edge.hears(&[b"closing"]);
+    edge.read_until(&[b"closing"]);
     program.pause();
-    edge.ask(2, "map", &attempt(2), None, b"");
+    edge.send_request(2, "map", &attempt(2), None, b"");
     // The close timeout has passed as well when the process resumes.
     std::thread::sleep(Duration::from_millis(1200));
     program.resume();
-    pool.runs(1, 2, b"two");
-    edge.hears(&[b"two"]);
+    pool.complete_next_run(1, 2, b"two");
+    edge.read_until(&[b"two"]);
 }
 
 /// A request that is read once the write side is shut down could not be answered, so it must not run.
 #[test]
 fn a_request_after_the_close_of_its_connection_does_not_run_and_causes_no_reset() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     edge.0.write_all(&check(1)).unwrap();
     let received = read_to_close(&mut edge);
     assert!(received.windows(7).any(|w| w == b"closing"));
-    edge.ask(2, "map", &attempt(2), None, b"");
+    edge.send_request(2, "map", &attempt(2), None, b"");
     let mut other = program.connect();
-    other.ask(1, "map", &attempt(3), None, b"");
-    pool.runs(1, 3, b"three");
-    other.hears(&[b"three"]);
+    other.send_request(1, "map", &attempt(3), None, b"");
+    pool.complete_next_run(1, 3, b"three");
+    other.read_until(&[b"three"]);
     assert_eq!(edge.0.read(&mut [0; 16]).unwrap(), 0);
 }
 
@@ -132,10 +132,10 @@
 #[test]
 fn a_partial_request_on_a_closing_connection_is_awaited() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     edge.0.write_all(&check(1)).unwrap();
-    edge.hears(&[b"closing"]);
+    edge.read_until(&[b"closing"]);
     let message = request(2, "map", &attempt(2), None, b"");
     let (first, second) = message.split_at(message.len() / 2);
     std::thread::sleep(Duration::from_millis(700));
@@ -143,16 +143,16 @@
     // Without the partial message the connection would have closed by now.
     std::thread::sleep(Duration::from_millis(600));
     edge.0.write_all(second).unwrap();
-    pool.runs(1, 2, b"two");
-    edge.hears(&[b"two"]);
+    pool.complete_next_run(1, 2, b"two");
+    edge.read_until(&[b"two"]);
 }
 
 /// Opens more connections than the limit, each with a repetition of one request that runs until the pool ends it: no
 /// accepted connection is idle, so the others wait in the accept queue.
-fn exceed_connection_limit(program: &Program, pool: &mut PoolEnd) -> Vec<Edge> {
+fn exceed_connection_limit(program: &Program, pool: &mut PoolConnection) -> Vec<EdgeConnection> {
     let open = |n: u32| {
         let mut edge = program.connect();
-        edge.ask(1, "buy", &attempt(n), Some("t"), b"");
+        edge.send_request(1, "buy", &attempt(n), Some("t"), b"");
         edge
     };
     let mut all = vec![open(1)];
@@ -165,56 +165,56 @@
 #[test]
 fn connections_in_the_accept_queue_at_the_end_of_the_grace_period_are_answered() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut all = exceed_connection_limit(&program, &mut pool);
     program.term();
     // Longer than the grace period.
     std::thread::sleep(Duration::from_millis(500));
     pool.finish(1, &attempt(1), b"done");
     for mut edge in all.drain(..) {
-        assert_eq!(answers(&read_to_close(&mut edge)), 1);
+        assert_eq!(count_responses(&read_to_close(&mut edge)), 1);
     }
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
 fn a_request_on_a_connection_not_yet_accepted_at_sigterm_is_answered() {
-    let mut program = Program::told(None::<fn(&str) -> Option<String>>, |config| {
+    let mut program = Program::start_with(None::<fn(&str) -> Option<String>>, |config| {
         set(config, "/settings/rules/stop_sending_within", 0);
     });
-    let mut pool = PoolEnd::accept(&program.pool);
-    pool.bound("0", "3.5");
+    let mut pool = PoolConnection::accept(&program.pool);
+    pool.bind("0", "3.5");
     program.pause();
     let mut edge = program.connect();
-    edge.ask(1, "buy", &attempt(1), Some("t"), b"");
+    edge.send_request(1, "buy", &attempt(1), Some("t"), b"");
     program.term();
     program.resume();
-    assert_eq!(answers(&read_to_close(&mut edge)), 1);
+    assert_eq!(count_responses(&read_to_close(&mut edge)), 1);
     drop(edge);
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
 fn a_reload_and_sigterm_in_one_turn_both_take_effect() {
     let mut program = Program::start(|_| None);
-    let _pool = program.serving();
+    let _pool = program.wait_until_serving();
     let (members, addr) = listen(&program.edge.ip().to_string());
     let (say, reports) = channel();
-    http(members, say, listed);
+    http(members, say, report_accepted);
     program.pause();
     program.term();
     program.reload(&[("members", addr)]);
     program.resume();
-    assert!(reports.recv_timeout(LONG).unwrap().ends_with("{\"phase\":\"OUT\"}"));
-    assert!(program.ended().success());
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"OUT\"}"));
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
 fn an_invalid_configuration_twice_while_draining_changes_nothing() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    edge.ask(1, "map", &attempt(1), None, b"");
+    edge.send_request(1, "map", &attempt(1), None, b"");
     assert_eq!(pool.next().0[1], attempt(1));
     program.pause();
     std::fs::write(&program.config, "{\"name\": \"n1\"").unwrap();
@@ -224,35 +224,35 @@
     assert!(program.reports.iter().any(|r| r.ends_with("{\"phase\":\"OUT\"}")));
     program.signal("-HUP");
     pool.finish(1, &attempt(1), b"one");
-    edge.hears(&[b"one"]);
+    edge.read_until(&[b"one"]);
     drop(edge);
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
 }
 
 /// Its addresses are another customer's: none of its fields may take effect.
 #[test]
 fn a_configuration_of_another_server_or_of_other_request_classes_moves_nothing() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let (other, addr) = listen(&program.edge.ip().to_string());
-    let original = program.told.clone();
+    let original = program.configuration.clone();
     for (path, value) in [("/name", "n2".into()), ("/settings/profiles", serde_json::json!([{"name": "x"}]))]
     {
-        program.told = original.clone();
-        set(&mut program.told, path, value);
+        program.configuration = original.clone();
+        set(&mut program.configuration, path, value);
         program.reload(&[("pool", addr), ("members", addr), ("index", addr)]);
-        assert!(within(&other, Duration::from_millis(300)).is_none(), "{path}");
+        assert!(accept_within(&other, Duration::from_millis(300)).is_none(), "{path}");
     }
     let mut edge = program.connect();
-    edge.ask(1, "map", &attempt(1), None, b"");
-    pool.runs(1, 1, b"one");
-    edge.hears(&[b"one"]);
+    edge.send_request(1, "map", &attempt(1), None, b"");
+    pool.complete_next_run(1, 1, b"one");
+    edge.read_until(&[b"one"]);
 }
 
 #[test]
 fn all_invalid_settings_are_named_at_the_start() {
     let program = Program::start(|_| None);
-    let mut configuration = program.told.clone();
+    let mut configuration = program.configuration.clone();
     set(&mut configuration, "/settings/family_info/memory_kb", "lots");
     set(&mut configuration, "/settings/rules/fall_multiple", -1);
     set(&mut configuration, "/settings/profiles/1/name", "map");
@@ -274,65 +274,65 @@
 #[test]
 fn a_pool_that_is_replaced_while_the_server_is_suspended_counts_as_restarted() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    edge.ask(1, "map", &attempt(1), None, b"");
-    pool.runs(4, 1, b"one");
-    edge.hears(&[b"one"]);
-    edge.ask(2, "map", &attempt(2), None, b"");
+    edge.send_request(1, "map", &attempt(1), None, b"");
+    pool.complete_next_run(4, 1, b"one");
+    edge.read_until(&[b"one"]);
+    edge.send_request(2, "map", &attempt(2), None, b"");
     assert_eq!(pool.next().0[1], attempt(2));
     program.pause();
     drop(pool);
     std::thread::sleep(Duration::from_millis(1200));
     program.resume();
-    let mut pool = PoolEnd::accept(&program.pool);
-    pool.bound("4", "400");
+    let mut pool = PoolConnection::accept(&program.pool);
+    pool.bind("4", "400");
     // Runs of the old pool have ended; notices of the new one count from its first one on.
-    edge.hears(&[&[0x94, 1, 2, 0x92]]);
-    edge.ask(3, "map", &attempt(3), None, b"");
-    pool.runs(1, 3, b"three");
-    edge.hears(&[b"three"]);
+    edge.read_until(&[&[0x94, 1, 2, 0x92]]);
+    edge.send_request(3, "map", &attempt(3), None, b"");
+    pool.complete_next_run(1, 3, b"three");
+    edge.read_until(&[b"three"]);
 }
 
 #[test]
 fn a_server_killed_with_requests_in_flight_serves_again_at_its_old_place() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    edge.ask(1, "buy", &attempt(1), Some("t"), b"");
+    edge.send_request(1, "buy", &attempt(1), Some("t"), b"");
     assert_eq!(pool.next().0[1], attempt(1));
     program.restart();
     drop(edge);
-    let mut pool = PoolEnd::accept(&program.pool);
+    let mut pool = PoolConnection::accept(&program.pool);
     assert_eq!(pool.next().0, ["bind", "0"]);
-    pool.say("bound warm 2000\r\n");
+    pool.send("bound warm 2000\r\n");
     // A result for a run of the process before is unknown, and harmless.
     pool.finish(1, &attempt(1), b"one");
     let mut edge = program.connect();
-    edge.ask(1, "buy", &attempt(2), Some("u"), b"");
-    pool.runs(2, 2, b"two");
-    edge.hears(&[b"two"]);
+    edge.send_request(1, "buy", &attempt(2), Some("u"), b"");
+    pool.complete_next_run(2, 2, b"two");
+    edge.read_until(&[b"two"]);
 }
 
 #[test]
 fn restarts_with_the_membership_service_away_are_ready_in_their_time() {
-    let mut program = Program::begin(None::<fn(&str) -> Option<String>>);
-    let mut pool = PoolEnd::accept(&program.pool);
+    let mut program = Program::start_with_stubs(None::<fn(&str) -> Option<String>>);
+    let mut pool = PoolConnection::accept(&program.pool);
     for _ in 0..10 {
         assert_eq!(pool.next().0, ["bind", "0"]);
         program.restart();
         let began = Instant::now();
-        pool = PoolEnd::accept(&program.pool);
+        pool = PoolConnection::accept(&program.pool);
         assert_eq!(pool.next().0, ["bind", "0"]);
-        pool.say("bound cold 10\r\n");
+        pool.send("bound cold 10\r\n");
         let mut edge = program.connect();
-        edge.ask(1, "map", &attempt(1), None, b"");
-        pool.runs(1, 1, b"one");
-        edge.hears(&[b"one"]);
+        edge.send_request(1, "map", &attempt(1), None, b"");
+        pool.complete_next_run(1, 1, b"one");
+        edge.read_until(&[b"one"]);
         assert!(began.elapsed() < Duration::from_secs(10));
         // The next process takes over the address.
         program.restart();
-        pool = PoolEnd::accept(&program.pool);
+        pool = PoolConnection::accept(&program.pool);
     }
 }
 
@@ -340,9 +340,9 @@
 #[test]
 fn idle_clients_leave_descriptors_for_the_servers_own_connections() {
     let mut program = Program::limited(None::<fn(&str) -> Option<String>>, |_| (), 32);
-    let mut pool = PoolEnd::accept(&program.pool);
-    pool.bound("0", "3.5");
-    let mut idle: Vec<Edge> = Vec::new();
+    let mut pool = PoolConnection::accept(&program.pool);
+    pool.bind("0", "3.5");
+    let mut idle: Vec<EdgeConnection> = Vec::new();
     for _ in 0..100 {
         let mut edge = program.connect();
         let _ = edge.0.write_all(&check(1));
@@ -350,21 +350,21 @@
     }
     // The link to the pool is lost and bound again, the membership service returns, and a new client is served.
     drop(pool);
-    let mut pool = PoolEnd::accept(&program.pool);
-    pool.bound("0", "60000");
+    let mut pool = PoolConnection::accept(&program.pool);
+    pool.bind("0", "60000");
     let (addr, reports) = program.away.pop().unwrap();
-    http(back(addr), reports, listed);
-    assert!(program.reports.recv_timeout(LONG).unwrap().ends_with("{\"phase\":\"UP\"}"));
+    http(listen_again(addr), reports, report_accepted);
+    assert!(program.reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"UP\"}"));
     let mut edge = program.connect();
-    edge.ask(1, "map", &attempt(1), None, b"");
-    pool.runs(1, 1, b"one");
-    edge.hears(&[b"one"]);
+    edge.send_request(1, "map", &attempt(1), None, b"");
+    pool.complete_next_run(1, 1, b"one");
+    edge.read_until(&[b"one"]);
 }
 
 #[test]
 fn at_the_connection_limit_the_server_waits_without_spinning_and_accepts_again_later() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut all = exceed_connection_limit(&program, &mut pool);
     let before = program.sleeps();
     std::thread::sleep(Duration::from_secs(1));
@@ -373,20 +373,20 @@
     pool.finish(1, &attempt(1), b"done");
     // Answered connections close and make room for the others.
     for mut edge in all.drain(..) {
-        edge.hears(&[b"done"]);
+        edge.read_until(&[b"done"]);
     }
 }
 
 /// Neither an unavailable nor a silent membership service delays the shutdown.
 #[test]
 fn a_membership_service_that_does_not_answer_does_not_delay_the_shutdown() {
-    let mut program = Program::begin(None::<fn(&str) -> Option<String>>);
-    let silent = back(program.away.pop().unwrap().0);
-    let mut pool = PoolEnd::accept(&program.pool);
-    pool.bound("0", "3.5");
-    let _first = within(&silent, LONG).expect("nothing was reported");
+    let mut program = Program::start_with_stubs(None::<fn(&str) -> Option<String>>);
+    let silent = listen_again(program.away.pop().unwrap().0);
+    let mut pool = PoolConnection::accept(&program.pool);
+    pool.bind("0", "3.5");
+    let _first = accept_within(&silent, TIMEOUT).expect("nothing was reported");
     let began = Instant::now();
     program.term();
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
     assert!(began.elapsed() < Duration::from_millis(1500), "beyond the stop");
 }
--- a/crates/aldercrank-server/tests/suite/edge_connections.rs
+++ b/crates/aldercrank-server/tests/suite/edge_connections.rs
@@ -1,76 +1,76 @@
 //! The program on loopback sockets: idle, silent, slow and vanishing connections from edge nodes.
 
 use crate::codecs::check;
-use crate::harness::{attempt, Edge, Program};
+use crate::harness::{attempt, EdgeConnection, Program};
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
 #[test]
 fn silent_connections_and_partial_messages_time_out_and_make_room_at_the_limit() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let (mut half, mut busy) = (program.connect(), program.connect());
     half.0.write_all(&[0x94, 0, 1]).unwrap();
-    busy.ask(1, "map", &attempt(1), None, b"");
+    busy.send_request(1, "map", &attempt(1), None, b"");
     assert_eq!(pool.next().0[1], attempt(1));
     // More than the connection limit: silent connections make room, a busy one does not.
-    let mut silent: Vec<Edge> = (0..100).map(|_| program.connect()).collect();
+    let mut silent: Vec<EdgeConnection> = (0..100).map(|_| program.connect()).collect();
     let mut good = program.connect();
     good.0.write_all(&check(1)).unwrap();
     good.0.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-    good.hears(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc3]]);
+    good.read_until(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc3]]);
     pool.finish(1, &attempt(1), b"done");
-    busy.hears(&[b"done"]);
+    busy.read_until(&[b"done"]);
     // All are closed well before a caller would time out.
     let began = Instant::now();
-    half.closes();
-    silent.iter_mut().for_each(|edge| drop(edge.closes()));
+    half.read_to_end();
+    silent.iter_mut().for_each(|edge| drop(edge.read_to_end()));
     assert!(began.elapsed() < Duration::from_millis(2500));
 }
 
 #[test]
 fn idle_connections_are_asked_to_close_and_busy_ones_are_not() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let (mut idle, mut busy) = (program.connect(), program.connect());
     idle.0.write_all(&check(1)).unwrap();
-    busy.ask(1, "map", &attempt(1), None, b"");
+    busy.send_request(1, "map", &attempt(1), None, b"");
     assert_eq!(pool.next().0[1], attempt(1));
     // Health checks keep their connection from being idle.
     let mut checks = program.connect();
     for n in 1..=7 {
         checks.0.write_all(&check(n)).unwrap();
-        assert!(!checks.hears(&[&[0xc0, 0x92, 0xc3]]).windows(7).any(|w| w == b"closing"));
+        assert!(!checks.read_until(&[&[0xc0, 0x92, 0xc3]]).windows(7).any(|w| w == b"closing"));
         std::thread::sleep(Duration::from_millis(100));
     }
     // Only a connection that has sent a message is notified; this one has.
-    let received = idle.closes();
+    let received = idle.read_to_end();
     assert!(received.ends_with(&[&[0x93, 2, 0xa7], b"closing".as_slice(), &[0x90]].concat()));
     pool.finish(1, &attempt(1), b"late");
-    busy.hears(&[b"late", b"closing"]);
+    busy.read_until(&[b"late", b"closing"]);
 }
 
 #[test]
 fn a_peer_that_does_not_read_delays_no_other_and_gets_all_answers_later() {
     let mut program = Program::start(|_| None);
-    let pool = program.serving();
+    let pool = program.wait_until_serving();
     std::thread::spawn(move || pool.serve(&[7; 4096]));
     let (mut stuck, mut good) = (program.connect(), program.connect());
-    let mut writer = Edge(stuck.0.try_clone().unwrap());
+    let mut writer = EdgeConnection(stuck.0.try_clone().unwrap());
     // As many calls as may be open at once.
     let all = 32;
     let writing =
-        std::thread::spawn(move || (1..=all).for_each(|n| writer.ask(n, "map", &attempt(n), None, b"")));
+        std::thread::spawn(move || (1..=all).for_each(|n| writer.send_request(n, "map", &attempt(n), None, b"")));
     for n in 1..=20 {
-        good.ask(n, "map", &attempt(1000 + n), None, b"");
-        good.hears(&[&[0x94, 1, n as u8]]);
+        good.send_request(n, "map", &attempt(1000 + n), None, b"");
+        good.read_until(&[&[0x94, 1, n as u8]]);
     }
     let mut received = Vec::new();
-    let answers = |bytes: &[u8]| bytes.windows(2).filter(|w| *w == [0x94, 1]).count();
-    while answers(&received) < all as usize {
+    let count_responses = |bytes: &[u8]| bytes.windows(2).filter(|w| *w == [0x94, 1]).count();
+    while count_responses(&received) < all as usize {
         let mut chunk = [0; 65536];
         let n = stuck.0.read(&mut chunk).unwrap();
-        assert!(n > 0, "closed after {} answers", answers(&received));
+        assert!(n > 0, "closed after {} answers", count_responses(&received));
         received.extend(&chunk[..n]);
     }
     writing.join().unwrap();
@@ -79,7 +79,7 @@
 #[test]
 fn callers_that_leave_during_an_answer_leak_neither_memory_nor_descriptors() {
     let mut program = Program::start(|_| None);
-    let pool = program.serving();
+    let pool = program.wait_until_serving();
     std::thread::spawn(move || pool.serve(&[7; 200_000]));
     let usage = |what: &str, program: &Program| {
         let proc = format!("/proc/{}", program.child.id());
@@ -94,16 +94,16 @@
     };
     let half_read = |n: u32| {
         let mut edge = program.connect();
-        edge.ask(1, "map", &attempt(n), None, b"x");
+        edge.send_request(1, "map", &attempt(n), None, b"x");
         // The start of the answer has arrived; the rest does not fit into the socket buffers.
-        edge.hears(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc6]]);
+        edge.read_until(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc6]]);
     };
     (1..=20).for_each(half_read);
     let before = ["descriptors", "memory"].map(|what| usage(what, &program));
     (21..=220).for_each(half_read);
     let mut edge = program.connect();
-    edge.ask(1, "map", &attempt(1000), None, b"x");
-    edge.hears(&[&[7; 200_000]]);
+    edge.send_request(1, "map", &attempt(1000), None, b"x");
+    edge.read_until(&[&[7; 200_000]]);
     drop(edge);
     std::thread::sleep(Duration::from_millis(100));
     let after = ["descriptors", "memory"].map(|what| usage(what, &program));
--- a/crates/aldercrank-server/tests/suite/edge_protocol.rs
+++ b/crates/aldercrank-server/tests/suite/edge_protocol.rs
@@ -8,24 +8,24 @@
 #[test]
 fn a_protocol_violation_closes_its_connection_alone_and_fails_its_open_calls() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let (mut bad, mut crowd, mut good) = (program.connect(), program.connect(), program.connect());
-    bad.ask(1, "map", &attempt(1), None, b"");
+    bad.send_request(1, "map", &attempt(1), None, b"");
     assert_eq!(pool.next().0[1], attempt(1));
     bad.0.write_all(&[0xc1, 0xc1]).unwrap();
     // At once, though its request still runs: the later result is delivered to nobody.
-    assert!(bad.closes().windows(8).any(|w| w == b"Internal"));
+    assert!(bad.read_to_end().windows(8).any(|w| w == b"Internal"));
     pool.finish(1, &attempt(1), b"done");
     // One call more than may be open: it does not run, and the open ones are answered.
-    (1..=33).for_each(|n| crowd.ask(n, "map", &attempt(100 + n), None, b""));
-    good.ask(1, "map", &attempt(2), None, b"");
-    good.ask(2, "nothing", &attempt(3), None, b"");
+    (1..=33).for_each(|n| crowd.send_request(n, "map", &attempt(100 + n), None, b""));
+    good.send_request(1, "map", &attempt(2), None, b"");
+    good.send_request(2, "nothing", &attempt(3), None, b"");
     good.0.write_all(&interrupt(77)).unwrap();
-    good.hears(&[&[0x94, 1, 2, 0x92], b"Internal"]);
-    let answers = crowd.closes().windows(2).filter(|w| *w == [0x94, 1]).count();
-    assert_eq!(answers, 32);
+    good.read_until(&[&[0x94, 1, 2, 0x92], b"Internal"]);
+    let count_responses = crowd.read_to_end().windows(2).filter(|w| *w == [0x94, 1]).count();
+    assert_eq!(count_responses, 32);
     good.0.write_all(&check(9)).unwrap();
-    good.hears(&[&[0x94, 1, 9, 0xc0, 0x92, 0xc3]]);
+    good.read_until(&[&[0x94, 1, 9, 0xc0, 0x92, 0xc3]]);
     // Each kind gets an error or a close, and none of it reaches the pool.
     let time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string();
     let with = |name: &str, value: &str| {
@@ -58,10 +58,10 @@
     for bytes in invalid {
         let mut bad = program.connect();
         bad.0.write_all(&bytes).unwrap();
-        let received = bad.closes();
+        let received = bad.read_to_end();
         assert!(!received.windows(3).any(|w| w == [0x94, 1, 0xc0]), "{bytes:?}");
     }
-    good.ask(10, "map", &attempt(10), None, b"");
+    good.send_request(10, "map", &attempt(10), None, b"");
     loop {
         // Except the first of two with one message id, which was stopped.
         let (command, _) = pool.next();
@@ -75,22 +75,22 @@
 #[test]
 fn a_cancelled_request_gets_one_answer_and_an_invalid_one_gets_an_error() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    edge.ask(1, "map", &attempt(1), None, b"");
-    edge.ask(2, "buy", &attempt(2), Some("t"), b"");
+    edge.send_request(1, "map", &attempt(1), None, b"");
+    edge.send_request(2, "buy", &attempt(2), Some("t"), b"");
     assert_eq!([pool.next().0[1].clone(), pool.next().0[1].clone()], [attempt(1), attempt(2)]);
     (1..=2).for_each(|n| edge.0.write_all(&interrupt(n)).unwrap());
     // An idempotent run is stopped; one that runs once goes on, and a repeated request gets its result.
     assert_eq!(pool.next().0, ["suspend".to_string(), attempt(1)]);
-    pool.say(&format!("finished 1 {} halted 9 0\r\n\r\n", attempt(1)));
-    edge.ask(3, "buy", &attempt(3), Some("t"), b"");
+    pool.send(&format!("finished 1 {} halted 9 0\r\n\r\n", attempt(1)));
+    edge.send_request(3, "buy", &attempt(3), Some("t"), b"");
     pool.finish(2, &attempt(2), b"two");
     // A cancellation that crosses the answer changes nothing, nor does one for an unknown call.
     edge.0.write_all(&interrupt(3)).unwrap();
     edge.0.write_all(&interrupt(99)).unwrap();
     edge.0.write_all(&call(4, "map", &[("rid", &attempt(4)), ("t0", "soon"), ("budget", "9")], b"")).unwrap();
-    let received = edge.closes();
+    let received = edge.read_to_end();
     let answered = |n: u8| received.windows(3).filter(|w| *w == [0x94, 1, n]).count();
     assert_eq!((answered(1), answered(2), answered(3), answered(4)), (1, 1, 1, 1));
 }
@@ -98,10 +98,10 @@
 #[test]
 fn cancelling_all_open_calls_in_one_segment_stops_every_run_with_one_answer_each() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     for n in 1..=32 {
-        edge.ask(n, "map", &attempt(n), None, b"x");
+        edge.send_request(n, "map", &attempt(n), None, b"x");
     }
     (1..=20).for_each(|_| assert_eq!(pool.next().0[0], "spawn"));
     let all: Vec<u8> = (1..=32).flat_map(interrupt).collect();
@@ -111,11 +111,11 @@
         let (command, _) = pool.next();
         if command[0] == "suspend" {
             assert!(stopped.insert(command[1].clone()), "{command:?} twice");
-            pool.say(&format!("finished {} {} halted 1 0\r\n\r\n", stopped.len(), command[1]));
+            pool.send(&format!("finished {} {} halted 1 0\r\n\r\n", stopped.len(), command[1]));
         }
     }
     // As many calls may be open again, and each message id is free.
-    edge.ask(1, "map", &attempt(100), None, b"x");
+    edge.send_request(1, "map", &attempt(100), None, b"x");
     let command = loop {
         let (command, _) = pool.next();
         if command[1] == attempt(100) {
@@ -124,22 +124,22 @@
     };
     assert_eq!(command[0], "spawn");
     pool.finish(100, &attempt(100), b"done");
-    let all = edge.hears(&[b"done"]);
+    let all = edge.read_until(&[b"done"]);
     assert_eq!(all.windows(8).filter(|w| *w == b"Internal").count(), 32);
 }
 
 #[test]
 fn a_body_at_the_limit_runs_and_one_over_the_limit_closes_the_connection() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     let body: Vec<u8> = (0..2048u32).map(|i| (i % 251) as u8).collect();
-    edge.ask(1, "map", &attempt(1), None, &body);
+    edge.send_request(1, "map", &attempt(1), None, &body);
     assert_eq!(pool.next().1, body);
     pool.finish(1, &attempt(1), &body);
-    edge.hears(&[&body]);
-    edge.ask(2, "map", &attempt(2), None, &vec![1; 2049]);
-    let all = edge.closes();
+    edge.read_until(&[&body]);
+    edge.send_request(2, "map", &attempt(2), None, &vec![1; 2049]);
+    let all = edge.read_to_end();
     assert!(all.windows(8).any(|w| w == b"Internal"));
 }
 
@@ -147,7 +147,7 @@
 #[test]
 fn a_request_without_a_budget_has_the_deadline_of_its_class_where_the_settings_allow_it() {
     let start = |passes: bool| {
-        Program::told(Some(|_: &str| None), move |config| {
+        Program::start_with(Some(|_: &str| None), move |config| {
             config["settings"]["family_info"]["passes_deadline"] = passes.into();
             config["settings"]["profiles"][0]["goal_time"] = 300_000.into();
             config["settings"]["profiles"][0]["give_up"] = 700_000.into();
@@ -160,16 +160,16 @@
         call(1, "map", &fields, b"")
     };
     let mut program = start(false);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     edge.0.write_all(&message()).unwrap();
     assert_eq!(pool.next().0[1], "00000000000000a1");
     // Its run does not end, yet the caller has an answer by the deadline.
     edge.0.set_read_timeout(Some(Duration::from_millis(1200))).unwrap();
-    edge.hears(&[&[0x94, 1, 1, 0x92], b"Internal"]);
+    edge.read_until(&[&[0x94, 1, 1, 0x92], b"Internal"]);
     // Where requests have to state a budget, one without it breaks the protocol.
     let program = start(true);
     let mut edge = program.connect();
     edge.0.write_all(&message()).unwrap();
-    assert!(edge.closes().windows(8).any(|w| w == b"Internal"));
+    assert!(edge.read_to_end().windows(8).any(|w| w == b"Internal"));
 }
--- a/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
@@ -2,7 +2,7 @@
 //! fields in their order, with their values where those don't depend on time.
 
 use super::compare;
-use crate::harness::{free, http, listed, listen, LONG};
+use crate::harness::{unused_address, http, report_accepted, listen, TIMEOUT};
 use aldercrank_consensus::{CommittedState, PeerRequest, PeerResponse, VersionId};
 use aldercrank_server::msgpack_rpc::{
     self, MessageId, ReceivedFields, RequestFields, ResponseHandler, CONSENSUS_METHOD,
@@ -40,7 +40,7 @@
     let pid = std::process::id() % 60_000;
     // Not among the addresses that the harness gives out.
     let ip = format!("127.{}.{}.{}", 16 + pid / 250, 1 + pid % 250, 250 + number);
-    let (address, (pool, pool_address), (members, members_address)) = (free(&ip), listen(&ip), listen(&ip));
+    let (address, (pool, pool_address), (members, members_address)) = (unused_address(&ip), listen(&ip), listen(&ip));
     let directory = std::env::temp_dir().join(format!("aldercrank-golden-status-{pid}-{number}"));
     std::fs::create_dir_all(&directory).unwrap();
     let file = |name: &str, text: String| {
@@ -75,7 +75,7 @@
     let service = file("service.kdl", service + "}\n");
     let config = file("config.json", config.to_string());
     let (say, _) = channel();
-    http(members, say, listed);
+    http(members, say, report_accepted);
     let mut command = Command::new(env!("CARGO_BIN_EXE_aldercrank"));
     command.arg("serve").arg("--service").arg(service).arg(config);
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
@@ -98,7 +98,7 @@
 /// The status as the server writes it; nothing while it does not listen yet.
 fn status(address: SocketAddr) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut request = Vec::new();
     let body = rmp_serde::to_vec(&PeerRequest::Status).unwrap();
     msgpack_rpc::write_request(
@@ -125,7 +125,7 @@
 
 /// Asks until the answer is as wanted.
 fn completed(address: SocketAddr, wanted: fn(&Json) -> bool) -> String {
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TIMEOUT;
     loop {
         if let Some(text) = status(address) {
             if wanted(&serde_json::from_str(&text).unwrap()) {
--- a/crates/aldercrank-server/tests/suite/harness.rs
+++ b/crates/aldercrank-server/tests/suite/harness.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The longest that a test waits for anything.
-pub const LONG: Duration = Duration::from_secs(10);
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Listens on a free port.
 pub fn listen(ip: &str) -> (TcpListener, SocketAddr) {
@@ -21,7 +21,7 @@
 
 /// An address where nobody listens or has listened. A child that another test starts inherits open sockets for a
 /// moment, so that a former listener could still take a connection or keep the program from listening.
-pub fn free(ip: &str) -> SocketAddr {
+pub fn unused_address(ip: &str) -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
     socket.bind(&format!("{ip}:0").parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -29,8 +29,8 @@
 }
 
 /// Listens at an address that was unreachable before; another test's child may have it open for a moment longer.
-pub fn back(addr: SocketAddr) -> TcpListener {
-    let until = Instant::now() + LONG;
+pub fn listen_again(addr: SocketAddr) -> TcpListener {
+    let until = Instant::now() + TIMEOUT;
     loop {
         match TcpListener::bind(addr) {
             Ok(listener) => return listener,
@@ -41,7 +41,7 @@
 }
 
 /// The next connection to this listener; none after `span`.
-pub fn within(listener: &TcpListener, span: Duration) -> Option<TcpStream> {
+pub fn accept_within(listener: &TcpListener, span: Duration) -> Option<TcpStream> {
     listener.set_nonblocking(true).unwrap();
     let until = Instant::now() + span;
     loop {
@@ -58,18 +58,18 @@
 }
 
 /// The worker pool's end of a link, played by the test.
-pub struct PoolEnd {
+pub struct PoolConnection {
     pub reader: BufReader<TcpStream>,
 }
 
-impl PoolEnd {
-    pub fn accept(listener: &TcpListener) -> PoolEnd {
-        let stream = within(listener, LONG).expect("the program never connected to its pool");
-        PoolEnd { reader: BufReader::new(stream) }
+impl PoolConnection {
+    pub fn accept(listener: &TcpListener) -> PoolConnection {
+        let stream = accept_within(listener, TIMEOUT).expect("the program never connected to its pool");
+        PoolConnection { reader: BufReader::new(stream) }
     }
 
     /// Writes to the program.
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
@@ -86,7 +86,7 @@
     }
 
     fn answer_poll(&mut self, tag: &str) {
-        self.say(&format!("polled {tag} 0.1 1 0.2 3\r\n"));
+        self.send(&format!("polled {tag} 0.1 1 0.2 3\r\n"));
     }
 
     /// The payload after a command that has one.
@@ -113,7 +113,7 @@
 
     /// The next command with its payload. Polls are answered on the way and left out.
     pub fn command(&mut self) -> Option<(Vec<String>, Vec<u8>)> {
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + TIMEOUT;
         loop {
             let words = self.read_line()?;
             assert!(Instant::now() < until, "no command but polls");
@@ -126,22 +126,22 @@
     }
 
     /// Expects the link to be bound from the notice `last`, and reports a warm pool of this age in seconds.
-    pub fn bound(&mut self, last: &str, age: &str) {
+    pub fn bind(&mut self, last: &str, age: &str) {
         assert_eq!(self.next().0, ["bind", last]);
-        self.say(&format!("bound warm {age}\r\n"));
+        self.send(&format!("bound warm {age}\r\n"));
     }
 
     /// Expects the start command of this attempt next, and completes its run.
-    pub fn runs(&mut self, notice: u32, number: u32, result: &[u8]) {
+    pub fn complete_next_run(&mut self, notice: u32, number: u32, result: &[u8]) {
         assert_eq!(self.next().0[1], attempt(number));
         self.finish(notice, &attempt(number), result);
     }
 
     /// Completes a run by this notice.
     pub fn finish(&mut self, notice: u32, attempt: &str, result: &[u8]) {
-        self.say(&format!("finished {notice} {attempt} ok 20.5 {}\r\n", result.len()));
+        self.send(&format!("finished {notice} {attempt} ok 20.5 {}\r\n", result.len()));
         self.reader.get_mut().write_all(result).unwrap();
-        self.say("\r\n");
+        self.send("\r\n");
     }
 }
 
@@ -193,7 +193,7 @@
 /// A running program with its stubs; it is killed when dropped.
 pub struct Program {
     /// The configuration that it was started with.
-    pub told: serde_json::Value,
+    pub configuration: serde_json::Value,
     script: String,
     pub child: Child,
     pub edge: SocketAddr,
@@ -210,16 +210,16 @@
 impl Program {
     /// Starts the program; the upstream dependency responds with `answer`.
     pub fn start(answer: impl Fn(&str) -> Option<String> + Send + 'static + Clone) -> Program {
-        Program::begin(Some(answer))
+        Program::start_with_stubs(Some(answer))
     }
 
     /// The same; without `answer` the upstream dependency and the membership service are unreachable.
-    pub fn begin(answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>) -> Program {
-        Program::told(answer, |_| ())
+    pub fn start_with_stubs(answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>) -> Program {
+        Program::start_with(answer, |_| ())
     }
 
     /// The same, with a changed configuration.
-    pub fn told(
+    pub fn start_with(
         answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>,
         change: impl Fn(&mut serde_json::Value),
     ) -> Program {
@@ -249,13 +249,13 @@
         let (pid, number) = (std::process::id() % 60_000, PROGRAMS.fetch_add(1, Ordering::Relaxed));
         let ip = format!("127.{}.{}.{number}", 16 + pid / 250, 1 + pid % 250);
         let (edge, (pool, pool_addr), (index, index_addr), (members, members_addr)) =
-            (free(&ip), listen(&ip), listen(&ip), listen(&ip));
+            (unused_address(&ip), listen(&ip), listen(&ip), listen(&ip));
         let ((say_call, calls), (say_report, reports)) = (channel(), channel());
         let mut away = Vec::new();
         match answer {
             Some(answer) => {
                 http(index, say_call, answer);
-                http(members, say_report, listed);
+                http(members, say_report, report_accepted);
             }
             None => away = vec![(index_addr, say_call), (members_addr, say_report)],
         }
@@ -278,7 +278,7 @@
         std::fs::write(&path, config.to_string()).unwrap();
         let child = spawn_program(script, &path);
         Program {
-            told: config,
+            configuration: config,
             script: script.to_string(),
             child,
             edge,
@@ -301,7 +301,7 @@
     pub fn pause(&self) {
         self.signal("-STOP");
         let status = format!("/proc/{}/stat", self.child.id());
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + TIMEOUT;
         while !std::fs::read_to_string(&status).unwrap().contains(") T ") {
             assert!(Instant::now() < until, "was not stopped");
             std::thread::sleep(Duration::from_millis(1));
@@ -320,21 +320,21 @@
     }
 
     /// Waits until the program serves; gives its link to the pool.
-    pub fn serving(&mut self) -> PoolEnd {
-        let mut pool = PoolEnd::accept(&self.pool);
-        pool.bound("0", "3.5");
-        assert!(self.reports.recv_timeout(LONG).unwrap().ends_with("{\"phase\":\"UP\"}"));
+    pub fn wait_until_serving(&mut self) -> PoolConnection {
+        let mut pool = PoolConnection::accept(&self.pool);
+        pool.bind("0", "3.5");
+        assert!(self.reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"UP\"}"));
         pool
     }
 
     /// Connects as an edge node, once the program listens.
-    pub fn connect(&self) -> Edge {
-        let until = Instant::now() + LONG;
+    pub fn connect(&self) -> EdgeConnection {
+        let until = Instant::now() + TIMEOUT;
         loop {
             match TcpStream::connect(self.edge) {
                 Ok(stream) => {
-                    stream.set_read_timeout(Some(LONG)).unwrap();
-                    return Edge(stream);
+                    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+                    return EdgeConnection(stream);
                 }
                 Err(e) => assert!(Instant::now() < until, "{e}"),
             }
@@ -343,13 +343,13 @@
     }
 
     /// Connects with a small receive buffer, so that responses that are not read stay with the server.
-    pub fn connect_slow(&self) -> Edge {
+    pub fn connect_slow(&self) -> EdgeConnection {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(1024).unwrap();
         socket.connect(&self.edge.into()).unwrap();
         let stream = TcpStream::from(socket);
-        stream.set_read_timeout(Some(LONG)).unwrap();
-        Edge(stream)
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+        EdgeConnection(stream)
     }
 
     pub fn signal(&self, signal: &str) {
@@ -363,15 +363,15 @@
 
     /// Writes the configuration with these addresses changed, and has the program read it again.
     pub fn reload(&self, addrs: &[(&str, SocketAddr)]) {
-        let mut config = self.told.clone();
+        let mut config = self.configuration.clone();
         addrs.iter().for_each(|(field, addr)| config[*field] = serde_json::json!(addr));
         std::fs::write(&self.config, config.to_string()).unwrap();
         self.signal("-HUP");
     }
 
     /// Waits until the program has exited.
-    pub fn ended(&mut self) -> ExitStatus {
-        let until = Instant::now() + LONG;
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let until = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
@@ -400,16 +400,16 @@
 }
 
 /// A connection of an edge node.
-pub struct Edge(pub TcpStream);
+pub struct EdgeConnection(pub TcpStream);
 
-impl Edge {
+impl EdgeConnection {
     /// Sends a request.
-    pub fn ask(&mut self, id: u32, class: &str, attempt: &str, token: Option<&str>, body: &[u8]) {
+    pub fn send_request(&mut self, id: u32, class: &str, attempt: &str, token: Option<&str>, body: &[u8]) {
         self.0.write_all(&request(id, class, attempt, token, body)).unwrap();
     }
 
     /// Reads until all these parts have arrived one after the other; gives all bytes read.
-    pub fn hears(&mut self, parts: &[&[u8]]) -> Vec<u8> {
+    pub fn read_until(&mut self, parts: &[&[u8]]) -> Vec<u8> {
         let mut all = Vec::new();
         loop {
             let mut at = 0;
@@ -429,7 +429,7 @@
     }
 
     /// Reads until the server closes the connection.
-    pub fn closes(&mut self) -> Vec<u8> {
+    pub fn read_to_end(&mut self) -> Vec<u8> {
         let mut all = Vec::new();
         self.0.read_to_end(&mut all).unwrap();
         all
@@ -437,7 +437,7 @@
 }
 
 /// How many responses to requests these bytes have.
-pub fn answers(bytes: &[u8]) -> usize {
+pub fn count_responses(bytes: &[u8]) -> usize {
     bytes.windows(2).filter(|w| *w == [0x94, 1]).count()
 }
 
@@ -447,7 +447,7 @@
 }
 
 /// The membership service's response to a report.
-pub fn listed(_: &str) -> Option<String> {
+pub fn report_accepted(_: &str) -> Option<String> {
     Some("HTTP/1.1 204 No Content\r\n\r\n".to_string())
 }
 
--- a/crates/aldercrank-server/tests/suite/lifecycle.rs
+++ b/crates/aldercrank-server/tests/suite/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The program on loopback sockets from start to shutdown: health, reports, reloads and unavailable neighbours.
 
 use crate::codecs::check;
-use crate::harness::{attempt, back, http, listed, listen, ok, within, PoolEnd, Program, LONG};
+use crate::harness::{attempt, listen_again, http, report_accepted, listen, ok, accept_within, PoolConnection, Program, TIMEOUT};
 use std::io::{Read, Write};
 use std::process::Command;
 use std::sync::mpsc::channel;
@@ -13,45 +13,45 @@
     let mut edge = program.connect();
     edge.0.write_all(&check(1)).unwrap();
     // Unhealthy before the pool is bound.
-    edge.hears(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc2]]);
-    let mut pool = program.serving();
+    edge.read_until(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc2]]);
+    let mut pool = program.wait_until_serving();
     edge.0.write_all(&check(2)).unwrap();
-    edge.hears(&[&[0x94, 1, 2, 0xc0, 0x92, 0xc3]]);
+    edge.read_until(&[&[0x94, 1, 2, 0xc0, 0x92, 0xc3]]);
     // Two requests at once, completed in the opposite order; the first makes a dependency call.
-    edge.ask(3, "map", &attempt(3), None, &[0, 13, 10]);
-    edge.ask(4, "buy", &attempt(4), Some("t"), b"");
+    edge.send_request(3, "map", &attempt(3), None, &[0, 13, 10]);
+    edge.send_request(4, "buy", &attempt(4), Some("t"), b"");
     assert_eq!(pool.next(), (vec!["spawn".into(), attempt(3), "map".into(), "3".into()], vec![0, 13, 10]));
     assert_eq!(pool.next().0[1], attempt(4));
-    pool.say(&format!("blocked 1 {} 2\r\n\r\n\r\n", attempt(3)));
-    let asked = program.calls.recv_timeout(LONG).unwrap();
+    pool.send(&format!("blocked 1 {} 2\r\n\r\n\r\n", attempt(3)));
+    let asked = program.calls.recv_timeout(TIMEOUT).unwrap();
     assert!(asked.contains(&format!("X-Parent-Id: {}\r\n", attempt(3))) && asked.ends_with("\r\n\r\n\r\n"));
     assert_eq!(pool.next(), (vec!["supply".into(), attempt(3), "8".into()], b"reply\r\n!".to_vec()));
     pool.finish(2, &attempt(4), b"\xff\0four");
-    edge.hears(&[&[0x94, 1, 4, 0xc0, 0x92, 0xc4, 6], b"\xff\0four", b"hint"]);
+    edge.read_until(&[&[0x94, 1, 4, 0xc0, 0x92, 0xc4, 6], b"\xff\0four", b"hint"]);
     // A repeated request is answered with the cached response.
-    edge.ask(5, "buy", &attempt(5), Some("t"), b"");
-    edge.hears(&[&[0x94, 1, 5, 0xc0, 0x92, 0xc4, 6], b"\xff\0four"]);
+    edge.send_request(5, "buy", &attempt(5), Some("t"), b"");
+    edge.read_until(&[&[0x94, 1, 5, 0xc0, 0x92, 0xc4, 6], b"\xff\0four"]);
     // On SIGTERM the server reports OUT, is unhealthy, awaits what runs, and then closes everything.
     program.term();
     assert!(program.reports.iter().any(|r| r.ends_with("{\"phase\":\"OUT\"}")));
     edge.0.write_all(&check(6)).unwrap();
-    edge.hears(&[&[0x94, 1, 6, 0xc0, 0x92, 0xc2]]);
+    edge.read_until(&[&[0x94, 1, 6, 0xc0, 0x92, 0xc2]]);
     pool.finish(3, &attempt(3), b"three");
-    edge.hears(&[&[0x94, 1, 3, 0xc0, 0x92, 0xc4, 5], b"three", b"closing"]);
+    edge.read_until(&[&[0x94, 1, 3, 0xc0, 0x92, 0xc4, 5], b"three", b"closing"]);
     drop(edge);
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
 fn before_the_pool_is_bound_requests_are_rejected_and_sigterm_exits_cleanly() {
     let mut program = Program::start(|_| None);
     let mut edge = program.connect();
-    edge.ask(1, "map", &attempt(1), None, b"");
-    edge.hears(&[&[0x94, 1, 1, 0x92], b"Overloaded"]);
+    edge.send_request(1, "map", &attempt(1), None, b"");
+    edge.read_until(&[&[0x94, 1, 1, 0x92], b"Overloaded"]);
     program.term();
-    edge.hears(&[b"closing"]);
+    edge.read_until(&[b"closing"]);
     drop(edge);
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
@@ -73,38 +73,38 @@
 
 #[test]
 fn without_dependency_and_membership_service_requests_are_served_and_reports_follow_later() {
-    let mut program = Program::begin(None::<fn(&str) -> Option<String>>);
-    let mut pool = PoolEnd::accept(&program.pool);
-    pool.bound("0", "3.5");
+    let mut program = Program::start_with_stubs(None::<fn(&str) -> Option<String>>);
+    let mut pool = PoolConnection::accept(&program.pool);
+    pool.bind("0", "3.5");
     let mut edge = program.connect();
     // A call whose connection was refused never ran: it is retried, and the request fails by its deadline.
-    edge.ask(1, "buy", &attempt(1), Some("t"), b"");
+    edge.send_request(1, "buy", &attempt(1), Some("t"), b"");
     assert_eq!(pool.next().0[1], attempt(1));
-    pool.say(&format!("blocked 1 {} 1\r\n?\r\n", attempt(1)));
-    edge.ask(2, "map", &attempt(2), None, b"");
+    pool.send(&format!("blocked 1 {} 1\r\n?\r\n", attempt(1)));
+    edge.send_request(2, "map", &attempt(2), None, b"");
     assert_eq!(pool.next().0[1], attempt(2));
     pool.finish(2, &attempt(2), b"two");
-    edge.hears(&[b"two", &[0x94, 1, 1, 0x92], b"Internal"]);
+    edge.read_until(&[b"two", &[0x94, 1, 1, 0x92], b"Internal"]);
     let (addr, reports) = program.away.pop().unwrap();
-    http(back(addr), reports, listed);
-    assert!(program.reports.recv_timeout(LONG).unwrap().ends_with("{\"phase\":\"UP\"}"));
+    http(listen_again(addr), reports, report_accepted);
+    assert!(program.reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"UP\"}"));
 }
 
 #[test]
 fn after_a_suspension_of_the_process_each_request_has_one_answer() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    (1..=4).for_each(|n| edge.ask(n, "buy", &attempt(n), Some(&attempt(n)), b""));
+    (1..=4).for_each(|n| edge.send_request(n, "buy", &attempt(n), Some(&attempt(n)), b""));
     (1..=4).for_each(|n| assert_eq!(pool.next().0[1], attempt(n)));
     program.signal("-STOP");
     // During the suspension one result is sent, all deadlines pass, and one more request is sent.
     pool.finish(1, &attempt(1), b"one");
-    edge.ask(5, "buy", &attempt(1), Some(&attempt(1)), b"");
+    edge.send_request(5, "buy", &attempt(1), Some(&attempt(1)), b"");
     std::thread::sleep(Duration::from_millis(3200));
     program.signal("-CONT");
     let mut received = Vec::new();
-    let answers = |bytes: &[u8]| bytes.windows(2).filter(|w| *w == [0x94, 1]).count();
+    let count_responses = |bytes: &[u8]| bytes.windows(2).filter(|w| *w == [0x94, 1]).count();
     edge.0.set_read_timeout(Some(Duration::from_millis(600))).unwrap();
     loop {
         let mut chunk = [0; 4096];
@@ -113,18 +113,18 @@
             _ => break,
         }
     }
-    assert_eq!(answers(&received), 5, "{received:?}");
+    assert_eq!(count_responses(&received), 5, "{received:?}");
     // The next command is for another request: nothing ran again.
-    edge.ask(6, "buy", &attempt(6), Some(&attempt(6)), b"");
+    edge.send_request(6, "buy", &attempt(6), Some(&attempt(6)), b"");
     assert_eq!(pool.next().0[1], attempt(6));
 }
 
 #[test]
 fn a_reload_moves_every_link_and_an_invalid_file_moves_none() {
     let mut program = Program::start(|_| ok("old"));
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    (1..=2).for_each(|n| edge.ask(n, "buy", &attempt(n), Some(&attempt(n)), b""));
+    (1..=2).for_each(|n| edge.send_request(n, "buy", &attempt(n), Some(&attempt(n)), b""));
     (1..=2).for_each(|n| assert_eq!(pool.next().0[1], attempt(n)));
     // Neither a truncated file nor the same addresses again change anything.
     std::fs::write(&program.config, "{\"name\":").unwrap();
@@ -132,66 +132,66 @@
     std::thread::sleep(Duration::from_millis(100));
     program.reload(&[]);
     pool.finish(1, &attempt(1), b"one");
-    edge.hears(&[b"one"]);
+    edge.read_until(&[b"one"]);
     // The new addresses, which only this test listens on.
     let ip = program.edge.ip().to_string();
     let (new_pool, pool_addr) = listen(&ip);
     let ((say_call, calls), (say_report, reports)) = (channel(), channel());
     let ((index, index_addr), (members, members_addr)) = (listen(&ip), listen(&ip));
     http(index, say_call, |_| ok("new"));
-    http(members, say_report, listed);
+    http(members, say_report, report_accepted);
     program.reload(&[("pool", pool_addr), ("index", index_addr), ("members", members_addr)]);
-    let mut moved = PoolEnd::accept(&new_pool);
+    let mut moved = PoolConnection::accept(&new_pool);
     assert_eq!(moved.next().0, ["bind", "1"]);
     // A request that comes before the new link is bound is sent on it, and a result from the old link counts once.
     pool.finish(2, &attempt(2), b"two");
-    edge.ask(3, "buy", &attempt(3), Some("t"), b"");
+    edge.send_request(3, "buy", &attempt(3), Some("t"), b"");
     std::thread::sleep(Duration::from_millis(50));
-    moved.say("bound warm 99000\r\n");
+    moved.send("bound warm 99000\r\n");
     moved.finish(2, &attempt(2), b"two");
     assert_eq!(moved.next().0[..2], ["spawn".to_string(), attempt(3)]);
-    moved.say(&format!("blocked 3 {} 1\r\n?\r\n", attempt(3)));
+    moved.send(&format!("blocked 3 {} 1\r\n?\r\n", attempt(3)));
     assert_eq!(moved.next(), (vec!["supply".into(), attempt(3), "3".into()], b"new".to_vec()));
     assert!(calls.try_recv().is_ok() && program.calls.try_recv().is_err());
     moved.finish(4, &attempt(3), b"three");
-    let received = edge.hears(&[b"two", b"three"]);
+    let received = edge.read_until(&[b"two", b"three"]);
     assert_eq!(received.windows(3).filter(|w| *w == b"two").count(), 1);
-    assert!(reports.recv_timeout(LONG).unwrap().ends_with("{\"phase\":\"UP\"}"));
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"UP\"}"));
     while program.reports.try_recv().is_ok() {}
     // Once more while draining: the report goes to the newest address.
     program.term();
     assert!(reports.iter().any(|r| r.ends_with("{\"phase\":\"OUT\"}")));
     program.reload(&[]);
-    let _back = PoolEnd::accept(&program.pool);
-    assert!(program.reports.recv_timeout(LONG).unwrap().ends_with("{\"phase\":\"OUT\"}"));
+    let _back = PoolConnection::accept(&program.pool);
+    assert!(program.reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"OUT\"}"));
     drop(edge);
-    assert!(program.ended().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
 fn reloaded_settings_apply_to_later_requests_alone() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    edge.ask(1, "buy", &attempt(1), Some("t1"), b"");
+    edge.send_request(1, "buy", &attempt(1), Some("t1"), b"");
     assert_eq!(pool.next().0[1], attempt(1));
     // The class is withdrawn.
-    let profiles = program.told["settings"]["profiles"].as_array().unwrap();
+    let profiles = program.configuration["settings"]["profiles"].as_array().unwrap();
     let place = profiles.iter().position(|p| p["name"] == "buy").unwrap();
-    program.told["settings"]["profiles"][place]["offered"] = false.into();
+    program.configuration["settings"]["profiles"][place]["offered"] = false.into();
     program.reload(&[]);
     std::thread::sleep(Duration::from_millis(150));
-    edge.ask(2, "buy", &attempt(2), Some("t2"), b"");
-    edge.hears(&[b"Overloaded"]);
+    edge.send_request(2, "buy", &attempt(2), Some("t2"), b"");
+    edge.read_until(&[b"Overloaded"]);
     pool.finish(1, &attempt(1), b"bought");
-    edge.hears(&[b"bought"]);
-    program.told["settings"]["profiles"][place]["offered"] = true.into();
+    edge.read_until(&[b"bought"]);
+    program.configuration["settings"]["profiles"][place]["offered"] = true.into();
     program.reload(&[]);
     std::thread::sleep(Duration::from_millis(150));
-    edge.ask(3, "buy", &attempt(3), Some("t3"), b"");
+    edge.send_request(3, "buy", &attempt(3), Some("t3"), b"");
     assert_eq!(pool.next().0[1], attempt(3));
     pool.finish(2, &attempt(3), b"again");
-    edge.hears(&[b"again"]);
+    edge.read_until(&[b"again"]);
 }
 
 #[test]
@@ -200,17 +200,17 @@
     let shorter = |config: &mut serde_json::Value| {
         config["settings"]["rules"]["stop_sending_within"] = serde_json::json!(120_000);
     };
-    let mut program = Program::told(None::<fn(&str) -> Option<String>>, shorter);
-    let silent = back(program.away.pop().unwrap().0);
-    let mut pool = PoolEnd::accept(&program.pool);
-    pool.bound("0", "3.5");
+    let mut program = Program::start_with(None::<fn(&str) -> Option<String>>, shorter);
+    let silent = listen_again(program.away.pop().unwrap().0);
+    let mut pool = PoolConnection::accept(&program.pool);
+    pool.bind("0", "3.5");
     let began = Instant::now();
     let mut reports = Vec::new();
     for phase in ["UP", "UP", "OUT"] {
         if phase == "OUT" {
             program.term();
         }
-        let mut stream = within(&silent, LONG).unwrap_or_else(|| panic!("{phase} was never reported"));
+        let mut stream = accept_within(&silent, TIMEOUT).unwrap_or_else(|| panic!("{phase} was never reported"));
         let mut text = [0; 1024];
         let n = stream.read(&mut text).unwrap();
         assert!(String::from_utf8_lossy(&text[..n]).ends_with(&format!("{{\"phase\":\"{phase}\"}}")));
--- a/crates/aldercrank-server/tests/suite/worker_pool_link.rs
+++ b/crates/aldercrank-server/tests/suite/worker_pool_link.rs
@@ -1,85 +1,85 @@
 //! The program on loopback sockets: runs, results and dependency calls over the link to the worker pool.
 
-use crate::harness::{attempt, ok, PoolEnd, Program, LONG};
+use crate::harness::{attempt, ok, PoolConnection, Program, TIMEOUT};
 use std::io::Write;
 use std::time::Duration;
 
 #[test]
 fn a_lost_link_is_bound_from_the_last_notice_and_repeated_notices_count_once() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    (1..=3).for_each(|n| edge.ask(n, "buy", &attempt(n), Some(&attempt(n)), b"b"));
+    (1..=3).for_each(|n| edge.send_request(n, "buy", &attempt(n), Some(&attempt(n)), b"b"));
     (1..=3).for_each(|n| assert_eq!(pool.next().0[1], attempt(n)));
     pool.finish(1, &attempt(1), b"one");
-    edge.hears(&[b"one"]);
+    edge.read_until(&[b"one"]);
     drop(pool);
-    let mut pool = PoolEnd::accept(&program.pool);
-    pool.bound("1", "99000");
+    let mut pool = PoolConnection::accept(&program.pool);
+    pool.bind("1", "99000");
     pool.finish(1, &attempt(2), b"old");
     pool.finish(2, &attempt(9), b"for nobody");
-    pool.say("gibberish\r\nunknown spawn 77\r\n");
+    pool.send("gibberish\r\nunknown spawn 77\r\n");
     // The last notice is visible, so all of them have been read when the link is lost.
     pool.finish(3, &attempt(2), b"two");
-    let received = edge.hears(&[b"two"]);
+    let received = edge.read_until(&[b"two"]);
     assert!(!received.windows(3).any(|w| w == b"old"));
     // A pool that started after the link was lost has none of the earlier runs.
     drop(pool);
-    let mut pool = PoolEnd::accept(&program.pool);
-    pool.bound("3", "0.5");
-    edge.hears(&[&[0x94, 1, 3, 0x92], b"Internal"]);
-    edge.ask(4, "buy", &attempt(4), Some("t"), b"b");
+    let mut pool = PoolConnection::accept(&program.pool);
+    pool.bind("3", "0.5");
+    edge.read_until(&[&[0x94, 1, 3, 0x92], b"Internal"]);
+    edge.send_request(4, "buy", &attempt(4), Some("t"), b"b");
     assert_eq!(pool.next().0[1], attempt(4));
     pool.finish(1, &attempt(4), b"four");
-    edge.hears(&[b"four"]);
+    edge.read_until(&[b"four"]);
 }
 
 #[test]
 fn a_broken_dependency_call_is_not_repeated_for_a_request_that_runs_once_and_the_request_fails() {
     // The dependency answers the first call and closes the connection during the second.
     let mut program = Program::start(|call| if call.ends_with("good") { ok("fine") } else { None });
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     for (n, body) in [(1, "good"), (2, "evil")] {
-        edge.ask(n, "buy", &attempt(n), Some(&attempt(n)), b"");
+        edge.send_request(n, "buy", &attempt(n), Some(&attempt(n)), b"");
         assert_eq!(pool.next().0[0], "spawn");
-        pool.say(&format!("blocked {n} {} 4\r\n{body}\r\n", attempt(n)));
-        assert!(program.calls.recv_timeout(LONG).unwrap().ends_with(body));
+        pool.send(&format!("blocked {n} {} 4\r\n{body}\r\n", attempt(n)));
+        assert!(program.calls.recv_timeout(TIMEOUT).unwrap().ends_with(body));
         if n == 1 {
             assert_eq!(pool.next().1, b"fine");
         }
     }
-    edge.hears(&[&[0x94, 1, 2, 0x92], b"Internal"]);
+    edge.read_until(&[&[0x94, 1, 2, 0x92], b"Internal"]);
     assert!(program.calls.recv_timeout(Duration::from_millis(300)).is_err(), "called twice");
 }
 
 #[test]
 fn an_idempotency_key_with_another_body_is_a_new_request() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let (mut good, mut bad) = (program.connect(), program.connect());
     // The forged request comes first; the genuine one runs, and its repetition gets the cached response.
-    bad.ask(1, "buy", &attempt(1), Some("t"), b"false");
+    bad.send_request(1, "buy", &attempt(1), Some("t"), b"false");
     assert_eq!(pool.next().0[1], attempt(1));
-    good.ask(1, "buy", &attempt(2), Some("t"), b"true");
+    good.send_request(1, "buy", &attempt(2), Some("t"), b"true");
     assert_eq!(pool.next().0[1], attempt(2));
-    pool.say(&format!("unknown spawn {}\r\n", attempt(1)));
-    bad.hears(&[&[0x94, 1, 1, 0x92], b"Internal"]);
+    pool.send(&format!("unknown spawn {}\r\n", attempt(1)));
+    bad.read_until(&[&[0x94, 1, 1, 0x92], b"Internal"]);
     pool.finish(1, &attempt(2), b"made");
-    good.hears(&[b"made"]);
-    bad.ask(2, "buy", &attempt(3), Some("t"), b"false");
+    good.read_until(&[b"made"]);
+    bad.send_request(2, "buy", &attempt(3), Some("t"), b"false");
     assert_eq!(pool.next().0[1], attempt(3));
-    good.ask(2, "buy", &attempt(4), Some("t"), b"true");
-    good.hears(&[&[0x94, 1, 2, 0xc0], b"made"]);
+    good.send_request(2, "buy", &attempt(4), Some("t"), b"true");
+    good.read_until(&[&[0x94, 1, 2, 0xc0], b"made"]);
 }
 
 #[test]
 fn a_large_result_in_pieces_and_the_message_behind_it_are_delivered_completely() {
     let mut program = Program::start(|_| None);
-    let mut pool = program.serving();
+    let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    edge.ask(1, "map", &attempt(1), None, b"a");
-    edge.ask(2, "map", &attempt(2), None, b"b");
+    edge.send_request(1, "map", &attempt(1), None, b"a");
+    edge.send_request(2, "map", &attempt(2), None, b"b");
     pool.next();
     pool.next();
     let large: Vec<u8> = (0..250_000u32).map(|i| (i.wrapping_mul(2_654_435_761) >> 24) as u8).collect();
@@ -97,15 +97,15 @@
     std::thread::sleep(Duration::from_millis(50));
     let size = (large.len() as u32).to_be_bytes();
     let all =
-        edge.hears(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc6], &size, &large, &[0x94, 1, 2, 0xc0, 0x92], b"small"]);
+        edge.read_until(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc6], &size, &large, &[0x94, 1, 2, 0xc0, 0x92], b"small"]);
     assert_eq!(all.windows(3).filter(|w| *w == [0x94, 1, 1]).count(), 1);
     // A result over the limit completes no request.
-    edge.ask(3, "map", &attempt(3), None, b"c");
+    edge.send_request(3, "map", &attempt(3), None, b"c");
     pool.next();
-    pool.say(&format!("finished 3 {} ok 20.5 300000\r\n", attempt(3)));
-    edge.ask(4, "map", &attempt(4), None, b"d");
+    pool.send(&format!("finished 3 {} ok 20.5 300000\r\n", attempt(3)));
+    edge.send_request(4, "map", &attempt(4), None, b"d");
     pool.next();
     pool.finish(4, &attempt(4), b"after");
-    let all = edge.hears(&[&[0x94, 1, 4, 0xc0, 0x92], b"after"]);
+    let all = edge.read_until(&[&[0x94, 1, 4, 0xc0, 0x92], b"after"]);
     assert!(!all.windows(4).any(|w| *w == [0x94, 1, 3, 0xc0]));
 }
