--- a/crates/aldercrank-protocol/src/msgpack_rpc/mod.rs
+++ b/crates/aldercrank-protocol/src/msgpack_rpc/mod.rs
@@ -6,7 +6,7 @@
 mod response;
 
 pub use request::{
-    read_request, write_cancel, write_health_check, write_request, Edge, InvalidRequest, RequestFields,
+    read_request, write_cancel, write_health_check, write_request, RequestHandler, InvalidRequest, RequestFields,
     UnknownNotification, MAX_BODY_BYTES,
 };
 pub use response::{
--- a/crates/aldercrank-protocol/src/msgpack_rpc/request.rs
+++ b/crates/aldercrank-protocol/src/msgpack_rpc/request.rs
@@ -72,7 +72,7 @@
 }
 
 /// What a server does with the messages of edge nodes.
-pub trait Edge {
+pub trait RequestHandler {
     /// A request.
     fn request(&mut self, call: MessageId, method: &str, fields: &RequestFields, body: &[u8]);
     /// A health check.
@@ -90,13 +90,13 @@
 /// # Errors
 ///
 /// If the input can't be read any further.
-pub fn read_request(input: &[u8], handler: &mut impl Edge) -> Result<Option<usize>, ProtocolError> {
+pub fn read_request(input: &[u8], handler: &mut impl RequestHandler) -> Result<Option<usize>, ProtocolError> {
     let Some(length) = message_length(input, MAX_MESSAGE_BYTES)? else { return Ok(None) };
     read_message(&mut &input[..length], handler)?;
     Ok(Some(length))
 }
 
-fn read_message(rest: &mut &[u8], handler: &mut impl Edge) -> Result<(), ProtocolError> {
+fn read_message(rest: &mut &[u8], handler: &mut impl RequestHandler) -> Result<(), ProtocolError> {
     let parts = decode::read_array_len(rest).map_err(|_| ProtocolError::NotAMessage)?;
     let kind: u32 = decode::read_int(rest).map_err(|_| ProtocolError::UnknownKind)?;
     match (kind, parts) {
@@ -125,7 +125,7 @@
     decode::read_int(rest).map(MessageId).ok()
 }
 
-fn read_call(call: MessageId, rest: &mut &[u8], handler: &mut impl Edge) -> Result<(), InvalidRequest> {
+fn read_call(call: MessageId, rest: &mut &[u8], handler: &mut impl RequestHandler) -> Result<(), InvalidRequest> {
     let method = read_text(rest).ok_or(InvalidRequest::MethodNotText)?;
     let parameters = decode::read_array_len(rest).map_err(|_| InvalidRequest::ParametersNotAList)?;
     if method == METHOD_HEALTH_CHECK {
--- a/crates/aldercrank-protocol/src/worker_pool.rs
+++ b/crates/aldercrank-protocol/src/worker_pool.rs
@@ -82,7 +82,7 @@
 
 impl Default for EventReader {
     fn default() -> Self {
-        EventReader::at_most(MAX_PAYLOAD_BYTES)
+        EventReader::with_limit(MAX_PAYLOAD_BYTES)
     }
 }
 
@@ -101,12 +101,12 @@
 
 impl EventReader {
     /// Accepts payloads of at most this length, in bytes.
-    pub fn at_most(max_payload_bytes: usize) -> EventReader {
+    pub fn with_limit(max_payload_bytes: usize) -> EventReader {
         EventReader { skipping_line: false, max_payload_bytes }
     }
 
     /// The length of the message at the front of `input` once it is complete, if that is known.
-    pub fn wants(&self, input: &[u8]) -> Option<usize> {
+    pub fn awaited_length(&self, input: &[u8]) -> Option<usize> {
         let line_end = memchr::memmem::find(input, LINE_END)
             .filter(|line_end| !self.skipping_line && *line_end <= MAX_LINE_BYTES)?;
         payload_length(std::str::from_utf8(&input[..line_end]).ok()?)
@@ -320,13 +320,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RunEnd {
     /// It completed.
-    Ok,
+    Completed,
     /// It failed.
     Failed,
     /// It was stopped.
-    Halted,
+    Cancelled,
     /// It was never started.
-    Void,
+    NeverStarted,
 }
 
 /// Writes the notice that a run has ended.
@@ -339,10 +339,10 @@
     result: &[u8],
 ) {
     let end = match end {
-        RunEnd::Ok => "ok",
+        RunEnd::Completed => "ok",
         RunEnd::Failed => "failed",
-        RunEnd::Halted => "halted",
-        RunEnd::Void => "void",
+        RunEnd::Cancelled => "halted",
+        RunEnd::NeverStarted => "void",
     };
     let run_time = as_milliseconds(run_time);
     let _ = write!(output, "finished {} {attempt} {end} {run_time:.3} {}\r\n", notice.0, result.len());
--- a/crates/aldercrank-protocol/tests/golden/edge_calls.rs
+++ b/crates/aldercrank-protocol/tests/golden/edge_calls.rs
@@ -2,14 +2,14 @@
 
 use crate::text::{escaped, hex, Cases};
 use aldercrank_protocol::msgpack_rpc::{
-    self, Edge, InvalidRequest, MessageId, RequestFields, UnknownNotification,
+    self, RequestHandler, InvalidRequest, MessageId, RequestFields, UnknownNotification,
 };
 
 /// The lines of what a server reads.
 #[derive(Default)]
 struct ServerReads(Vec<String>);
 
-impl Edge for ServerReads {
+impl RequestHandler for ServerReads {
     fn request(&mut self, call: MessageId, method: &str, fields: &RequestFields, body: &[u8]) {
         let RequestFields { attempt, t0, peer, budget, mem, prio, token, obj } = fields;
         self.0.push(format!("call {} method {method:?} body {:?}", call.0, escaped(body)));
--- a/crates/aldercrank-protocol/tests/golden/worker_pool.rs
+++ b/crates/aldercrank-protocol/tests/golden/worker_pool.rs
@@ -57,9 +57,9 @@
 }
 
 fn sent_by_pool_at_most(cases: &mut Cases, title: &str, bytes: &[u8], most: usize) {
-    let (mut reads, mut reader, mut at) = (ServerReads::default(), EventReader::at_most(most), 0);
+    let (mut reads, mut reader, mut at) = (ServerReads::default(), EventReader::with_limit(most), 0);
     loop {
-        let wants = reader.wants(&bytes[at..]);
+        let wants = reader.awaited_length(&bytes[at..]);
         match reader.read(&bytes[at..], &mut reads) {
             Some(length) => {
                 at += length;
@@ -81,7 +81,7 @@
 
 fn one_byte_at_a_time(bytes: &[u8], most: usize) -> Vec<String> {
     let (mut reads, mut reader, mut buffer) =
-        (ServerReads::default(), EventReader::at_most(most), Vec::new());
+        (ServerReads::default(), EventReader::with_limit(most), Vec::new());
     for byte in bytes {
         buffer.push(*byte);
         while let Some(length) = reader.read(&buffer, &mut reads) {
@@ -112,15 +112,15 @@
     let id = || request_id("0123456789abcdef");
     sent_by_pool(cases, "bound, cold", &written(|b| worker_pool::write_bound(b, true, Duration::ZERO)));
     sent_by_pool(cases, "bound, warm", &written(|b| worker_pool::write_bound(b, false, micros(12_345_678))));
-    sent_by_pool(cases, "finished ok", &finished(RunEnd::Ok, micros(18_500), b"r\r\n\x00\xff"));
+    sent_by_pool(cases, "finished ok", &finished(RunEnd::Completed, micros(18_500), b"r\r\n\x00\xff"));
     sent_by_pool(cases, "finished failed", &finished(RunEnd::Failed, micros(1), b""));
-    sent_by_pool(cases, "finished halted", &finished(RunEnd::Halted, Duration::from_nanos(1_499), b""));
-    sent_by_pool(cases, "finished void", &finished(RunEnd::Void, Duration::ZERO, b""));
-    sent_by_pool(cases, "finished after an hour", &finished(RunEnd::Ok, Duration::from_secs(3600), b"r"));
-    let longest = finished(RunEnd::Ok, micros(9), &filler(worker_pool::MAX_PAYLOAD_BYTES));
+    sent_by_pool(cases, "finished halted", &finished(RunEnd::Cancelled, Duration::from_nanos(1_499), b""));
+    sent_by_pool(cases, "finished void", &finished(RunEnd::NeverStarted, Duration::ZERO, b""));
+    sent_by_pool(cases, "finished after an hour", &finished(RunEnd::Completed, Duration::from_secs(3600), b"r"));
+    let longest = finished(RunEnd::Completed, micros(9), &filler(worker_pool::MAX_PAYLOAD_BYTES));
     sent_by_pool(cases, "finished with the longest result", &longest);
     sent_by_pool(cases, "finished, cut short", &longest[..longest.len() - 1]);
-    let short = finished(RunEnd::Ok, micros(9), b"12345678");
+    let short = finished(RunEnd::Completed, micros(9), b"12345678");
     sent_by_pool_at_most(cases, "a result as long as is taken", &short, 8);
     sent_by_pool_at_most(cases, "a result longer than is taken", &short, 7);
     sent_by_pool(
@@ -155,7 +155,7 @@
     let several = [
         short,
         written(|b| worker_pool::write_metrics(b, "8", &[1.0])),
-        finished(RunEnd::Void, micros(2), b"z"),
+        finished(RunEnd::NeverStarted, micros(2), b"z"),
     ];
     sent_by_pool(cases, "three messages in one buffer", &several.concat());
 }
--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -7,7 +7,7 @@
 use crate::clock::Clock;
 use crate::core::{ConnId, MessageId, ReceivedRequest, ReplyTo};
 use crate::dedup::DedupKey;
-use crate::msgpack_rpc::{self, Edge, InvalidRequest, ProtocolError, RequestFields, UnknownNotification};
+use crate::msgpack_rpc::{self, RequestHandler, InvalidRequest, ProtocolError, RequestFields, UnknownNotification};
 use crate::payload::count_copied;
 use crate::worker_pool::{AttemptId, MAX_PAYLOAD_BYTES};
 use aldercrank::{CallerId, IncomingRequest};
@@ -131,7 +131,7 @@
     }
 }
 
-impl Edge for EdgeMessageHandler<'_> {
+impl RequestHandler for EdgeMessageHandler<'_> {
     fn request(&mut self, call: MessageId, method: &str, fields: &RequestFields, body: &[u8]) {
         if let Err(violation) = self.server.open_call(self.conn, call) {
             self.violation = Some(violation);
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -85,7 +85,7 @@
         WorkerPoolLink {
             connection: None,
             number: 0,
-            reader: worker_pool::EventReader::at_most(max_payload_bytes),
+            reader: worker_pool::EventReader::with_limit(max_payload_bytes),
             peer_closed: false,
             max_payload_bytes,
             awaited_length: None,
@@ -357,7 +357,7 @@
         }
         let rest = &received[consumed..];
         // Room is made for a message of a stated length, within the limit, once it is known to be large.
-        let awaited_length = reader.wants(rest).filter(|length| *length > rest.len().max(BY_REFERENCE_BYTES));
+        let awaited_length = reader.awaited_length(rest).filter(|length| *length > rest.len().max(BY_REFERENCE_BYTES));
         let mut net = self.net();
         let net = &mut *net;
         (net.pool.reader, net.pool.awaited_length) = (reader, awaited_length);
@@ -407,7 +407,7 @@
                 connection.close(&net.event_loop);
             }
             now = net.clock.now();
-            net.pool.reader = worker_pool::EventReader::at_most(net.pool.max_payload_bytes);
+            net.pool.reader = worker_pool::EventReader::with_limit(net.pool.max_payload_bytes);
             (net.pool.awaited_length, net.pool.peer_closed) = (None, false);
             queued_runs = std::mem::take(&mut net.pool.queued_runs);
             if std::mem::take(&mut net.pool.is_bound) {
--- a/crates/aldercrank-server/tests/suite/codecs.rs
+++ b/crates/aldercrank-server/tests/suite/codecs.rs
@@ -14,7 +14,7 @@
 #[derive(Default)]
 struct Recorder(Vec<String>);
 
-impl msgpack_rpc::Edge for Recorder {
+impl msgpack_rpc::RequestHandler for Recorder {
     fn request(&mut self, call: MessageId, method: &str, fields: &msgpack_rpc::RequestFields, body: &[u8]) {
         self.0.push(format!("request {} {method} {fields:?} {body:?}", call.0));
     }
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -3,7 +3,7 @@
 use super::{compare, hex};
 use aldercrank_consensus::{CommittedState, PeerRequest, PeerResponse, ServerName, VersionId};
 use aldercrank_server::msgpack_rpc::{
-    self, Edge, InvalidRequest, MessageId, ReceivedFields, RequestFields, ResponseFields, ResponseHandler,
+    self, RequestHandler, InvalidRequest, MessageId, ReceivedFields, RequestFields, ResponseFields, ResponseHandler,
     UnknownNotification, CONSENSUS_METHOD,
 };
 use serde::Serialize;
@@ -17,7 +17,7 @@
 #[derive(Default)]
 struct Notes(Vec<String>);
 
-impl Edge for Notes {
+impl RequestHandler for Notes {
     fn request(&mut self, call: MessageId, method: &str, fields: &RequestFields, body: &[u8]) {
         assert_eq!(*fields, RequestFields::default());
         self.0.push(format!("call {} of {method:?}, no fields, body {}", call.0, hex(body)));
--- a/crates/aldercrank-test-cluster/src/cluster/pool_host.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/pool_host.rs
@@ -101,7 +101,7 @@
             None => CallOutcome::NotNeeded,
         };
         match end {
-            RunEnd::Ok => run_result(attempt, call),
+            RunEnd::Completed => run_result(attempt, call),
             _ => Vec::new(),
         }
     }
--- a/crates/aldercrank-test-cluster/src/worker_pool_stub.rs
+++ b/crates/aldercrank-test-cluster/src/worker_pool_stub.rs
@@ -198,7 +198,7 @@
             let Some(run) = self.runs.get_mut(&attempt) else { continue };
             let comes_to_call = run.plan.makes_call && !run.called;
             if comes_to_call && run.request_over {
-                self.end_run(attempt, RunEnd::Halted, host);
+                self.end_run(attempt, RunEnd::Cancelled, host);
             } else if comes_to_call {
                 self.notices += 1;
                 let number = NoticeNumber(self.notices);
@@ -206,7 +206,7 @@
                 let body = host.call_body(attempt);
                 self.notify(number, |into| worker_pool::write_run_blocked(into, number, attempt, &body));
             } else {
-                let end = if run.plan.fails { RunEnd::Failed } else { RunEnd::Ok };
+                let end = if run.plan.fails { RunEnd::Failed } else { RunEnd::Completed };
                 self.end_run(attempt, end, host);
             }
         }
@@ -218,7 +218,7 @@
         let Some(run) = self.runs.get_mut(&attempt) else { return };
         run.request_over = true;
         if matches!(run.stage, Stage::WaitingForCall(_)) {
-            self.end_run(attempt, RunEnd::Halted, host);
+            self.end_run(attempt, RunEnd::Cancelled, host);
         }
     }
 
@@ -307,7 +307,7 @@
     }
 
     fn stop_run(&mut self, attempt: AttemptId) {
-        self.pool.end_run(attempt, RunEnd::Halted, self.host);
+        self.pool.end_run(attempt, RunEnd::Cancelled, self.host);
     }
 
     fn deliver_call_result(&mut self, attempt: AttemptId, reply: &[u8]) {
--- a/crates/aldercrank-test-cluster/tests/components/worker_pool_stub.rs
+++ b/crates/aldercrank-test-cluster/tests/components/worker_pool_stub.rs
@@ -127,7 +127,7 @@
     pool.request_over(ms(5), attempt(1), &mut host);
     assert_eq!(host.0, [], "it runs on until it comes to its call");
     pool.advance(ms(15), &mut host);
-    assert_eq!(host.0, [(attempt(1), RunEnd::Halted)]);
+    assert_eq!(host.0, [(attempt(1), RunEnd::Cancelled)]);
     pool.request_over(ms(20), attempt(2), &mut host);
     assert_eq!(host.0.len(), 2, "one that waits ends at once");
 }
--- a/crates/aldercrank-testbench/src/stub_services.rs
+++ b/crates/aldercrank-testbench/src/stub_services.rs
@@ -58,7 +58,7 @@
 
     /// Writes that a run has ended.
     fn end_run(&mut self, output: &mut Vec<u8>, attempt: AttemptId, end: RunEnd) {
-        let length = if end == RunEnd::Ok { self.behavior.result } else { 0 };
+        let length = if end == RunEnd::Completed { self.behavior.result } else { 0 };
         let run_time = self.started_at.remove(&attempt).map_or(SHORT_RUN, |at| at.elapsed());
         let notice = self.next_notice();
         worker_pool::write_run_finished(output, notice, attempt, end, run_time, &vec![b'r'; length]);
@@ -121,7 +121,7 @@
         let mut state = self.state();
         let mut bytes = Vec::new();
         let attempt = state.running.pop_front()?;
-        state.end_run(&mut bytes, attempt, RunEnd::Ok);
+        state.end_run(&mut bytes, attempt, RunEnd::Completed);
         state.send(&bytes);
         Some(attempt.to_string())
     }
@@ -155,7 +155,7 @@
     fn run(&self, output: &mut Vec<u8>, attempt: AttemptId) {
         let mut state = self.state();
         match state.behavior.runs {
-            RunBehavior::Immediate => state.end_run(output, attempt, RunEnd::Ok),
+            RunBehavior::Immediate => state.end_run(output, attempt, RunEnd::Completed),
             RunBehavior::OnDemand => state.running.push_back(attempt),
             RunBehavior::Work { span, cores } => {
                 state.running.push_back(attempt);
@@ -171,7 +171,7 @@
         let mut state = self.state();
         if state.remove_running(attempt) {
             let mut bytes = Vec::new();
-            state.end_run(&mut bytes, attempt, RunEnd::Ok);
+            state.end_run(&mut bytes, attempt, RunEnd::Completed);
             state.send(&bytes);
         }
     }
@@ -202,7 +202,7 @@
     fn stop_run(&mut self, attempt: AttemptId) {
         let mut state = self.pool.state();
         if state.remove_running(attempt) {
-            state.end_run(self.output, attempt, RunEnd::Halted);
+            state.end_run(self.output, attempt, RunEnd::Cancelled);
         }
     }
     fn deliver_call_result(&mut self, attempt: AttemptId, _reply: &[u8]) {
