--- a/crates/aldercrank-consensus/src/follower.rs
+++ b/crates/aldercrank-consensus/src/follower.rs
@@ -452,8 +452,11 @@
             let index = self.committee.iter().position(|name| Some(name) == asked.as_ref());
             self.current_member = index.unwrap_or(self.current_member % self.committee.len());
         }
-        self.known =
-            Some(KnownVersion { committed: state.committed, version, incompatibility: summary.incompatibility });
+        self.known = Some(KnownVersion {
+            committed: state.committed,
+            version,
+            incompatibility: summary.incompatibility,
+        });
         self.lease_until = Duration::ZERO;
     }
 
--- a/crates/aldercrank-consensus/src/member/state.rs
+++ b/crates/aldercrank-consensus/src/member/state.rs
@@ -70,11 +70,13 @@
         let MemberIdentity { name, incarnation } = identity;
         let (recovery, committed, version) = match &acceptor_state {
             Some(state) => {
-                let version = ConfigVersion { version_id: state.committed.version_id, text: state.text.clone() };
+                let version =
+                    ConfigVersion { version_id: state.committed.version_id, text: state.text.clone() };
                 (Recovery::Active, state.committed, version)
             }
             None => {
-                let committed = CommittedState { last: version.version_id.number, version_id: version.version_id };
+                let committed =
+                    CommittedState { last: version.version_id.number, version_id: version.version_id };
                 (Recovery::begin(now + timing.recovery_quarantine()), committed, version)
             }
         };
--- a/crates/aldercrank-consensus/tests/golden.rs
+++ b/crates/aldercrank-consensus/tests/golden.rs
@@ -117,7 +117,12 @@
     let second = Duration::from_secs(1);
     let span = Duration::new(86_400, 999_999_999);
     vec![
-        PeerResponse::Lease { committed: committed(8, 8), age: None, committed_for: Duration::ZERO, proposed: None },
+        PeerResponse::Lease {
+            committed: committed(8, 8),
+            age: None,
+            committed_for: Duration::ZERO,
+            proposed: None,
+        },
         PeerResponse::Lease {
             committed: committed(9, 8),
             age: Some(second),
--- a/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
+++ b/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
@@ -346,7 +346,8 @@
     fn schedule_timer(&mut self, index: usize) {
         let process = &self.processes[index];
         let follower_due = process.follower.next_timeout();
-        let due = process.member.as_ref().map_or(follower_due, |member| member.next_timeout().min(follower_due));
+        let due =
+            process.member.as_ref().map_or(follower_due, |member| member.next_timeout().min(follower_due));
         let elapsed = due.saturating_sub(process.clock_offset).as_nanos() as u64;
         let at = Duration::from_nanos(elapsed.saturating_mul(1000) / u64::from(process.clock_rate));
         // A moment later, since a clock's rate is rounded.
--- a/crates/aldercrank-protocol/src/msgpack_rpc/mod.rs
+++ b/crates/aldercrank-protocol/src/msgpack_rpc/mod.rs
@@ -6,8 +6,8 @@
 mod response;
 
 pub use request::{
-    read_request, write_cancel, write_health_check, write_request, RequestHandler, InvalidRequest, RequestFields,
-    UnknownNotification, MAX_BODY_BYTES,
+    read_request, write_cancel, write_health_check, write_request, InvalidRequest, RequestFields,
+    RequestHandler, UnknownNotification, MAX_BODY_BYTES,
 };
 pub use response::{
     read_response, write_closing, write_completed, write_completed_end, write_failed, write_health,
--- a/crates/aldercrank-protocol/src/msgpack_rpc/request.rs
+++ b/crates/aldercrank-protocol/src/msgpack_rpc/request.rs
@@ -19,19 +19,19 @@
     /// The id of the attempt.
     pub attempt: Option<&'a str>,
     /// When the attempt was sent, in milliseconds of Unix time.
-    pub t0: Option<u64>,
+    pub sent_at_ms: Option<u64>,
     /// The id of the caller.
-    pub peer: Option<u64>,
+    pub caller_id: Option<u64>,
     /// How long the caller waits from `t0` on, in milliseconds.
-    pub budget: Option<u64>,
+    pub budget_ms: Option<u64>,
     /// The memory that the request needs, in KB.
-    pub mem: Option<f64>,
+    pub memory_kb: Option<f64>,
     /// The rank of the request within its class, from 0 to below 1.
-    pub prio: Option<f64>,
+    pub rank: Option<f64>,
     /// The idempotency key.
-    pub token: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     /// The subject that the request acts on.
-    pub obj: Option<&'a str>,
+    pub subject: Option<&'a str>,
 }
 
 /// Why a request makes no sense, though it has an id to answer to.
@@ -125,7 +125,11 @@
     decode::read_int(rest).map(MessageId).ok()
 }
 
-fn read_call(call: MessageId, rest: &mut &[u8], handler: &mut impl RequestHandler) -> Result<(), InvalidRequest> {
+fn read_call(
+    call: MessageId,
+    rest: &mut &[u8],
+    handler: &mut impl RequestHandler,
+) -> Result<(), InvalidRequest> {
     let method = read_text(rest).ok_or(InvalidRequest::MethodNotText)?;
     let parameters = decode::read_array_len(rest).map_err(|_| InvalidRequest::ParametersNotAList)?;
     if method == METHOD_HEALTH_CHECK {
@@ -151,13 +155,13 @@
         };
         match name {
             "rid" => fields.attempt = Some(value),
-            "t0" => fields.t0 = value.parse().ok(),
-            "peer" => fields.peer = value.parse().ok(),
-            "budget" => fields.budget = value.parse().ok(),
-            "mem" => fields.mem = parse_number(value),
-            "prio" => fields.prio = parse_number(value),
-            "token" => fields.token = Some(value),
-            "obj" => fields.obj = Some(value),
+            "t0" => fields.sent_at_ms = value.parse().ok(),
+            "peer" => fields.caller_id = value.parse().ok(),
+            "budget" => fields.budget_ms = value.parse().ok(),
+            "mem" => fields.memory_kb = parse_number(value),
+            "prio" => fields.rank = parse_number(value),
+            "token" => fields.idempotency_key = Some(value),
+            "obj" => fields.subject = Some(value),
             _ => {}
         }
     }
@@ -180,13 +184,13 @@
     body: &[u8],
 ) {
     let numbers = [
-        ("t0", fields.t0.map(|number| number.to_string())),
-        ("peer", fields.peer.map(|number| number.to_string())),
-        ("budget", fields.budget.map(|number| number.to_string())),
-        ("mem", fields.mem.map(|number| number.to_string())),
-        ("prio", fields.prio.map(|number| format!("{number:.4}"))),
+        ("t0", fields.sent_at_ms.map(|number| number.to_string())),
+        ("peer", fields.caller_id.map(|number| number.to_string())),
+        ("budget", fields.budget_ms.map(|number| number.to_string())),
+        ("mem", fields.memory_kb.map(|number| number.to_string())),
+        ("prio", fields.rank.map(|number| format!("{number:.4}"))),
     ];
-    let texts = [("rid", fields.attempt), ("token", fields.token), ("obj", fields.obj)];
+    let texts = [("rid", fields.attempt), ("token", fields.idempotency_key), ("obj", fields.subject)];
     let all = numbers.iter().map(|(name, value)| (*name, value.as_deref())).chain(texts);
     let present: Vec<(&str, &str)> = all.filter_map(|(name, value)| Some((name, value?))).collect();
     write_head(output, call, method);
--- a/crates/aldercrank-protocol/tests/golden/edge_calls.rs
+++ b/crates/aldercrank-protocol/tests/golden/edge_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::text::{escaped, hex, Cases};
 use aldercrank_protocol::msgpack_rpc::{
-    self, RequestHandler, InvalidRequest, MessageId, RequestFields, UnknownNotification,
+    self, InvalidRequest, MessageId, RequestFields, RequestHandler, UnknownNotification,
 };
 
 /// The lines of what a server reads.
@@ -11,7 +11,16 @@
 
 impl RequestHandler for ServerReads {
     fn request(&mut self, call: MessageId, method: &str, fields: &RequestFields, body: &[u8]) {
-        let RequestFields { attempt, t0, peer, budget, mem, prio, token, obj } = fields;
+        let RequestFields {
+            attempt,
+            sent_at_ms: t0,
+            caller_id: peer,
+            budget_ms: budget,
+            memory_kb: mem,
+            rank: prio,
+            idempotency_key: token,
+            subject: obj,
+        } = fields;
         self.0.push(format!("call {} method {method:?} body {:?}", call.0, escaped(body)));
         self.0.push(format!("fields rid={attempt:?} t0={t0:?} peer={peer:?} budget={budget:?}"));
         self.0.push(format!("fields mem={mem:?} prio={prio:?} token={token:?} obj={obj:?}"));
@@ -72,13 +81,13 @@
 fn all_fields() -> RequestFields<'static> {
     RequestFields {
         attempt: Some("0123456789abcdef"),
-        t0: Some(1_700_000_000_123),
-        peer: Some(17),
-        budget: Some(250),
-        mem: Some(24.5),
-        prio: Some(0.625),
-        token: Some("t-1"),
-        obj: Some("s-kd6b5"),
+        sent_at_ms: Some(1_700_000_000_123),
+        caller_id: Some(17),
+        budget_ms: Some(250),
+        memory_kb: Some(24.5),
+        rank: Some(0.625),
+        idempotency_key: Some("t-1"),
+        subject: Some("s-kd6b5"),
     }
 }
 
@@ -105,13 +114,13 @@
     let none = RequestFields::default;
     [
         ("rid", RequestFields { attempt: Some("0123456789abcdef"), ..none() }),
-        ("t0", RequestFields { t0: Some(u64::MAX), ..none() }),
-        ("peer", RequestFields { peer: Some(0), ..none() }),
-        ("budget", RequestFields { budget: Some(1), ..none() }),
-        ("mem", RequestFields { mem: Some(0.1), ..none() }),
-        ("prio", RequestFields { prio: Some(0.123_456), ..none() }),
-        ("token", RequestFields { token: Some(""), ..none() }),
-        ("obj", RequestFields { obj: Some("schl\u{fc}ssel"), ..none() }),
+        ("t0", RequestFields { sent_at_ms: Some(u64::MAX), ..none() }),
+        ("peer", RequestFields { caller_id: Some(0), ..none() }),
+        ("budget", RequestFields { budget_ms: Some(1), ..none() }),
+        ("mem", RequestFields { memory_kb: Some(0.1), ..none() }),
+        ("prio", RequestFields { rank: Some(0.123_456), ..none() }),
+        ("token", RequestFields { idempotency_key: Some(""), ..none() }),
+        ("obj", RequestFields { subject: Some("schl\u{fc}ssel"), ..none() }),
     ]
 }
 
--- a/crates/aldercrank-protocol/tests/golden/worker_pool.rs
+++ b/crates/aldercrank-protocol/tests/golden/worker_pool.rs
@@ -116,7 +116,11 @@
     sent_by_pool(cases, "finished failed", &finished(RunEnd::Failed, micros(1), b""));
     sent_by_pool(cases, "finished halted", &finished(RunEnd::Cancelled, Duration::from_nanos(1_499), b""));
     sent_by_pool(cases, "finished void", &finished(RunEnd::NeverStarted, Duration::ZERO, b""));
-    sent_by_pool(cases, "finished after an hour", &finished(RunEnd::Completed, Duration::from_secs(3600), b"r"));
+    sent_by_pool(
+        cases,
+        "finished after an hour",
+        &finished(RunEnd::Completed, Duration::from_secs(3600), b"r"),
+    );
     let longest = finished(RunEnd::Completed, micros(9), &filler(worker_pool::MAX_PAYLOAD_BYTES));
     sent_by_pool(cases, "finished with the longest result", &longest);
     sent_by_pool(cases, "finished, cut short", &longest[..longest.len() - 1]);
--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -20,7 +20,7 @@
 use super::peer_connections::{PeerConnections, RequestTag, Requester};
 use super::state_file::{StateFile, StoredVersion};
 use crate::clock::Clock;
-use crate::config::{Config, AgreementConfig};
+use crate::config::{AgreementConfig, Config};
 use crate::core::ConnId;
 use aldercrank::Settings;
 use aldercrank_consensus::{
@@ -84,8 +84,10 @@
         let now = clock.now();
         let mut terms = Terms::new(agreement.initial_version.within(), agreement.initial_version.alone());
         terms.injected_fault = agreement.injected_fault;
-        let initial =
-            ConfigVersion { version_id: version_id(&agreement.initial_version), text: Arc::from(agreement.initial_version.text()) };
+        let initial = ConfigVersion {
+            version_id: version_id(&agreement.initial_version),
+            text: Arc::from(agreement.initial_version.text()),
+        };
         let committee = agreement.initial_version.committee();
         let member_names: Vec<ServerName> =
             committee.iter().map(|member| ServerName::new(&member.name)).collect();
--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -7,7 +7,9 @@
 use crate::clock::Clock;
 use crate::core::{ConnId, MessageId, ReceivedRequest, ReplyTo};
 use crate::dedup::DedupKey;
-use crate::msgpack_rpc::{self, RequestHandler, InvalidRequest, ProtocolError, RequestFields, UnknownNotification};
+use crate::msgpack_rpc::{
+    self, InvalidRequest, ProtocolError, RequestFields, RequestHandler, UnknownNotification,
+};
 use crate::payload::count_copied;
 use crate::worker_pool::{AttemptId, MAX_PAYLOAD_BYTES};
 use aldercrank::{CallerId, IncomingRequest};
@@ -89,8 +91,8 @@
     ) -> Result<ReceivedRequest<'b>, ProtocolViolation> {
         use ProtocolViolation::{FieldOutOfRange, MissingField};
         let unix_now = Clock::unix_time();
-        let sent_at = Duration::from_millis(fields.t0.ok_or(MissingField("t0"))?);
-        let stated_budget = fields.budget.map(Duration::from_millis);
+        let sent_at = Duration::from_millis(fields.sent_at_ms.ok_or(MissingField("t0"))?);
+        let stated_budget = fields.budget_ms.map(Duration::from_millis);
         let budget = stated_budget
             .or_else(|| self.server.socket_settings.default_budget(method))
             .ok_or(MissingField("budget"))?;
@@ -102,27 +104,27 @@
         // the connection was last drained has been read then.
         let drained_at = self.server.net().edge.get(self.conn).map_or(now, |edge| edge.drained_at);
         let unread = now.saturating_sub(drained_at);
-        let dedup_key = match (fields.token, fields.obj) {
+        let dedup_key = match (fields.idempotency_key, fields.subject) {
             (Some(token), _) => Some(DedupKey::token(method, token, body)),
             (None, Some(subject)) => Some(DedupKey::subject(method, subject)),
             (None, None) => None,
         };
-        let memory_kb = fields.mem.ok_or(MissingField("mem"))?;
+        let memory_kb = fields.memory_kb.ok_or(MissingField("mem"))?;
         if memory_kb <= 0.0 || memory_kb >= MEMORY_LIMIT_KB {
             return Err(FieldOutOfRange("mem"));
         }
-        let rank = fields.prio.ok_or(MissingField("prio"))?;
+        let rank = fields.rank.ok_or(MissingField("prio"))?;
         if rank >= 1.0 {
             return Err(FieldOutOfRange("prio"));
         }
         let attempt = fields.attempt.ok_or(MissingField("rid"))?;
         let arrival = IncomingRequest {
             class: method,
-            subject: fields.obj,
+            subject: fields.subject,
             deadline: Some(now.checked_add(remaining).ok_or(FieldOutOfRange("budget"))?),
             memory_kb,
             rank,
-            caller: CallerId(fields.peer.ok_or(MissingField("peer"))?),
+            caller: CallerId(fields.caller_id.ok_or(MissingField("peer"))?),
             unread_for,
             ..IncomingRequest::default()
         };
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -112,7 +112,9 @@
     pub(super) fn start_run(&mut self, attempt: AttemptId, class: &str, body: &Rc<[u8]>) {
         let Some(connection) = self.connection.as_mut().filter(|_| self.is_bound) else { return };
         self.queued_runs.push_back(QueuedRun { start: connection.output.end_offset(), attempt });
-        connection.output.append_framing(|bytes| worker_pool::write_start_run(bytes, attempt, class, body.len()));
+        connection
+            .output
+            .append_framing(|bytes| worker_pool::write_start_run(bytes, attempt, class, body.len()));
         connection.output.append_body(body);
         connection.output.append_framing(worker_pool::write_payload_end);
     }
@@ -357,7 +359,8 @@
         }
         let rest = &received[consumed..];
         // Room is made for a message of a stated length, within the limit, once it is known to be large.
-        let awaited_length = reader.awaited_length(rest).filter(|length| *length > rest.len().max(BY_REFERENCE_BYTES));
+        let awaited_length =
+            reader.awaited_length(rest).filter(|length| *length > rest.len().max(BY_REFERENCE_BYTES));
         let mut net = self.net();
         let net = &mut *net;
         (net.pool.reader, net.pool.awaited_length) = (reader, awaited_length);
--- a/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
@@ -84,5 +84,8 @@
         let attempt = AttemptId::new(&format!("{:016x}", 200_000 + n)).unwrap();
         core.run_ended(now, attempt, Outcome::Cancelled, MS, Payload::Transient(b""));
     }
-    assert_eq!((core.requests_in_flight(), core.responses_owed(), core.table_sizes()), (0, 0, TableSizes::default()));
+    assert_eq!(
+        (core.requests_in_flight(), core.responses_owed(), core.table_sizes()),
+        (0, 0, TableSizes::default())
+    );
 }
--- a/crates/aldercrank-server/tests/suite/core/requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/requests.rs
@@ -64,7 +64,13 @@
     assert_eq!((scenario.responses(unknown), scenario.core.requests_in_flight()), (1, 1));
     // Notices for unknown ids change nothing.
     let unknown_attempt = AttemptId::new("ffffffffffffffff").unwrap();
-    scenario.core.run_ended(scenario.now(), unknown_attempt, Outcome::Completed, MS, Payload::Transient(b"x"));
+    scenario.core.run_ended(
+        scenario.now(),
+        unknown_attempt,
+        Outcome::Completed,
+        MS,
+        Payload::Transient(b"x"),
+    );
     scenario.core.call_needed(scenario.now(), unknown_attempt, NoticeNumber(99), b"x");
     scenario.core.call_ended(scenario.now(), RequestId(4_000_000_000), Outcome::Completed, b"x");
     assert_eq!((scenario.responses(valid), scenario.core.responses_owed()), (0, 1));
--- a/crates/aldercrank-server/tests/suite/crossings.rs
+++ b/crates/aldercrank-server/tests/suite/crossings.rs
@@ -3,7 +3,8 @@
 
 use crate::codecs::check;
 use crate::harness::{
-    count_responses, attempt, listen_again, http, report_accepted, listen, request, accept_within, EdgeConnection, PoolConnection, Program, TIMEOUT,
+    accept_within, attempt, count_responses, http, listen, listen_again, report_accepted, request,
+    EdgeConnection, PoolConnection, Program, TIMEOUT,
 };
 use std::io::{Read, Write};
 use std::sync::mpsc::channel;
--- a/crates/aldercrank-server/tests/suite/edge_connections.rs
+++ b/crates/aldercrank-server/tests/suite/edge_connections.rs
@@ -59,8 +59,9 @@
     let mut writer = EdgeConnection(stuck.0.try_clone().unwrap());
     // As many calls as may be open at once.
     let all = 32;
-    let writing =
-        std::thread::spawn(move || (1..=all).for_each(|n| writer.send_request(n, "map", &attempt(n), None, b"")));
+    let writing = std::thread::spawn(move || {
+        (1..=all).for_each(|n| writer.send_request(n, "map", &attempt(n), None, b""))
+    });
     for n in 1..=20 {
         good.send_request(n, "map", &attempt(1000 + n), None, b"");
         good.read_until(&[&[0x94, 1, n as u8]]);
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -3,8 +3,8 @@
 use super::{compare, hex};
 use aldercrank_consensus::{CommittedState, PeerRequest, PeerResponse, ServerName, VersionId};
 use aldercrank_server::msgpack_rpc::{
-    self, RequestHandler, InvalidRequest, MessageId, ReceivedFields, RequestFields, ResponseFields, ResponseHandler,
-    UnknownNotification, CONSENSUS_METHOD,
+    self, InvalidRequest, MessageId, ReceivedFields, RequestFields, RequestHandler, ResponseFields,
+    ResponseHandler, UnknownNotification, CONSENSUS_METHOD,
 };
 use serde::Serialize;
 use std::fmt::Write;
@@ -158,7 +158,12 @@
     let plain = ResponseFields::default();
     let full = ResponseFields { hint: Some("0.85"), rules: Some(8) };
     whole(&mut out, "response Fine", &response(1, &pack(&PeerResponse::Acknowledged), plain), read_as_caller);
-    whole(&mut out, "response Silent", &response(300, &pack(&PeerResponse::Unavailable), full), read_as_caller);
+    whole(
+        &mut out,
+        "response Silent",
+        &response(300, &pack(&PeerResponse::Unavailable), full),
+        read_as_caller,
+    );
     whole(&mut out, "response Lease", &response(70_000, &pack(&lease), full), read_as_caller);
     let text = PeerResponse::Text { version_id: version(8), text: "rules 8 {\n}\n".repeat(1000) };
     block(&mut out, "response Text, long", &response(2, &pack(&text), plain), read_as_caller);
--- a/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
@@ -2,7 +2,7 @@
 //! fields in their order, with their values where those don't depend on time.
 
 use super::compare;
-use crate::harness::{unused_address, http, report_accepted, listen, TIMEOUT};
+use crate::harness::{http, listen, report_accepted, unused_address, TIMEOUT};
 use aldercrank_consensus::{CommittedState, PeerRequest, PeerResponse, VersionId};
 use aldercrank_server::msgpack_rpc::{
     self, MessageId, ReceivedFields, RequestFields, ResponseHandler, CONSENSUS_METHOD,
@@ -40,7 +40,8 @@
     let pid = std::process::id() % 60_000;
     // Not among the addresses that the harness gives out.
     let ip = format!("127.{}.{}.{}", 16 + pid / 250, 1 + pid % 250, 250 + number);
-    let (address, (pool, pool_address), (members, members_address)) = (unused_address(&ip), listen(&ip), listen(&ip));
+    let (address, (pool, pool_address), (members, members_address)) =
+        (unused_address(&ip), listen(&ip), listen(&ip));
     let directory = std::env::temp_dir().join(format!("aldercrank-golden-status-{pid}-{number}"));
     std::fs::create_dir_all(&directory).unwrap();
     let file = |name: &str, text: String| {
--- a/crates/aldercrank-server/tests/suite/harness.rs
+++ b/crates/aldercrank-server/tests/suite/harness.rs
@@ -214,7 +214,9 @@
     }
 
     /// The same; without `answer` the upstream dependency and the membership service are unreachable.
-    pub fn start_with_stubs(answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>) -> Program {
+    pub fn start_with_stubs(
+        answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>,
+    ) -> Program {
         Program::start_with(answer, |_| ())
     }
 
--- a/crates/aldercrank-server/tests/suite/lifecycle.rs
+++ b/crates/aldercrank-server/tests/suite/lifecycle.rs
@@ -1,7 +1,9 @@
 //! The program on loopback sockets from start to shutdown: health, reports, reloads and unavailable neighbours.
 
 use crate::codecs::check;
-use crate::harness::{attempt, listen_again, http, report_accepted, listen, ok, accept_within, PoolConnection, Program, TIMEOUT};
+use crate::harness::{
+    accept_within, attempt, http, listen, listen_again, ok, report_accepted, PoolConnection, Program, TIMEOUT,
+};
 use std::io::{Read, Write};
 use std::process::Command;
 use std::sync::mpsc::channel;
@@ -210,7 +212,8 @@
         if phase == "OUT" {
             program.term();
         }
-        let mut stream = accept_within(&silent, TIMEOUT).unwrap_or_else(|| panic!("{phase} was never reported"));
+        let mut stream =
+            accept_within(&silent, TIMEOUT).unwrap_or_else(|| panic!("{phase} was never reported"));
         let mut text = [0; 1024];
         let n = stream.read(&mut text).unwrap();
         assert!(String::from_utf8_lossy(&text[..n]).ends_with(&format!("{{\"phase\":\"{phase}\"}}")));
--- a/crates/aldercrank-server/tests/suite/worker_pool_link.rs
+++ b/crates/aldercrank-server/tests/suite/worker_pool_link.rs
@@ -96,8 +96,13 @@
     // The socket buffers are full by now.
     std::thread::sleep(Duration::from_millis(50));
     let size = (large.len() as u32).to_be_bytes();
-    let all =
-        edge.read_until(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc6], &size, &large, &[0x94, 1, 2, 0xc0, 0x92], b"small"]);
+    let all = edge.read_until(&[
+        &[0x94, 1, 1, 0xc0, 0x92, 0xc6],
+        &size,
+        &large,
+        &[0x94, 1, 2, 0xc0, 0x92],
+        b"small",
+    ]);
     assert_eq!(all.windows(3).filter(|w| *w == [0x94, 1, 1]).count(), 1);
     // A result over the limit completes no request.
     edge.send_request(3, "map", &attempt(3), None, b"c");
--- a/crates/aldercrank-test-cluster/src/edge_nodes/attempts.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/attempts.rs
@@ -119,13 +119,13 @@
         let token = request.idempotency_key.map(|key| format!("{key:032x}"));
         let fields = RequestFields {
             attempt: Some(&id),
-            t0: Some(host.unix_ms(now)),
-            peer: Some(u64::from(request.edge.0) + 1),
-            budget: Some(budget_ms),
-            mem: Some(class.memory_kb),
-            prio: Some(request.priority),
-            token: token.as_deref(),
-            obj: None,
+            sent_at_ms: Some(host.unix_ms(now)),
+            caller_id: Some(u64::from(request.edge.0) + 1),
+            budget_ms: Some(budget_ms),
+            memory_kb: Some(class.memory_kb),
+            rank: Some(request.priority),
+            idempotency_key: token.as_deref(),
+            subject: None,
         };
         let mut bytes = Vec::with_capacity(256 + body.len());
         msgpack_rpc::write_request(&mut bytes, reply_to.message_id, &class.name, &fields, &body);
--- a/crates/aldercrank-test-cluster/src/invariant_checker/checker.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/checker.rs
@@ -366,7 +366,9 @@
 
     /// A run has ended. One of which nothing was carried out is not counted as a run.
     pub fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) {
-        let Some(&index) = self.by_attempt_id.get(&attempt).filter(|_| end == RunEnd::NeverStarted) else { return };
+        let Some(&index) = self.by_attempt_id.get(&attempt).filter(|_| end == RunEnd::NeverStarted) else {
+            return;
+        };
         self.attempts[index].ran = false;
         if let Some(key) = self.attempts[index].attempt.idempotency_key {
             self.runs_by_key.entry(key).or_default().retain(|run| run.attempt != attempt);
--- a/crates/aldercrank-testbench/src/edge_client.rs
+++ b/crates/aldercrank-testbench/src/edge_client.rs
@@ -100,13 +100,13 @@
         let (id, token) = (request.id(), request.token.map(|token| format!("{token:032x}")));
         let fields = RequestFields {
             attempt: Some(&id),
-            t0: Some(unix_time.as_millis() as u64),
-            peer: Some(1),
-            budget: Some(request.budget.as_millis() as u64),
-            mem: Some(REQUEST_MEMORY_KB),
-            prio: Some(request.rank),
-            token: token.as_deref(),
-            obj: None,
+            sent_at_ms: Some(unix_time.as_millis() as u64),
+            caller_id: Some(1),
+            budget_ms: Some(request.budget.as_millis() as u64),
+            memory_kb: Some(REQUEST_MEMORY_KB),
+            rank: Some(request.rank),
+            idempotency_key: token.as_deref(),
+            subject: None,
         };
         let body = vec![b'b'; request.body];
         msgpack_rpc::write_request(output, MessageId(self.last_message), request.class, &fields, &body);
