--- a/crates/aldercrank-pacing/src/retry_pacer.rs
+++ b/crates/aldercrank-pacing/src/retry_pacer.rs
@@ -37,16 +37,16 @@
 
 /// Parameters of a pacer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct RetryPacerConfig {
     /// Time between two attempts while all succeed.
     pub interval: Duration,
     /// The service forgets a successful attempt after this time, so the next must succeed sooner.
-    pub lapse: Duration,
+    pub entry_lifetime: Duration,
     /// Longest backoff. Where the service forgets, it has to be well below the lapse; elsewhere, four intervals keep the
     /// load on a failed service below a third of the steady load.
-    pub longest: Duration,
+    pub max_backoff: Duration,
     /// Number of servers that send the same request, where it is known.
-    pub servers: Option<f64>,
+    pub server_count: Option<f64>,
 }
 
 /// State of a pacer.
@@ -63,7 +63,7 @@
 /// Gives the times of attempts at one periodic request.
 #[derive(Clone, Debug)]
 pub struct RetryPacer {
-    terms: Terms,
+    config: RetryPacerConfig,
     random: Pcg64Mcg,
     state: PacerState,
     /// The steady interval: the one of the parameters, or a longer one after rejections.
@@ -79,13 +79,13 @@
 impl RetryPacer {
     /// Seeds the random numbers: `name` sets a server apart from others with the same `seed`, as those of one image
     /// have it; `moment` sets its starts apart from one another.
-    pub fn new(terms: Terms, seed: &str, name: &str, moment: Duration) -> RetryPacer {
+    pub fn new(config: RetryPacerConfig, seed: &str, name: &str, moment: Duration) -> RetryPacer {
         let seed = digest(seed) ^ digest(name).rotate_left(21) ^ (moment.as_nanos() as u64).rotate_left(42);
         RetryPacer {
-            terms,
+            config,
             random: Pcg64Mcg::seed_from_u64(seed),
             state: PacerState::Waiting,
-            steady_interval: terms.interval,
+            steady_interval: config.interval,
         }
     }
 
@@ -100,21 +100,21 @@
     }
 
     /// A random time within a span, for actions that all servers of a fleet are asked to take at once.
-    pub fn within(&mut self, span: Duration) -> Duration {
+    pub fn random_time_within(&mut self, span: Duration) -> Duration {
         span.mul_f64(self.unit())
     }
 
     /// The time of the first attempt. A server that is alone does not wait.
-    pub fn first(&mut self, now: Duration) -> Duration {
-        let others = (self.terms.servers.unwrap_or(ASSUMED_SERVERS) - 1.0).max(0.0);
-        let spread = self.terms.interval.mul_f64((others * FIRST_ATTEMPT_SPREAD).min(1.0));
+    pub fn first_attempt(&mut self, now: Duration) -> Duration {
+        let others = (self.config.server_count.unwrap_or(ASSUMED_SERVERS) - 1.0).max(0.0);
+        let spread = self.config.interval.mul_f64((others * FIRST_ATTEMPT_SPREAD).min(1.0));
         now + spread.mul_f64(self.unit())
     }
 
     /// An attempt that began at `begun` has succeeded. Returns the time of the next, counted from the begin of this one.
     pub fn succeeded(&mut self, now: Duration, begun: Duration) -> Duration {
-        let recovery = self.terms.interval.mul_f64(STRETCH_RECOVERY);
-        self.steady_interval = self.steady_interval.saturating_sub(recovery).max(self.terms.interval);
+        let recovery = self.config.interval.mul_f64(STRETCH_RECOVERY);
+        self.steady_interval = self.steady_interval.saturating_sub(recovery).max(self.config.interval);
         let before = std::mem::replace(&mut self.state, PacerState::Steady);
         // Servers that return together would otherwise stay in step.
         let factor = match before {
@@ -130,7 +130,7 @@
             self.steady_interval.mul_f64(REJECTION_STRETCH).min(self.longest_steady_interval());
         let after_backoff = self.failed(now);
         let after_retry_after = retry_after.filter(|span| !span.is_zero()).map(|span| {
-            let span = span.min(self.terms.interval.mul_f64(MAX_RETRY_AFTER));
+            let span = span.min(self.config.interval.mul_f64(MAX_RETRY_AFTER));
             now + span + span.mul_f64(RETRY_AFTER_SPREAD * self.unit())
         });
         after_backoff.max(after_retry_after.unwrap_or(after_backoff))
@@ -144,11 +144,11 @@
         };
         self.state = PacerState::BackingOff(failures);
         let growth = INITIAL_BACKOFF * 2f64.powi(failures.min(MAX_BACKOFF_DOUBLINGS) as i32 - 1);
-        let backoff = self.terms.interval.mul_f64(growth).min(self.terms.longest);
+        let backoff = self.config.interval.mul_f64(growth).min(self.config.max_backoff);
         now + backoff.mul_f64(MIN_BACKOFF_SHARE + (1.0 - MIN_BACKOFF_SHARE) * self.unit())
     }
 
     fn longest_steady_interval(&self) -> Duration {
-        self.terms.lapse.mul_f64(MAX_STRETCH_OF_LAPSE).max(self.terms.interval)
+        self.config.entry_lifetime.mul_f64(MAX_STRETCH_OF_LAPSE).max(self.config.interval)
     }
 }
--- a/crates/aldercrank-pacing/src/slow_start.rs
+++ b/crates/aldercrank-pacing/src/slow_start.rs
@@ -84,11 +84,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartConfig {
     /// The least speed of a cold pool, as a share of a warm one's; the share starts there.
-    pub least: f64,
+    pub min_share: f64,
     /// Time after which the settings state that the pool is warm.
-    pub promised: Duration,
+    pub warm_after: Duration,
     /// Time between two evaluations.
-    pub look: Duration,
+    pub evaluation_interval: Duration,
 }
 
 /// Phase and share, with the reason for them.
@@ -99,7 +99,7 @@
     /// Share of the load to offer, from 0 to 1.
     pub share: f64,
     /// Why the share is what it is.
-    pub why: SlowStartReason,
+    pub reason: SlowStartReason,
 }
 
 /// The slow start of one server.
@@ -117,11 +117,11 @@
 
 impl SlowStart {
     /// Starts without a worker pool.
-    pub fn linking(config: SlowStartConfig) -> SlowStart {
-        let least = config.least.clamp(SHARE_STEP / 2.0, 1.0);
+    pub fn new(config: SlowStartConfig) -> SlowStart {
+        let min_share = config.min_share.clamp(SHARE_STEP / 2.0, 1.0);
         SlowStart {
-            config: SlowStartConfig { least, ..config },
-            status: SlowStartStatus { phase: Phase::Linking, share: 0.0, why: SlowStartReason::NoPool },
+            config: SlowStartConfig { min_share, ..config },
+            status: SlowStartStatus { phase: Phase::Linking, share: 0.0, reason: SlowStartReason::NoPool },
             pool_up_at: Duration::ZERO,
             evaluated_at: Duration::ZERO,
             slowest_run: None,
@@ -130,16 +130,16 @@
     }
 
     /// The present phase and share.
-    pub fn now(&self) -> SlowStartStatus {
+    pub fn status(&self) -> SlowStartStatus {
         self.status
     }
 
     /// The worker pool has come up, the first one or a new one. A new pool begins a new slow start.
-    pub fn bound(&mut self, now: Duration, cold: bool) -> SlowStartStatus {
+    pub fn pool_up(&mut self, now: Duration, cold: bool) -> SlowStartStatus {
         (self.pool_up_at, self.evaluated_at) = (now, now);
         (self.slowest_run, self.call_rejected) = (None, false);
         if cold {
-            self.set_status(Phase::SlowStart, self.config.least, SlowStartReason::NothingCompleted);
+            self.set_status(Phase::SlowStart, self.config.min_share, SlowStartReason::NothingCompleted);
         } else {
             self.set_status(Phase::Full, 1.0, SlowStartReason::Warm);
         }
@@ -147,32 +147,32 @@
     }
 
     /// A run has ended. `latency_ratio`: its time in latency targets, upstream calls included.
-    pub fn completed(&mut self, latency_ratio: f64) {
+    pub fn run_completed(&mut self, latency_ratio: f64) {
         self.slowest_run = Some(self.slowest_run.map_or(latency_ratio, |slowest| slowest.max(latency_ratio)));
     }
 
     /// The dependency has rejected a call, or not answered it.
-    pub fn rejected(&mut self) {
+    pub fn call_rejected(&mut self) {
         self.call_rejected = true;
     }
 
     /// Evaluates the runs where an evaluation is due. Returns the status if it has changed.
-    pub fn at(&mut self, now: Duration) -> Option<SlowStartStatus> {
+    pub fn evaluate(&mut self, now: Duration) -> Option<SlowStartStatus> {
         let is_limited = matches!(self.status.phase, Phase::SlowStart | Phase::Offering);
-        if !is_limited || now < self.evaluated_at + self.config.look {
+        if !is_limited || now < self.evaluated_at + self.config.evaluation_interval {
             return None;
         }
         self.evaluated_at = now;
         let before = self.status;
-        self.evaluate(now);
+        self.reevaluate(now);
         Some(self.status).filter(|status| *status != before)
     }
 
-    fn evaluate(&mut self, now: Duration) {
+    fn reevaluate(&mut self, now: Duration) {
         let (slowest_run, call_rejected) = (self.slowest_run.take(), std::mem::take(&mut self.call_rejected));
-        let cut = (self.status.share * SHARE_CUT_FACTOR).max(self.config.least);
+        let cut = (self.status.share * SHARE_CUT_FACTOR).max(self.config.min_share);
         let grown = (self.status.share + SHARE_STEP).min(1.0);
-        if now >= self.pool_up_at + self.config.promised.mul_f64(MAX_WARM_UP_RATIO) {
+        if now >= self.pool_up_at + self.config.warm_after.mul_f64(MAX_WARM_UP_RATIO) {
             self.set_status(Phase::Full, 1.0, SlowStartReason::LongEnough);
         } else if call_rejected {
             self.set_status(self.status.phase, cut, SlowStartReason::Refused);
@@ -189,7 +189,7 @@
         }
     }
 
-    fn set_status(&mut self, phase: Phase, share: f64, why: SlowStartReason) {
-        self.status = SlowStartStatus { phase, share, why };
+    fn set_status(&mut self, phase: Phase, share: f64, reason: SlowStartReason) {
+        self.status = SlowStartStatus { phase, share, reason };
     }
 }
--- a/crates/aldercrank-pacing/tests/retry_pacer.rs
+++ b/crates/aldercrank-pacing/tests/retry_pacer.rs
@@ -9,7 +9,7 @@
     clippy::too_many_lines
 )]
 
-use aldercrank_pacing::{PacerState, RetryPacer, Terms};
+use aldercrank_pacing::{PacerState, RetryPacer, RetryPacerConfig};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,21 +20,27 @@
     Duration::from_millis(n)
 }
 
-fn terms() -> Terms {
-    Terms { interval: SECOND, lapse: SECOND * 3, longest: SECOND * 4, servers: None }
+fn config() -> RetryPacerConfig {
+    RetryPacerConfig {
+        interval: SECOND,
+        entry_lifetime: SECOND * 3,
+        max_backoff: SECOND * 4,
+        server_count: None,
+    }
 }
 
 fn pacer(name: &str) -> RetryPacer {
-    RetryPacer::new(terms(), "one image", name, Duration::ZERO)
+    RetryPacer::new(config(), "one image", name, Duration::ZERO)
 }
 
 #[test]
 fn one_server_alone_starts_at_once_and_many_are_spread_over_the_interval() {
-    let alone = Terms { servers: Some(1.0), ..terms() };
-    assert_eq!(RetryPacer::new(alone, "s", "n1", SECOND).first(ms(7)), ms(7));
-    let many = Terms { servers: Some(1e6), ..terms() };
-    let firsts: BTreeSet<Duration> =
-        (0..1000).map(|n| RetryPacer::new(many, "s", &format!("n{n}"), SECOND).first(SECOND)).collect();
+    let alone = RetryPacerConfig { server_count: Some(1.0), ..config() };
+    assert_eq!(RetryPacer::new(alone, "s", "n1", SECOND).first_attempt(ms(7)), ms(7));
+    let many = RetryPacerConfig { server_count: Some(1e6), ..config() };
+    let firsts: BTreeSet<Duration> = (0..1000)
+        .map(|n| RetryPacer::new(many, "s", &format!("n{n}"), SECOND).first_attempt(SECOND))
+        .collect();
     assert_eq!(firsts.len(), 1000, "the same seed with another name gives another time");
     assert!(*firsts.first().unwrap() < ms(1010) && *firsts.last().unwrap() > ms(1990));
     assert!(firsts.iter().all(|at| (SECOND..SECOND * 2).contains(at)));
@@ -154,20 +160,20 @@
 
 /// Simulates servers that start together for so many seconds. `capacity`: successes a second by second, none while the
 /// service is gone.
-fn simulate(servers: usize, seconds: u64, capacity: impl Fn(u64) -> Option<f64>) -> Simulation {
-    let pacers: Vec<RetryPacer> = (0..servers).map(|n| pacer(&format!("n{n}"))).collect();
+fn simulate(server_count: usize, seconds: u64, capacity: impl Fn(u64) -> Option<f64>) -> Simulation {
+    let pacers: Vec<RetryPacer> = (0..server_count).map(|n| pacer(&format!("n{n}"))).collect();
     let mut simulation = Simulation {
         pacers,
         seconds: BTreeMap::new(),
         tenths: BTreeMap::new(),
         rejections: 0,
-        last_success: vec![None; servers],
+        last_success: vec![None; server_count],
         lapses: 0,
         lapsed_servers: BTreeSet::new(),
     };
     let mut due: BTreeSet<(Duration, usize)> = BTreeSet::new();
-    for n in 0..servers {
-        due.insert((simulation.pacers[n].first(Duration::ZERO), n));
+    for n in 0..server_count {
+        due.insert((simulation.pacers[n].first_attempt(Duration::ZERO), n));
     }
     let mut busy = Duration::ZERO;
     while let Some((now, n)) = due.pop_first().filter(|(now, _)| *now < SECOND * seconds as u32) {
@@ -228,9 +234,12 @@
         most_from(5)
     );
     // With two seconds between reports, an entry whose server is asked to retry after a second has lapsed by then.
-    let (lapses, servers) = (simulation.lapses, simulation.lapsed_servers.len() as u32);
+    let (lapses, server_count) = (simulation.lapses, simulation.lapsed_servers.len() as u32);
     assert!(lapses <= 50 * 12, "{lapses} lapses in 50 s, one server in 250 a second at most");
-    assert!(servers * 10 >= lapses * 8, "{lapses} lapses of {servers} servers: not always the same ones");
+    assert!(
+        server_count * 10 >= lapses * 8,
+        "{lapses} lapses of {server_count} servers: not always the same ones"
+    );
 }
 
 #[test]
--- a/crates/aldercrank-pacing/tests/slow_start.rs
+++ b/crates/aldercrank-pacing/tests/slow_start.rs
@@ -14,26 +14,29 @@
 use std::time::Duration;
 
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
-const CONFIG: SlowStartConfig =
-    SlowStartConfig { least: 0.25, promised: Duration::from_secs(5), look: EVALUATION_INTERVAL };
+const CONFIG: SlowStartConfig = SlowStartConfig {
+    min_share: 0.25,
+    warm_after: Duration::from_secs(5),
+    evaluation_interval: EVALUATION_INTERVAL,
+};
 
 fn cold() -> SlowStart {
-    let mut slow_start = SlowStart::linking(CONFIG);
-    assert_eq!(slow_start.now().phase, Phase::Linking);
-    assert_eq!(slow_start.now().share, 0.0);
-    slow_start.bound(Duration::ZERO, true);
+    let mut slow_start = SlowStart::new(CONFIG);
+    assert_eq!(slow_start.status().phase, Phase::Linking);
+    assert_eq!(slow_start.status().share, 0.0);
+    slow_start.pool_up(Duration::ZERO, true);
     slow_start
 }
 
 #[test]
 fn a_warm_pool_gets_the_whole_load_at_once_and_a_cold_one_by_its_runs() {
-    let mut warm = SlowStart::linking(CONFIG);
-    assert_eq!(warm.bound(EVALUATION_INTERVAL, false).phase, Phase::Full);
+    let mut warm = SlowStart::new(CONFIG);
+    assert_eq!(warm.pool_up(EVALUATION_INTERVAL, false).phase, Phase::Full);
     let mut slow_start = cold();
-    let mut phases = vec![slow_start.now().phase];
+    let mut phases = vec![slow_start.status().phase];
     for n in 1..=9 {
-        slow_start.completed(0.3);
-        phases.extend(slow_start.at(EVALUATION_INTERVAL * n).map(|status| status.phase));
+        slow_start.run_completed(0.3);
+        phases.extend(slow_start.evaluate(EVALUATION_INTERVAL * n).map(|status| status.phase));
     }
     assert_eq!(phases[0], Phase::SlowStart);
     assert!(phases[1..8].iter().all(|p| *p == Phase::Offering), "{phases:?}");
@@ -44,32 +47,32 @@
 fn a_rejected_call_and_a_slow_run_cut_the_share_down_to_its_minimum() {
     let mut slow_start = cold();
     for n in 1..=4 {
-        slow_start.completed(0.1);
-        slow_start.at(EVALUATION_INTERVAL * n);
+        slow_start.run_completed(0.1);
+        slow_start.evaluate(EVALUATION_INTERVAL * n);
     }
-    let grown = slow_start.now().share;
-    slow_start.rejected();
-    slow_start.completed(0.1);
+    let grown = slow_start.status().share;
+    slow_start.call_rejected();
+    slow_start.run_completed(0.1);
     assert_eq!(
-        slow_start.at(EVALUATION_INTERVAL * 5).map(|status| status.why),
+        slow_start.evaluate(EVALUATION_INTERVAL * 5).map(|status| status.reason),
         Some(SlowStartReason::Refused)
     );
-    assert!(slow_start.now().share < grown);
+    assert!(slow_start.status().share < grown);
     for n in 6..=20 {
-        slow_start.completed(3.0);
-        slow_start.at(EVALUATION_INTERVAL * n);
+        slow_start.run_completed(3.0);
+        slow_start.evaluate(EVALUATION_INTERVAL * n);
     }
-    assert_eq!(slow_start.now().share, CONFIG.least);
+    assert_eq!(slow_start.status().share, CONFIG.min_share);
 }
 
 #[test]
 fn without_runs_the_share_stays_until_the_longest_slow_start_has_passed() {
     let mut slow_start = cold();
-    assert_eq!(slow_start.at(Duration::from_secs(19)), None);
-    let status = slow_start.at(Duration::from_secs(20)).unwrap();
-    assert_eq!((status.phase, status.why), (Phase::Full, SlowStartReason::LongEnough));
+    assert_eq!(slow_start.evaluate(Duration::from_secs(19)), None);
+    let status = slow_start.evaluate(Duration::from_secs(20)).unwrap();
+    assert_eq!((status.phase, status.reason), (Phase::Full, SlowStartReason::LongEnough));
     // A new pool begins a new slow start.
-    assert_eq!(slow_start.bound(Duration::from_secs(21), true).phase, Phase::SlowStart);
+    assert_eq!(slow_start.pool_up(Duration::from_secs(21), true).phase, Phase::SlowStart);
 }
 
 #[derive(Clone, Debug)]
@@ -106,7 +109,7 @@
 }
 
 impl PlainModel {
-    fn evaluate(&mut self, now: f64) {
+    fn reevaluate(&mut self, now: f64) {
         if self.full || self.share == 0.0 || now - self.evaluated_at < 0.1 - 1e-9 {
             return;
         }
@@ -132,19 +135,19 @@
 #[test]
 fn the_share_equals_that_of_a_plain_model_for_all_event_sequences() {
     fn agrees(events: Vec<Event>) -> bool {
-        let (mut slow_start, mut model) = (SlowStart::linking(CONFIG), PlainModel::default());
+        let (mut slow_start, mut model) = (SlowStart::new(CONFIG), PlainModel::default());
         let mut now = Duration::ZERO;
         events.into_iter().all(|event| {
             match &event {
-                Event::Completed(hundredths) => slow_start.completed(f64::from(*hundredths) / 100.0),
-                Event::CallRejected => slow_start.rejected(),
+                Event::Completed(hundredths) => slow_start.run_completed(f64::from(*hundredths) / 100.0),
+                Event::CallRejected => slow_start.call_rejected(),
                 Event::TimePasses(units) => {
                     now += Duration::from_millis(u64::from(*units) * 4);
-                    slow_start.at(now);
-                    model.evaluate(now.as_secs_f64());
+                    slow_start.evaluate(now);
+                    model.reevaluate(now.as_secs_f64());
                 }
                 Event::PoolUp { cold } => {
-                    slow_start.bound(now, *cold);
+                    slow_start.pool_up(now, *cold);
                     let share = if *cold { 0.25 } else { 1.0 };
                     let at = now.as_secs_f64();
                     model = PlainModel {
@@ -159,7 +162,7 @@
             if matches!(event, Event::Completed(_) | Event::CallRejected) {
                 model.events.push(event);
             }
-            let status = slow_start.now();
+            let status = slow_start.status();
             (status.share - model.share).abs() < 1e-9 && (status.phase == Phase::Full) == model.full
         })
     }
--- a/crates/aldercrank-server/src/core/slow_start.rs
+++ b/crates/aldercrank-server/src/core/slow_start.rs
@@ -1,5 +1,5 @@
 //! Follows how far a server's slow start has come, where the service file asks for it: hands completed runs and
-//! rejected calls to `aldercrank-pacing`, and logs each status that follows. It limits nothing (docs/design-start.md).
+//! rejected calls to `aldercrank-pacing`, and logs each status that follows. It limits nothing (docs/design-pacing.md).
 
 use aldercrank::{parameters, Settings};
 use aldercrank_pacing::{SlowStart, SlowStartConfig, SlowStartStatus};
@@ -23,15 +23,15 @@
         let latency_targets = latency_targets(settings);
         let shortest = latency_targets.iter().min().copied().unwrap_or_default();
         let config = SlowStartConfig {
-            least: settings.num("rules.cold_from").unwrap_or(0.0),
-            promised: settings.span("rules.warm_after").unwrap_or_default(),
-            look: shortest.mul_f64(EVALUATION_INTERVAL_SHARE),
+            min_share: settings.num("rules.cold_from").unwrap_or(0.0),
+            warm_after: settings.span("rules.warm_after").unwrap_or_default(),
+            evaluation_interval: shortest.mul_f64(EVALUATION_INTERVAL_SHARE),
         };
-        SlowStartTracker { slow_start: SlowStart::linking(config), latency_targets }
+        SlowStartTracker { slow_start: SlowStart::new(config), latency_targets }
     }
 
     pub(super) fn status(&self) -> SlowStartStatus {
-        self.slow_start.now()
+        self.slow_start.status()
     }
 
     pub(super) fn apply_settings(&mut self, settings: &Settings) {
@@ -40,23 +40,23 @@
 
     /// The first worker pool is up, or another one than before. `cold`: whether it has just started.
     pub(super) fn pool_up(&mut self, now: Duration, cold: bool) {
-        log_status(self.slow_start.bound(now, cold));
+        log_status(self.slow_start.pool_up(now, cold));
     }
 
     pub(super) fn run_completed(&mut self, class: usize, took: Duration) {
         let target = self.latency_targets.get(class).filter(|target| !target.is_zero());
         if let Some(target) = target {
-            self.slow_start.completed(took.div_duration_f64(*target));
+            self.slow_start.run_completed(took.div_duration_f64(*target));
         }
     }
 
     /// The upstream dependency rejected a call, could not be reached or did not reply in time.
     pub(super) fn call_rejected(&mut self) {
-        self.slow_start.rejected();
+        self.slow_start.call_rejected();
     }
 
     pub(super) fn evaluate(&mut self, now: Duration) {
-        if let Some(status) = self.slow_start.at(now) {
+        if let Some(status) = self.slow_start.evaluate(now) {
             log_status(status);
         }
     }
@@ -66,7 +66,7 @@
     tracing::info!(
         phase = status.phase.name(),
         share = status.share,
-        reason = status.why.name(),
+        reason = status.reason.name(),
         "slow start status changed"
     );
 }
--- a/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
@@ -63,11 +63,11 @@
 impl VersionPolling {
     /// The first poll is due at once.
     pub(super) fn new(config: &Config, now: Duration) -> VersionPolling {
-        let terms = aldercrank_pacing::Terms {
+        let terms = aldercrank_pacing::RetryPacerConfig {
             interval: POLL_WAIT,
-            lapse: POLL_WAIT * 4,
-            longest: POLL_WAIT * 2,
-            servers: Some(1.0),
+            entry_lifetime: POLL_WAIT * 4,
+            max_backoff: POLL_WAIT * 2,
+            server_count: Some(1.0),
         };
         VersionPolling {
             pacer: RetryPacer::new(terms, &config.seed, &config.name, Clock::unix_time()),
--- a/crates/aldercrank-server/src/net/membership_reports.rs
+++ b/crates/aldercrank-server/src/net/membership_reports.rs
@@ -145,7 +145,7 @@
     pub(super) fn schedule_first_report(&mut self) {
         let mut net = self.net();
         let now = net.clock.now();
-        let first_at = net.reports.pacer.first(now);
+        let first_at = net.reports.pacer.first_attempt(now);
         net.timers.set(TimerEvent::Report, first_at);
     }
 
@@ -154,11 +154,11 @@
     pub(super) fn schedule_shutdown_report(&mut self, spread: Duration) -> Duration {
         let mut net = self.net();
         let now = net.clock.now();
-        let report_at = now + net.reports.pacer.within(spread);
+        let report_at = now + net.reports.pacer.random_time_within(spread);
         net.reports.shutdown_report_pending = true;
         net.reports.forget_latest();
         net.timers.set(TimerEvent::Report, report_at);
-        net.reports.pacer.within(spread)
+        net.reports.pacer.random_time_within(spread)
     }
 
     /// Reports in the current turn, since the health or the membership service's address has changed.
--- a/crates/aldercrank-server/src/net/startup.rs
+++ b/crates/aldercrank-server/src/net/startup.rs
@@ -130,11 +130,11 @@
 
 /// Paces reports by the TTL of an entry, and by the number of servers where the settings state it.
 fn report_pacer(config: &Config) -> RetryPacer {
-    let terms = aldercrank_pacing::Terms {
+    let terms = aldercrank_pacing::RetryPacerConfig {
         interval: REPORT_INTERVAL,
-        lapse: ENTRY_TTL,
-        longest: config.reports_longest.unwrap_or(ENTRY_TTL.mul_f64(REPORT_BACKOFF_SHARE)),
-        servers: config.settings.num("peers_total"),
+        entry_lifetime: ENTRY_TTL,
+        max_backoff: config.reports_longest.unwrap_or(ENTRY_TTL.mul_f64(REPORT_BACKOFF_SHARE)),
+        server_count: config.settings.num("peers_total"),
     };
     RetryPacer::new(terms, &config.seed, &config.name, Clock::unix_time())
 }
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -8,7 +8,7 @@
 use crate::payload::{count_copied, Payload, BY_REFERENCE_BYTES};
 use crate::worker_pool::{self, AttemptId, EventHandler, NoticeNumber};
 use aldercrank::{Outcome, Value};
-use aldercrank_pacing::{RetryPacer, Terms};
+use aldercrank_pacing::{RetryPacer, RetryPacerConfig};
 use bytes::Bytes;
 use std::collections::VecDeque;
 use std::io;
@@ -79,9 +79,13 @@
 impl WorkerPoolLink {
     /// A link that is not connected. `seed` and `name` determine the random times of attempts to connect.
     pub(super) fn new(max_payload_bytes: usize, seed: &str, name: &str) -> WorkerPoolLink {
-        let longest = CONNECT_INTERVAL.mul_f64(MAX_INTERVAL_SHARE);
-        let terms =
-            Terms { interval: CONNECT_INTERVAL, lapse: CONNECT_INTERVAL, longest, servers: Some(1.0) };
+        let max_backoff = CONNECT_INTERVAL.mul_f64(MAX_INTERVAL_SHARE);
+        let terms = RetryPacerConfig {
+            interval: CONNECT_INTERVAL,
+            entry_lifetime: CONNECT_INTERVAL,
+            max_backoff,
+            server_count: Some(1.0),
+        };
         WorkerPoolLink {
             connection: None,
             number: 0,
