--- a/crates/aldercrank-json-settings/src/lib.rs
+++ b/crates/aldercrank-json-settings/src/lib.rs
@@ -22,7 +22,7 @@
         }
         Json::String(text) => settings.set(path, Value::Text(text.clone())),
         Json::Bool(flag) => settings.set(path, Value::Flag(*flag)),
-        Json::Number(number) => settings.set(path, Value::Num(number.as_f64().unwrap_or(f64::NAN))),
+        Json::Number(number) => settings.set(path, Value::Number(number.as_f64().unwrap_or(f64::NAN))),
         Json::Null => {}
     }
 }
--- a/crates/aldercrank-json-settings/tests/golden.rs
+++ b/crates/aldercrank-json-settings/tests/golden.rs
@@ -35,7 +35,7 @@
 /// A value with its kind, as JSON writes it.
 fn written(value: &Value) -> String {
     match value {
-        Value::Num(n) => format!("number {n:?}"),
+        Value::Number(n) => format!("number {n:?}"),
         Value::Text(text) => format!("text {text:?}"),
         Value::Flag(flag) => format!("flag {flag}"),
     }
--- a/crates/aldercrank-server/src/config/platform_file.rs
+++ b/crates/aldercrank-server/src/config/platform_file.rs
@@ -63,7 +63,7 @@
         if settings.text("profiles.0.name").is_none() {
             return Err(PlatformConfigError::NoClasses);
         }
-        let invalid = settings.senseless();
+        let invalid = settings.invalid();
         if !invalid.is_empty() {
             return Err(PlatformConfigError::InvalidSettings(invalid));
         }
--- a/crates/aldercrank-server/src/config/reload.rs
+++ b/crates/aldercrank-server/src/config/reload.rs
@@ -52,7 +52,7 @@
             ("rules in the service file", self.rules == new.rules),
             ("start in the service file", self.start == new.start),
             ("cores of the settings", self.cores() == new.cores()),
-            ("products of the settings", self.classes() == new.classes()),
+            ("products of the settings", self.request_classes() == new.request_classes()),
         ];
         fields.into_iter().filter(|(_, same)| !same).map(|(name, _)| name).collect()
     }
@@ -63,7 +63,7 @@
         if self.name != new.name {
             return Some(ForeignConfig::Name { offered: new.name.clone(), own: self.name.clone() });
         }
-        let (own, offered) = (self.classes(), new.classes());
+        let (own, offered) = (self.request_classes(), new.request_classes());
         if offered.iter().any(|name| own.contains(name)) {
             return None;
         }
@@ -72,11 +72,11 @@
     }
 
     fn cores(&self) -> Option<f64> {
-        self.settings.num(CORES)
+        self.settings.number(CORES)
     }
 
     /// The names of the request classes, in their order.
-    fn classes(&self) -> Vec<&str> {
+    fn request_classes(&self) -> Vec<&str> {
         (0..).map_while(|i| self.settings.text(&format!("profiles.{i}.name"))).collect()
     }
 
@@ -85,9 +85,9 @@
     pub fn settings_of(&self, new: &Config) -> Option<Settings> {
         let mut settings = new.settings.clone();
         match self.cores() {
-            Some(cores) => settings.set(CORES, Value::Num(cores)),
+            Some(cores) => settings.set(CORES, Value::Number(cores)),
             None => drop(settings.0.remove(CORES)),
         }
-        (self.classes() == new.classes() && settings.0 != self.settings.0).then_some(settings)
+        (self.request_classes() == new.request_classes() && settings.0 != self.settings.0).then_some(settings)
     }
 }
--- a/crates/aldercrank-server/src/core/receive.rs
+++ b/crates/aldercrank-server/src/core/receive.rs
@@ -43,9 +43,9 @@
         let effect = state.classes[class].effect;
         // The caller's word is limited to the longest deadline: a request older than that is gone, or its clock is
         // wrong. Deduplication windows go by the caller's word; slow reading is judged by this server's own clock.
-        let reported_age = received.arrival.unread_for.min(state.longest_deadline);
+        let reported_age = received.arrival.unread_time.min(state.longest_deadline);
         let arrived_at = now.saturating_sub(reported_age);
-        let unread_for = reported_age.min(received.unread);
+        let unread_time = reported_age.min(received.unread);
         if received.dedup_key.is_some() && state.dedup.is_full() {
             tracing::error!("request rejected: the deduplication table is full");
             return state.ports.reject(reply_to, None, false);
@@ -84,7 +84,7 @@
             state.ports.decided_by_version(reply_to, version);
         }
         state.replies_owed.insert(reply_to, id);
-        let incoming = IncomingRequest { repeats, unread_for, ..received.arrival };
+        let incoming = IncomingRequest { repeats, unread_time, ..received.arrival };
         self.admission.request_received(now, id, &incoming);
         self.notify_ended();
     }
--- a/crates/aldercrank-server/src/core/slow_start.rs
+++ b/crates/aldercrank-server/src/core/slow_start.rs
@@ -15,7 +15,7 @@
 }
 
 fn latency_targets(settings: &Settings) -> Vec<Duration> {
-    parameters::classes(settings).into_iter().map(|class| class.latency_target).collect()
+    parameters::request_classes(settings).into_iter().map(|class| class.latency_target).collect()
 }
 
 impl SlowStartTracker {
@@ -23,7 +23,7 @@
         let latency_targets = latency_targets(settings);
         let shortest = latency_targets.iter().min().copied().unwrap_or_default();
         let config = SlowStartConfig {
-            min_share: settings.num("rules.cold_from").unwrap_or(0.0),
+            min_share: settings.number("rules.cold_from").unwrap_or(0.0),
             warm_after: settings.span("rules.warm_after").unwrap_or_default(),
             evaluation_interval: shortest.mul_f64(EVALUATION_INTERVAL_SHARE),
         };
--- a/crates/aldercrank-server/src/core/state.rs
+++ b/crates/aldercrank-server/src/core/state.rs
@@ -6,7 +6,7 @@
 use crate::dedup::DedupTable;
 use crate::slots::{Slot, Slots};
 use crate::worker_pool::AttemptId;
-use aldercrank::tree::Tree;
+use aldercrank::range_summary_map::RangeSummaryMap;
 use aldercrank::{parameters, DeterministicMap, Effect, Outcome, RequestId, Settings};
 use std::collections::VecDeque;
 use std::fmt;
@@ -52,7 +52,7 @@
     pub(super) requests: Slots<Request>,
     /// The requests that are queued, joined or running.
     pub(super) in_flight: DeterministicMap<AttemptId, RequestId>,
-    pub(super) replies_owed: Tree<ReplyTo, RequestId>,
+    pub(super) replies_owed: RangeSummaryMap<ReplyTo, RequestId>,
     pub(super) dedup: DedupTable,
     pub(super) link: LinkState,
     /// Tag of the latest poll for load metrics.
@@ -98,7 +98,7 @@
             tick: Duration::ZERO,
             requests: Slots::default(),
             in_flight: DeterministicMap::default(),
-            replies_owed: Tree::default(),
+            replies_owed: RangeSummaryMap::default(),
             dedup: DedupTable::new(result_capacity),
             link: LinkState::Down,
             poll_tag: 0,
@@ -115,7 +115,7 @@
 
     /// Takes over what the core itself needs from the settings.
     pub(super) fn load_settings(&mut self, settings: &Settings) {
-        let classes = parameters::classes(settings);
+        let classes = parameters::request_classes(settings);
         let longest = classes.iter().map(|class| class.window).max().unwrap_or_default();
         // An entry may have been made under a longer window.
         self.longest_window = self.longest_window.max(longest);
--- a/crates/aldercrank-server/src/deadlines.rs
+++ b/crates/aldercrank-server/src/deadlines.rs
@@ -1,6 +1,6 @@
 //! All deadlines of a server in one ordered structure. Times are spans on the server's clock.
 
-use aldercrank::tree::Tree;
+use aldercrank::range_summary_map::RangeSummaryMap;
 use aldercrank::DeterministicMap;
 use std::hash::Hash;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 #[derive(Debug)]
 pub struct Deadlines<K> {
     by_key: DeterministicMap<K, Duration>,
-    in_order: Tree<(Duration, K)>,
+    in_order: RangeSummaryMap<(Duration, K)>,
 }
 
 impl<K> Default for Deadlines<K> {
     fn default() -> Self {
-        Deadlines { by_key: DeterministicMap::default(), in_order: Tree::default() }
+        Deadlines { by_key: DeterministicMap::default(), in_order: RangeSummaryMap::default() }
     }
 }
 
--- a/crates/aldercrank-server/src/dedup.rs
+++ b/crates/aldercrank-server/src/dedup.rs
@@ -4,7 +4,7 @@
 
 use crate::payload::Payload;
 use crate::slots::{Slot, Slots};
-use aldercrank::tree::Tree;
+use aldercrank::range_summary_map::RangeSummaryMap;
 use aldercrank::{DeterministicMap, RequestId};
 use bytes::Bytes;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -87,7 +87,7 @@
     entries: Slots<Entry>,
     ids: DeterministicMap<DedupKey, EntryId>,
     /// Entries with a result, oldest result first.
-    results: Tree<u64, EntryId>,
+    results: RangeSummaryMap<u64, EntryId>,
     next_result_number: u64,
     result_bytes: usize,
     result_capacity: usize,
@@ -99,7 +99,7 @@
         DedupTable {
             entries: Slots::default(),
             ids: DeterministicMap::default(),
-            results: Tree::default(),
+            results: RangeSummaryMap::default(),
             next_result_number: 0,
             result_bytes: 0,
             result_capacity,
--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -50,7 +50,7 @@
         let quota = parsed.share(&agreement.context.server.0);
         if quota.is_some() || agreement.quotas.is_some() {
             let platform = &agreement.context.platform;
-            let own_limit = platform.num("family_info.calls_out").unwrap_or_default();
+            let own_limit = platform.number("family_info.calls_out").unwrap_or_default();
             // A call lasts no longer than its request.
             let deadlines = (0..).map_while(|i| platform.span(&format!("profiles.{i}.give_up")));
             let longest_call = deadlines.max().unwrap_or_default();
--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -225,7 +225,7 @@
         let quota = self.quotas.as_mut().map(|quotas| quotas.share(now).quota);
         if let Some(quota) = quota {
             // The admission module takes zero for no limit; the core makes sure that no quota means no calls.
-            settings.set("family_info.calls_out", aldercrank::Value::Num(quota.max(MIN_QUOTA)));
+            settings.set("family_info.calls_out", aldercrank::Value::Number(quota.max(MIN_QUOTA)));
         }
         Some(EffectiveSettings { settings, quota })
     }
--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -97,7 +97,7 @@
             .or_else(|| self.server.socket_settings.default_budget(method))
             .ok_or(MissingField("budget"))?;
         // Not below zero, in case this server's clock was set back, and not more than the budget.
-        let unread_for = unix_now.saturating_sub(sent_at);
+        let unread_time = unix_now.saturating_sub(sent_at);
         let unix_deadline = sent_at.checked_add(budget).ok_or(FieldOutOfRange("budget"))?;
         let remaining = unix_deadline.saturating_sub(unix_now).min(budget);
         // The stated time unread is trusted only as far as this server's own reads allow: all input that came before
@@ -125,7 +125,7 @@
             memory_kb,
             rank,
             caller: CallerId(fields.caller_id.ok_or(MissingField("peer"))?),
-            unread_for,
+            unread_time,
             ..IncomingRequest::default()
         };
         let attempt = AttemptId::new(attempt).ok_or(FieldOutOfRange("rid"))?;
--- a/crates/aldercrank-server/src/net/socket_settings.rs
+++ b/crates/aldercrank-server/src/net/socket_settings.rs
@@ -30,7 +30,7 @@
     /// Reads them from the platform's settings.
     pub(super) fn new(settings: &Settings) -> SocketSettings {
         let answer_slack = settings.span("rules.answer_slack").unwrap_or(MAX_SLEEP);
-        let classes = aldercrank::parameters::classes(settings);
+        let classes = aldercrank::parameters::request_classes(settings);
         let longest_deadline = classes.iter().map(|class| class.deadline).max().unwrap_or(MAX_SLEEP);
         let requests_state_none = settings.flag("family_info.passes_deadline") == Some(false);
         let class_deadlines = classes
--- a/crates/aldercrank-server/src/net/startup.rs
+++ b/crates/aldercrank-server/src/net/startup.rs
@@ -134,7 +134,7 @@
         interval: REPORT_INTERVAL,
         entry_lifetime: ENTRY_TTL,
         max_backoff: config.reports_longest.unwrap_or(ENTRY_TTL.mul_f64(REPORT_BACKOFF_SHARE)),
-        server_count: config.settings.num("peers_total"),
+        server_count: config.settings.number("peers_total"),
     };
     RetryPacer::new(terms, &config.seed, &config.name, Clock::unix_time())
 }
--- a/crates/aldercrank-server/tests/suite/core/generated_events.rs
+++ b/crates/aldercrank-server/tests/suite/core/generated_events.rs
@@ -50,7 +50,7 @@
             // The window grows and shrinks; an entry keeps the longer one, which the model checks.
             let mut settings = settings();
             let window = WINDOW.as_micros() as f64 * (1.0 + f64::from(amount % 3));
-            settings.set("profiles.1.window", aldercrank::Value::Num(window));
+            settings.set("profiles.1.window", aldercrank::Value::Number(window));
             let share = [None, Some(0.0), Some(3.0)][usize::from(selector % 3)];
             scenario.core.apply_version(scenario.now(), &settings, u64::from(amount), share);
         }
--- a/crates/aldercrank-server/tests/suite/core/requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/requests.rs
@@ -121,11 +121,11 @@
         caller_gone: false,
     };
     scenario.world_mut().requests.insert(reply_to, record);
-    let unread_for = Duration::from_secs(1_700_000_000);
+    let unread_time = Duration::from_secs(1_700_000_000);
     let arrival = IncomingRequest {
         class: "p0",
         deadline: Some(scenario.now()),
-        unread_for,
+        unread_time,
         ..IncomingRequest::default()
     };
     scenario.core.request_received(
@@ -150,11 +150,11 @@
         for call in 0..60 {
             let attempt = AttemptId::new(&format!("{:016x}", 7000 + call)).unwrap();
             let (reply_to, now) = (ReplyTo { conn: ConnId(7), call: MessageId(call) }, scenario.now());
-            let (unread_for, deadline) = (MS * 2000, now + MS * 200);
+            let (unread_time, deadline) = (MS * 2000, now + MS * 200);
             let record = RequestRecord {
                 attempt,
                 token: None,
-                arrived: now - unread_for,
+                arrived: now - unread_time,
                 deadline,
                 body: vec![],
                 responses: 0,
@@ -164,7 +164,7 @@
             let arrival = IncomingRequest {
                 class: "p0",
                 deadline: Some(deadline),
-                unread_for,
+                unread_time,
                 ..IncomingRequest::default()
             };
             scenario.core.request_received(
--- a/crates/aldercrank-server/tests/suite/core/scenario.rs
+++ b/crates/aldercrank-server/tests/suite/core/scenario.rs
@@ -58,10 +58,10 @@
     }
 
     /// The core receives a request with `left` until its deadline.
-    pub fn receive(&mut self, token: Option<u8>, left: Duration, unread_for: Duration) -> ReplyTo {
+    pub fn receive(&mut self, token: Option<u8>, left: Duration, unread_time: Duration) -> ReplyTo {
         self.requests_made += 1;
         let (now, call) = (self.now(), self.requests_made);
-        let (arrived, deadline) = (now.saturating_sub(unread_for), now + left);
+        let (arrived, deadline) = (now.saturating_sub(unread_time), now + left);
         let attempt = AttemptId::new(&format!("{call:016x}")).unwrap();
         let reply_to = ReplyTo { conn: ConnId(call % 3), call: MessageId(call) };
         let body = vec![call as u8; 3];
@@ -81,7 +81,7 @@
             deadline: Some(deadline),
             memory_kb: 10.0,
             rank: 0.9,
-            unread_for: now - arrived,
+            unread_time: now - arrived,
             caller: CallerId(1),
             ..IncomingRequest::default()
         };
@@ -89,7 +89,7 @@
         self.core.request_received(
             now,
             reply_to,
-            ReceivedRequest { attempt, dedup_key, arrival, unread: unread_for, body: &body },
+            ReceivedRequest { attempt, dedup_key, arrival, unread: unread_time, body: &body },
         );
         reply_to
     }
--- a/crates/aldercrank-server/tests/suite/golden_config.rs
+++ b/crates/aldercrank-server/tests/suite/golden_config.rs
@@ -15,7 +15,7 @@
 /// A setting with its kind.
 pub fn setting(value: &Value) -> String {
     match value {
-        Value::Num(n) => format!("number {n:?}"),
+        Value::Number(n) => format!("number {n:?}"),
         Value::Text(text) => format!("text {text:?}"),
         Value::Flag(flag) => format!("flag {flag}"),
     }
--- a/crates/aldercrank-simulator-adapter/src/events.rs
+++ b/crates/aldercrank-simulator-adapter/src/events.rs
@@ -70,7 +70,7 @@
             retry: flags & 2 != 0,
             write: flags & 4 != 0,
             caller: CallerId(self.integer("by")),
-            unread_for: Duration::from_micros(self.integer("lay")),
+            unread_time: Duration::from_micros(self.integer("lay")),
             repeats: repeats.and_then(|id| u32::try_from(id).ok()).map(RequestId),
         }
     }
--- a/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
@@ -13,7 +13,7 @@
 
 fn setting(value: &Value) -> String {
     match value {
-        Value::Num(n) => format!("number {n:?}"),
+        Value::Number(n) => format!("number {n:?}"),
         Value::Text(text) => format!("text {text:?}"),
         Value::Flag(flag) => format!("flag {flag}"),
     }
--- a/crates/aldercrank-versioned-config/src/platform_settings.rs
+++ b/crates/aldercrank-versioned-config/src/platform_settings.rs
@@ -24,8 +24,8 @@
 /// An item's value in the unit and type of its setting.
 fn setting_value(item: &Item, value: &Value) -> Option<Setting> {
     Some(match (item.kind, value) {
-        (ValueKind::Number { .. }, Value::Number(number)) => Setting::Num(*number),
-        (ValueKind::TimeSpan { .. }, Value::Number(milliseconds)) => Setting::Num(milliseconds * 1e3),
+        (ValueKind::Number { .. }, Value::Number(number)) => Setting::Number(*number),
+        (ValueKind::TimeSpan { .. }, Value::Number(milliseconds)) => Setting::Number(milliseconds * 1e3),
         (ValueKind::Flag, Value::Flag(flag)) => Setting::Flag(*flag),
         (ValueKind::OneOf(choices), Value::Word(word)) => {
             let choice = choices.iter().find(|choice| choice.name == word)?;
@@ -85,7 +85,7 @@
             }
         }
         if let Some(quota) = self.share(server) {
-            merged.set(QUOTA_SETTING, Setting::Num(quota));
+            merged.set(QUOTA_SETTING, Setting::Number(quota));
         }
         if !self.serves(server) {
             merged.set(IN_SERVICE_SETTING, Setting::Flag(false));
@@ -93,7 +93,7 @@
         if let Some(Value::Callers(callers)) = self.get(path::REJECTED_CALLERS, "", "") {
             for (index, caller) in callers.iter().enumerate() {
                 let setting = format!("{REJECTED_CALLER_SETTING}.{index}");
-                merged.set(&setting, Setting::Num(*caller as f64));
+                merged.set(&setting, Setting::Number(*caller as f64));
             }
         }
         merged
--- a/crates/aldercrank-versioned-config/tests/golden.rs
+++ b/crates/aldercrank-versioned-config/tests/golden.rs
@@ -171,12 +171,12 @@
         let mut set = |field: &str, value: Setting| settings.set(&format!("profiles.{index}.{field}"), value);
         set("name", Setting::Text(name.to_string()));
         set("effect", Setting::Text(effect.to_string()));
-        set("goal_time", Setting::Num(*goal));
-        set("give_up", Setting::Num(*timeout));
-        set("window", Setting::Num(*window));
+        set("goal_time", Setting::Number(*goal));
+        set("give_up", Setting::Number(*timeout));
+        set("window", Setting::Number(*window));
     }
-    settings.set("family_info.calls_out", Setting::Num(4.0));
-    settings.set("family_info.memory_kb", Setting::Num(9000.0));
+    settings.set("family_info.calls_out", Setting::Number(4.0));
+    settings.set("family_info.memory_kb", Setting::Number(9000.0));
     settings
 }
 
@@ -209,7 +209,7 @@
                 }
                 for (name, value) in &config.settings(&platform, server).0 {
                     let _ = match value {
-                        Setting::Num(number) => writeln!(out, "  {name} = {number}"),
+                        Setting::Number(number) => writeln!(out, "  {name} = {number}"),
                         Setting::Text(text) => writeln!(out, "  {name} = {text:?}"),
                         Setting::Flag(flag) => writeln!(out, "  {name} = #{flag}"),
                     };
--- a/crates/aldercrank-versioned-config/tests/versions.rs
+++ b/crates/aldercrank-versioned-config/tests/versions.rs
@@ -41,10 +41,10 @@
     for (i, (name, effect)) in [("map-extract", "retryable"), ("licence-buy", "dedup")].iter().enumerate() {
         settings.set(&format!("profiles.{i}.name"), Setting::Text(name.to_string()));
         settings.set(&format!("profiles.{i}.effect"), Setting::Text(effect.to_string()));
-        settings.set(&format!("profiles.{i}.goal_time"), Setting::Num(1e6));
-        settings.set(&format!("profiles.{i}.give_up"), Setting::Num(3e6));
+        settings.set(&format!("profiles.{i}.goal_time"), Setting::Number(1e6));
+        settings.set(&format!("profiles.{i}.give_up"), Setting::Number(3e6));
     }
-    settings.set("family_info.calls_out", Setting::Num(4.0));
+    settings.set("family_info.calls_out", Setting::Number(4.0));
     settings
 }
 
@@ -164,13 +164,13 @@
     let merged = config.settings(&platform, "n1");
     assert_eq!(merged.span("profiles.1.window"), Some(Duration::from_secs(9)));
     assert_eq!(merged.text("profiles.1.effect"), Some("dedup"));
-    assert_eq!(merged.num("profiles.1.points"), Some(5.0));
-    assert_eq!(merged.num("family_info.calls_out"), Some(30.0), "60 for two servers of zone a");
-    assert_eq!(merged.num("rules.turned_away.0"), Some(4.0));
+    assert_eq!(merged.number("profiles.1.points"), Some(5.0));
+    assert_eq!(merged.number("family_info.calls_out"), Some(30.0), "60 for two servers of zone a");
+    assert_eq!(merged.number("rules.turned_away.0"), Some(4.0));
     assert_eq!(merged.flag("rules.in_service"), None);
     let stranger = config.settings(&platform, "n9");
     assert_eq!(
-        (stranger.flag("rules.in_service"), stranger.num("family_info.calls_out")),
+        (stranger.flag("rules.in_service"), stranger.number("family_info.calls_out")),
         (Some(false), Some(0.0))
     );
     let incompatibilities = |config: &VersionedConfig| -> Vec<String> {
--- a/src/admission/lifecycle.rs
+++ b/src/admission/lifecycle.rs
@@ -14,7 +14,7 @@
     /// Puts other settings into force. Requests read before keep their effect and deadline; a deduplication entry keeps
     /// its window where that is longer than the new one. Settings with other request classes are rejected.
     pub fn apply_settings(&mut self, now: Duration, settings: &Settings) {
-        let classes = parameters::classes(settings);
+        let classes = parameters::request_classes(settings);
         if !classes.iter().map(|class| &class.name).eq(self.classes.iter().map(|class| &class.name)) {
             return self.log(now, LogTopic::Settings, || {
                 "new settings rejected: their request classes are not those in force, which stay".to_string()
--- a/src/admission/requests.rs
+++ b/src/admission/requests.rs
@@ -30,7 +30,7 @@
             return;
         }
         self.rejected_share *= 1.0 - SMOOTHING;
-        self.unread_seconds += SMOOTHING * (incoming.unread_for.as_secs_f64() - self.unread_seconds);
+        self.unread_seconds += SMOOTHING * (incoming.unread_time.as_secs_f64() - self.unread_seconds);
         let Some(class_index) = self.classes.iter().position(|class| *class.name == *incoming.class) else {
             return self.host.reject(id, None, false);
         };
@@ -71,7 +71,7 @@
         class_index: usize,
         incoming: &IncomingRequest,
     ) -> Arrival {
-        let arrived_at = now.saturating_sub(incoming.unread_for);
+        let arrived_at = now.saturating_sub(incoming.unread_time);
         let class = self.classes[class_index].clone();
         let mut deadline = incoming.deadline.unwrap_or(arrived_at + class.deadline);
         deadline = deadline.min(self.draining.map_or(deadline, |drain| drain.stops_at));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,10 +18,6 @@
 mod tenant_quotas;
 pub mod types;
 
-/// The former name of [`range_summary_map`], until the other packages use the new one.
-pub mod tree {
-    pub use crate::range_summary_map::RangeSummaryMap as Tree;
-}
 
 pub use admission::Admission;
 pub use host::Host;
--- a/src/parameters.rs
+++ b/src/parameters.rs
@@ -81,12 +81,12 @@
 impl Parameters {
     /// Reads the parameters. Where a setting is missing or invalid its default holds.
     pub fn from_settings(settings: &Settings) -> Parameters {
-        let info = |name: &str| settings.num(&format!("family_info.{name}"));
+        let info = |name: &str| settings.number(&format!("family_info.{name}"));
         let answer_slack = settings.span("rules.answer_slack").unwrap_or(Duration::from_millis(20));
         let cold = settings.flag("family_info.cold") == Some(true);
         let heeds_retry_after = settings.flag("limits.retry_after") == Some(true);
         let metrics = (0..).map_while(|i| settings.text(&format!("family_info.meters.{i}")));
-        let rejected_callers = (0..).map_while(|i| settings.num(&format!("rules.turned_away.{i}")));
+        let rejected_callers = (0..).map_while(|i| settings.number(&format!("rules.turned_away.{i}")));
         Parameters {
             cores: info("cores").unwrap_or(1.0).max(1.0),
             tick: (answer_slack / 2)
@@ -104,18 +104,18 @@
             can_stop_runs: settings.text("family_info.halt").unwrap_or("none") != "none",
             load_hint_form: load_hint_form(settings),
             runnable_metric: metrics.into_iter().position(|name| name == "runnable"),
-            collapse_multiple: settings.num("rules.fall_multiple").unwrap_or(2.0).max(1.0),
-            cold_speed: settings.num("rules.cold_from").unwrap_or(0.0).clamp(0.05, 1.0),
+            collapse_multiple: settings.number("rules.fall_multiple").unwrap_or(2.0).max(1.0),
+            cold_speed: settings.number("rules.cold_from").unwrap_or(0.0).clamp(0.05, 1.0),
             warm_after: settings.span("rules.warm_after").filter(|after| cold && !after.is_zero()),
             senders_stop_within: settings.span("rules.stop_sending_within").unwrap_or_default(),
-            window_per_core: settings.num("window.per_core"),
-            cold_window_per_core: settings.num("window.cold_per_core"),
+            window_per_core: settings.number("window.per_core"),
+            cold_window_per_core: settings.number("window.cold_per_core"),
             max_retry_after: settings
                 .span("limits.max_retry_after")
                 .filter(|_| heeds_retry_after)
                 .unwrap_or_default(),
             tenants: tenant_quotas(settings),
-            over_quota_factor: settings.num("over_share_worth").unwrap_or(1.0).min(1.0),
+            over_quota_factor: settings.number("over_share_worth").unwrap_or(1.0).min(1.0),
             rejected_callers: rejected_callers.map(|caller| caller as u64).collect(),
         }
     }
@@ -131,8 +131,8 @@
 }
 
 fn tenant_quotas(settings: &Settings) -> Vec<TenantQuota> {
-    let servers = settings.num("peers_total").unwrap_or(1.0).max(1.0);
-    let rate = |i: usize| settings.num(&format!("tenants.{i}.quota_per_s")).unwrap_or(f64::MAX) / servers;
+    let servers = settings.number("peers_total").unwrap_or(1.0).max(1.0);
+    let rate = |i: usize| settings.number(&format!("tenants.{i}.quota_per_s")).unwrap_or(f64::MAX) / servers;
     (0..)
         .map_while(|i| settings.text(&format!("tenants.{i}.name")).map(|name| (i, name)))
         .map(|(i, name)| TenantQuota { name: name.to_string(), rate: rate(i) })
@@ -140,7 +140,7 @@
 }
 
 /// The request classes in the order of the settings.
-pub fn classes(settings: &Settings) -> Vec<RequestClass> {
+pub fn request_classes(settings: &Settings) -> Vec<RequestClass> {
     let in_service = settings.flag("rules.in_service") != Some(false);
     (0..)
         .map_while(|i| settings.text(&format!("profiles.{i}.name")).map(|name| (i, name)))
@@ -159,10 +159,10 @@
             .filter(|target| !target.is_zero())
             .unwrap_or(deadline / 2),
         deadline,
-        priority_weight: settings.num(&key("points")).unwrap_or(1.0),
-        late_share: settings.num(&key("late_worth")).unwrap_or(0.0),
+        priority_weight: settings.number(&key("points")).unwrap_or(1.0),
+        late_share: settings.number(&key("late_worth")).unwrap_or(0.0),
         window: settings.span(&key("window")).unwrap_or(deadline * 4),
-        share_without_call: settings.num(&format!("family_info.worth_without.{index}")).unwrap_or(0.0),
+        share_without_call: settings.number(&format!("family_info.worth_without.{index}")).unwrap_or(0.0),
         makes_calls: settings.flag(&format!("family_info.class_calls.{index}")) != Some(false),
         offered: settings.flag(&key("offered")) != Some(false) && in_service,
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// A number.
-    Num(f64),
+    Number(f64),
     /// A text.
     Text(String),
     /// True or false.
@@ -50,24 +50,24 @@
     /// The names of settings that are missing or invalid, so that a default holds.
     pub fn missing(&self) -> Vec<String> {
         let mut names: Vec<String> = Vec::new();
-        names.extend(NUMBERS.iter().filter(|name| self.num(name).is_none()).map(ToString::to_string));
+        names.extend(NUMBERS.iter().filter(|name| self.number(name).is_none()).map(ToString::to_string));
         names.extend(TEXTS.iter().filter(|name| self.text(name).is_none()).map(ToString::to_string));
         names.extend(FLAGS.iter().filter(|name| self.flag(name).is_none()).map(ToString::to_string));
         for i in 0..self.class_count() {
-            names.extend(class_numbers(i).filter(|name| self.num(name).is_none()));
+            names.extend(class_numbers(i).filter(|name| self.number(name).is_none()));
             names.extend(Some(class_effect(i)).filter(|name| self.text(name).is_none()));
         }
         names
     }
 
     /// One sentence for each setting that is present and invalid, with what it has to be.
-    pub fn senseless(&self) -> Vec<String> {
+    pub fn invalid(&self) -> Vec<String> {
         let classes = 0..self.class_count();
         let numbers = NUMBERS.iter().map(ToString::to_string).chain(classes.clone().flat_map(class_numbers));
         let texts = TEXTS.iter().map(ToString::to_string).chain(classes.map(class_effect));
         let flags = FLAGS.iter().map(ToString::to_string);
         let present = |name: &String| self.0.contains_key(name);
-        let numbers = numbers.filter(|name| present(name) && self.num(name).is_none());
+        let numbers = numbers.filter(|name| present(name) && self.number(name).is_none());
         let texts = texts.filter(|name| present(name) && self.text(name).is_none());
         let flags = flags.filter(|name| present(name) && self.flag(name).is_none());
         let mut invalid: Vec<String> =
@@ -94,16 +94,16 @@
     }
 
     /// A number, if it is finite and not negative.
-    pub fn num(&self, name: &str) -> Option<f64> {
+    pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
-            Some(Value::Num(number)) if number.is_finite() && *number >= 0.0 => Some(*number),
+            Some(Value::Number(number)) if number.is_finite() && *number >= 0.0 => Some(*number),
             _ => None,
         }
     }
 
     /// A time span, written in microseconds; at most 10^15, which no clock overflows at.
     pub fn span(&self, name: &str) -> Option<Duration> {
-        self.num(name).map(|micros| Duration::from_micros(micros.min(1e15) as u64))
+        self.number(name).map(|micros| Duration::from_micros(micros.min(1e15) as u64))
     }
 
     /// A text.
--- a/src/types.rs
+++ b/src/types.rs
@@ -142,7 +142,7 @@
     /// Its sender.
     pub caller: CallerId,
     /// How long it waited in the socket buffer before it was read.
-    pub unread_for: Duration,
+    pub unread_time: Duration,
     /// The remembered request that it repeats.
     pub repeats: Option<RequestId>,
 }
--- a/tests/suite/changes_in_service.rs
+++ b/tests/suite/changes_in_service.rs
@@ -72,7 +72,7 @@
     assert_eq!(rejection(&scenario, keyed), None, "the settings under which it was read apply");
     let late = scenario.receive(1, MS * 2900, Some(2), 0.8);
     assert_eq!(rejection(&scenario, late).map(|rejection| rejection.last), Some(true));
-    let settings = changed(&scenario, &[("rules.turned_away.0", Value::Num(7.0))]);
+    let settings = changed(&scenario, &[("rules.turned_away.0", Value::Number(7.0))]);
     scenario.admission.apply_settings(now, &settings);
     scenario.caller = 7;
     let from_rejected_caller = scenario.receive(1, MS * 2900, Some(3), 0.8);
@@ -86,7 +86,7 @@
     for (window, ends) in [(3_000_000.0, 6000), (12_000_000.0, 12_000)] {
         let mut scenario = Scenario::new(settings(&["retryable", "dedup"]));
         let keyed = scenario.receive(1, MS * 2900, Some(1), 0.8);
-        let settings = changed(&scenario, &[("profiles.1.window", Value::Num(window))]);
+        let settings = changed(&scenario, &[("profiles.1.window", Value::Number(window))]);
         let now = scenario.now();
         scenario.admission.apply_settings(now, &settings);
         scenario.end_run(keyed, Outcome::Completed);
--- a/tests/suite/generated_inputs.rs
+++ b/tests/suite/generated_inputs.rs
@@ -15,14 +15,14 @@
     settings.set("family_info.halt", text(&["none", "abort", "suspend"], pick));
     settings.set("family_info.advert", text(&["none", "threshold", "window", "share_of"], pick / 3));
     settings.set("family_info.cold", Value::Flag(pick & 16 != 0));
-    settings.set("family_info.cores", Value::Num(f64::from(pick / 32 % 7)));
-    settings.set("family_info.memory_kb", Value::Num([300.0, 1500.0, 1e9][pick as usize / 256 % 3]));
-    settings.set("rules.fall_multiple", Value::Num([2.0, 3.0, 8.0][pick as usize / 768 % 3]));
-    settings.set("family_info.fresh_for", Value::Num(if pick & 4096 != 0 { 0.0 } else { 500_000.0 }));
-    settings.set("family_info.worth_without.3", Value::Num(0.5));
-    settings.set("profiles.0.late_worth", Value::Num(0.2));
+    settings.set("family_info.cores", Value::Number(f64::from(pick / 32 % 7)));
+    settings.set("family_info.memory_kb", Value::Number([300.0, 1500.0, 1e9][pick as usize / 256 % 3]));
+    settings.set("rules.fall_multiple", Value::Number([2.0, 3.0, 8.0][pick as usize / 768 % 3]));
+    settings.set("family_info.fresh_for", Value::Number(if pick & 4096 != 0 { 0.0 } else { 500_000.0 }));
+    settings.set("family_info.worth_without.3", Value::Number(0.5));
+    settings.set("profiles.0.late_worth", Value::Number(0.2));
     settings.set("tenants.0.name", Value::Text("t0".into()));
-    settings.set("tenants.0.quota_per_s", Value::Num(f64::from(pick % 5)));
+    settings.set("tenants.0.quota_per_s", Value::Number(f64::from(pick % 5)));
     settings.set("family_info.below", text(&["none", "shared", "tier"], pick / 7));
     if pick & 8192 != 0 {
         let missing =
@@ -50,8 +50,8 @@
         0..=6 => {
             let class = usize::from(choice % 4);
             let key = (class == 1).then_some(choice / 4 % 8);
-            let (time_left, unread_for) = (MS * u32::from(amount % 4000), MS * u32::from(amount % 7) * 20);
-            (scenario.unread_for, scenario.memory_kb) = (unread_for, f64::from(amount % 60));
+            let (time_left, unread_time) = (MS * u32::from(amount % 4000), MS * u32::from(amount % 7) * 20);
+            (scenario.unread_time, scenario.memory_kb) = (unread_time, f64::from(amount % 60));
             scenario.receive(class, time_left, key, f64::from(choice) / 256.0);
         }
         7 | 8 => {
@@ -100,9 +100,9 @@
         15 if choice < 96 => {
             // Windows grow and shrink; effects stay, since the model goes by one for each class.
             let mut settings = scenario.model.0.borrow().settings.clone();
-            settings.set("profiles.1.window", Value::Num(6e6 + f64::from(amount) * 1e3));
+            settings.set("profiles.1.window", Value::Number(6e6 + f64::from(amount) * 1e3));
             settings.set("profiles.0.offered", Value::Flag(choice % 2 == 0));
-            settings.set("family_info.calls_out", Value::Num(f64::from(choice % 5)));
+            settings.set("family_info.calls_out", Value::Number(f64::from(choice % 5)));
             scenario.admission.apply_settings(now, &settings);
         }
         14 => {
--- a/tests/suite/golden.rs
+++ b/tests/suite/golden.rs
@@ -191,7 +191,7 @@
             memory_kb,
             rank,
             caller: CallerId(caller),
-            unread_for: unread,
+            unread_time: unread,
             repeats,
             ..IncomingRequest::default()
         };
@@ -253,8 +253,8 @@
         let window = 1_000_000.0 * (4 + self.random.below(6)) as f64;
         let points = 1.0 + self.random.below(5) as f64;
         self.event(&format!("settings profiles.{class}.window={window} profiles.{class}.points={points}"));
-        self.settings.set(&format!("profiles.{class}.window"), Value::Num(window));
-        self.settings.set(&format!("profiles.{class}.points"), Value::Num(points));
+        self.settings.set(&format!("profiles.{class}.window"), Value::Number(window));
+        self.settings.set(&format!("profiles.{class}.points"), Value::Number(points));
         self.admission.apply_settings(self.admission.host.now, &self.settings);
     }
 
@@ -295,7 +295,7 @@
 }
 
 fn number(settings: &mut Settings, name: &str, value: f64) {
-    settings.set(name, Value::Num(value));
+    settings.set(name, Value::Number(value));
 }
 
 fn text(settings: &mut Settings, name: &str, value: &str) {
--- a/tests/suite/model.rs
+++ b/tests/suite/model.rs
@@ -87,8 +87,8 @@
         self.violations.push(line);
     }
 
-    fn num(&self, name: &str, default: f64) -> f64 {
-        self.settings.num(name).unwrap_or(default)
+    fn number(&self, name: &str, default: f64) -> f64 {
+        self.settings.number(name).unwrap_or(default)
     }
 
     pub fn count(&self, stage: Stage) -> usize {
@@ -100,17 +100,17 @@
         let memory_kb = |request: &ModelRequest| match request.stage {
             Stage::Ended => 0.0,
             Stage::Queued | Stage::Joined => request.memory_kb,
-            _ => request.memory_kb * self.num("family_info.run_factor", 8.0),
+            _ => request.memory_kb * self.number("family_info.run_factor", 8.0),
         };
         let entries = self.entries.values().filter(|entry| entry.until > self.now).count() as f64;
         let used: f64 = self.requests.values().map(memory_kb).sum::<f64>()
-            + entries * self.num("family_info.key_kb", 0.0);
+            + entries * self.number("family_info.key_kb", 0.0);
         let cold = self.settings.flag("family_info.cold") == Some(true);
-        let warmth = self.now.as_secs_f64() / (self.num("rules.warm_after", 0.0) / 1e6);
+        let warmth = self.now.as_secs_f64() / (self.number("rules.warm_after", 0.0) / 1e6);
         let speed = if cold { 0.2 + 0.8 * warmth.min(1.0) } else { 1.0 };
-        let cores = self.num("family_info.cores", 1.0).max(1.0);
-        let limit = cores * (1.0 + (self.num("rules.fall_multiple", 2.0) - 1.0) * speed);
-        if used > self.num("family_info.memory_kb", f64::MAX) {
+        let cores = self.number("family_info.cores", 1.0).max(1.0);
+        let limit = cores * (1.0 + (self.number("rules.fall_multiple", 2.0) - 1.0) * speed);
+        if used > self.number("family_info.memory_kb", f64::MAX) {
             self.violation("memory", id);
         }
         if self.count(Stage::Running) as f64 > limit {
@@ -136,7 +136,7 @@
 
     /// Rule 1, and at the stop rule 3.
     pub fn check_answered(&mut self) {
-        let slack = Duration::from_micros(self.num("rules.answer_slack", 40_000.0) as u64);
+        let slack = Duration::from_micros(self.number("rules.answer_slack", 40_000.0) as u64);
         let stop = self.drain.map_or(Duration::MAX, |drain| drain.stops_at);
         let is_open = |request: &ModelRequest| request.answers == 0 && !request.caller_gone;
         let is_late = |request: &ModelRequest| {
@@ -162,9 +162,9 @@
         if request.stage != Stage::Queued || request.caller_gone {
             return model.violation("start of a request that is not queued", id);
         }
-        let window = model.num(&format!("profiles.{}.window", request.class), 0.0) as u64;
+        let window = model.number(&format!("profiles.{}.window", request.class), 0.0) as u64;
         let effect = model.effects[request.class];
-        let senders_stop_within = Duration::from_micros(model.num("rules.stop_sending_within", 0.0) as u64);
+        let senders_stop_within = Duration::from_micros(model.number("rules.stop_sending_within", 0.0) as u64);
         let is_original_that_ran = |other: &ModelRequest| {
             let in_window =
                 request.arrived_at.saturating_sub(other.arrived_at) <= Duration::from_micros(window);
@@ -245,7 +245,7 @@
     fn skip_call(&mut self, id: RequestId) {
         let mut model = self.0.borrow_mut();
         let class = model.requests[&id].class;
-        if model.num(&format!("family_info.worth_without.{class}"), 0.0) <= 0.0 {
+        if model.number(&format!("family_info.worth_without.{class}"), 0.0) <= 0.0 {
             model.violation("skipped a required call", id);
         }
         model.requests.get_mut(&id).unwrap().stage = Stage::Running;
@@ -287,17 +287,17 @@
         ("rules.cold_from", 0.2),
         ("limits.max_retry_after", 1_000_000.0),
     ] {
-        settings.set(name, Value::Num(number));
+        settings.set(name, Value::Number(number));
     }
     settings.set("limits.retry_after", Value::Flag(true));
     settings.set("family_info.meters.0", Value::Text("runnable".into()));
     for (i, effect) in effects.iter().enumerate() {
         settings.set(&format!("profiles.{i}.name"), Value::Text(format!("p{i}")));
         settings.set(&format!("profiles.{i}.effect"), Value::Text(effect.to_string()));
-        settings.set(&format!("profiles.{i}.goal_time"), Value::Num(1_000_000.0));
-        settings.set(&format!("profiles.{i}.give_up"), Value::Num(3_000_000.0));
-        settings.set(&format!("profiles.{i}.points"), Value::Num(1.0 + i as f64));
-        settings.set(&format!("profiles.{i}.window"), Value::Num(6_000_000.0));
+        settings.set(&format!("profiles.{i}.goal_time"), Value::Number(1_000_000.0));
+        settings.set(&format!("profiles.{i}.give_up"), Value::Number(3_000_000.0));
+        settings.set(&format!("profiles.{i}.points"), Value::Number(1.0 + i as f64));
+        settings.set(&format!("profiles.{i}.window"), Value::Number(6_000_000.0));
     }
     settings
 }
@@ -305,7 +305,7 @@
 /// The settings of an idempotent and a keyed class, with one of them changed.
 pub fn settings_with(name: &str, value: f64) -> Settings {
     let mut settings = settings(&["retryable", "dedup"]);
-    settings.set(name, Value::Num(value));
+    settings.set(name, Value::Number(value));
     settings
 }
 
@@ -321,7 +321,7 @@
     pub next_id: u32,
     pub caller: u64,
     /// How long the next request waited unread, and its memory.
-    pub unread_for: Duration,
+    pub unread_time: Duration,
     pub memory_kb: f64,
 }
 
@@ -337,7 +337,7 @@
         model.0.borrow_mut().effects = classes.map(effect).collect();
         model.0.borrow_mut().settings = settings.clone();
         let admission = Admission::new(&settings, Duration::ZERO, model.clone());
-        Scenario { admission, model, next_id: 1, caller: 0, unread_for: Duration::ZERO, memory_kb: 10.0 }
+        Scenario { admission, model, next_id: 1, caller: 0, unread_time: Duration::ZERO, memory_kb: 10.0 }
     }
 
     pub fn now(&self) -> Duration {
@@ -378,9 +378,9 @@
         let (id, now, memory_kb) = (RequestId(self.next_id), self.now(), self.memory_kb);
         self.next_id += 1;
         let entry = key.and_then(|key| self.model.0.borrow().entries.get(&key).copied());
-        let unread_for =
-            self.unread_for.min(entry.map_or(self.unread_for, |entry| now.saturating_sub(entry.since)));
-        let arrived_at = now.saturating_sub(unread_for);
+        let unread_time =
+            self.unread_time.min(entry.map_or(self.unread_time, |entry| now.saturating_sub(entry.since)));
+        let arrived_at = now.saturating_sub(unread_time);
         let repeats = entry.filter(|entry| arrived_at <= entry.until).map(|entry| entry.holder);
         let is_open = |id: &RequestId| {
             let model = self.model.0.borrow();
@@ -408,7 +408,7 @@
             tenant: (rank < 0.5).then_some("t0"),
             memory_kb,
             rank,
-            unread_for,
+            unread_time,
             repeats,
             caller: CallerId(self.caller),
             ..IncomingRequest::default()
--- a/tests/suite/upstream_calls.rs
+++ b/tests/suite/upstream_calls.rs
@@ -99,7 +99,7 @@
 #[test]
 fn a_call_without_an_answer_times_out_is_retried_and_does_not_make_calls_look_slow() {
     let mut settings = settings_with("family_info.worth_without.0", 0.6);
-    settings.set("family_info.calls_out", Value::Num(9.0));
+    settings.set("family_info.calls_out", Value::Number(9.0));
     let mut scenario = Scenario::new(settings);
     let request_call = |scenario: &mut Scenario| {
         let id = scenario.receive(0, MS * LONG_WAIT_MS, None, 0.99);
@@ -136,8 +136,8 @@
 /// A server of a large fleet, with a quota below one call, and latency targets that are long beside a call.
 fn with_small_quota(quota: f64) -> Scenario {
     let mut settings = settings_with("family_info.calls_out", quota);
-    settings.set("profiles.0.goal_time", Value::Num(4e6));
-    settings.set("profiles.0.give_up", Value::Num(12e6));
+    settings.set("profiles.0.goal_time", Value::Number(4e6));
+    settings.set("profiles.0.give_up", Value::Number(12e6));
     Scenario::new(settings)
 }
 
@@ -200,8 +200,8 @@
 #[test]
 fn calls_much_slower_than_at_best_cut_the_call_window_though_no_target_is_missed() {
     let mut settings = settings_with("family_info.calls_out", 10.0);
-    settings.set("profiles.0.goal_time", Value::Num(4e6));
-    settings.set("family_info.cores", Value::Num(20.0));
+    settings.set("profiles.0.goal_time", Value::Number(4e6));
+    settings.set("family_info.cores", Value::Number(20.0));
     let mut scenario = Scenario::new(settings);
     let mut calls_at_once = |millis: u32| {
         let ids: Vec<RequestId> = (0..40).map(|_| request_call(&mut scenario)).collect();
--- a/tests/suite/window_and_queue.rs
+++ b/tests/suite/window_and_queue.rs
@@ -32,7 +32,7 @@
     for (cold, most) in [(false, 8), (true, 4)] {
         let mut settings = settings_with("window.per_core", 2.0);
         settings.set("family_info.cold", Value::Flag(cold));
-        settings.set("rules.cold_from", Value::Num(0.6));
+        settings.set("rules.cold_from", Value::Number(0.6));
         let mut scenario = Scenario::new(settings);
         offer(&mut scenario, 9);
         scenario.advance(MS * 40, 3.0);
@@ -106,7 +106,7 @@
         let mut scenario = Scenario::new(settings);
         for _ in 0..40 {
             scenario.advance(MS * 25, 9.0);
-            scenario.unread_for = MS * 990;
+            scenario.unread_time = MS * 990;
             scenario.receive(0, MS * LONG_WAIT_MS, None, 0.5);
         }
         let last = scenario.model.0.borrow().rejected.last().map(|rejection| rejection.last);
@@ -117,12 +117,12 @@
 /// One caller that sends nearly all must not be limited to an even share, and a server that reads slowly is sent less.
 #[test]
 fn the_load_hint_follows_the_senders_and_falls_with_unread_time() {
-    let load_hint = |senders: u64, unread_for: u32| {
+    let load_hint = |senders: u64, unread_time: u32| {
         let mut settings = settings_with("family_info.upstreams", 6.0);
         settings.set("family_info.advert", Value::Text("window".into()));
         let mut scenario = Scenario::new(settings);
         for n in 0..60 {
-            (scenario.caller, scenario.unread_for) = (n % senders, MS * unread_for);
+            (scenario.caller, scenario.unread_time) = (n % senders, MS * unread_time);
             run_once(&mut scenario, 100);
         }
         let load_hint = *scenario.model.0.borrow().load_hints.last().unwrap();
@@ -136,7 +136,7 @@
 fn idle_connections_close_soon_but_not_in_a_reconnect_storm() {
     let idle_timeout = |callers: f64, runnable: f64| {
         let mut settings = settings_with("family_info.upstreams", callers);
-        settings.set("family_info.idle", Value::Num(30e6));
+        settings.set("family_info.idle", Value::Number(30e6));
         let mut scenario = Scenario::new(settings);
         offer(&mut scenario, 3);
         scenario.advance(MS * 9000, runnable);
