--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -82,7 +82,10 @@
     ) -> ConfigAgreement {
         let (clock, server) = (Clock::default(), ServerName::new(&config.name));
         let now = clock.now();
-        let mut terms = Terms::new(agreement.initial_version.within(), agreement.initial_version.alone());
+        let mut terms = Terms::new(
+            agreement.initial_version.agreement_bound(),
+            agreement.initial_version.isolation_limit(),
+        );
         terms.injected_fault = agreement.injected_fault;
         let initial = ConfigVersion {
             version_id: version_id(&agreement.initial_version),
--- a/crates/aldercrank-server/src/operator_commands/mod.rs
+++ b/crates/aldercrank-server/src/operator_commands/mod.rs
@@ -62,7 +62,7 @@
         "version {} ({}): can be read; agree-within {:?}",
         version.number,
         version.digest(),
-        version.within()
+        version.agreement_bound()
     );
     Ok(SUCCESS)
 }
--- a/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -13,7 +13,7 @@
 use crate::version_checker::VersionChecker;
 use aldercrank_protocol::http;
 use aldercrank_service_config::Start;
-use aldercrank_versioned_config::{changes, Consistency, Number, VersionedConfig};
+use aldercrank_versioned_config::{changes, Consistency, VersionNumber, VersionedConfig};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -179,7 +179,7 @@
     pub(super) fn store_corrupted(&mut self, now: Duration, corruption: ConfigCorruption) {
         let Some(versions) = &mut self.versions else { return };
         versions.last_number += 1;
-        let text = versions.newest.next(Number(versions.last_number), []).text();
+        let text = versions.newest.next(VersionNumber(versions.last_number), []).text();
         let text = match corruption {
             ConfigCorruption::Truncated => text[..text.len() / 2].to_string(),
             ConfigCorruption::Overlong => format!("{text}//{}", "x".repeat(OVERLONG_BYTES)),
--- a/crates/aldercrank-test-cluster/src/cluster/genesis.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/genesis.rs
@@ -3,8 +3,8 @@
 use crate::ids::ServerNo;
 use crate::invariant_checker::Effect;
 use crate::scenario::{zone_name, Scenario, VersionedConfigSettings};
-use aldercrank_versioned_config::Path as Item;
-use aldercrank_versioned_config::{Number, Value, VersionedConfig};
+use aldercrank_versioned_config::ItemPath;
+use aldercrank_versioned_config::{Value, VersionNumber, VersionedConfig};
 use std::io;
 use std::net::SocketAddr;
 
@@ -77,9 +77,9 @@
         let (section, name) =
             item.split_once('.').ok_or_else(|| AssignmentError::NoItem(item.to_string()))?;
         let path = match section {
-            "shares" => Item::new("shares", "", name),
-            "limits" => Item::new("limits", "", name),
-            class => Item::new("product", class, name),
+            "shares" => ItemPath::new("shares", "", name),
+            "limits" => ItemPath::new("limits", "", name),
+            class => ItemPath::new("product", class, name),
         };
         let value = match value.parse::<f64>() {
             Ok(n) => Value::Number(n),
@@ -88,6 +88,6 @@
         };
         items.push((path, Some(value)));
     }
-    let next = config.next(Number(number), items);
+    let next = config.next(VersionNumber(number), items);
     VersionedConfig::parse(&next.text()).map_err(|faults| AssignmentError::Invalid(faults[0].to_string()))
 }
--- a/crates/aldercrank-versioned-config/src/changes.rs
+++ b/crates/aldercrank-versioned-config/src/changes.rs
@@ -1,7 +1,7 @@
 //! Differences between two versions, and those that every server must know of before they take effect.
 
 use crate::items::{self, Consistency, Item};
-use crate::path::{self, Path};
+use crate::path::{self, ItemPath};
 use crate::value::Value;
 use crate::versioned_config::VersionedConfig;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// The item.
-    pub path: Path,
+    pub path: ItemPath,
     /// Its value in the old version.
     pub from: Option<Value>,
     /// Its value in the new version.
@@ -33,7 +33,7 @@
 }
 
 /// An item's consistency, as its declaration has it.
-fn consistency(path: &Path) -> Consistency {
+fn consistency(path: &ItemPath) -> Consistency {
     let declared =
         |table: &[Item]| table.iter().find(|item| item.name == path.name).map(|item| item.consistency);
     match path.block {
@@ -49,8 +49,8 @@
 
 /// All differences, in the order of paths.
 pub fn changes(old: &VersionedConfig, new: &VersionedConfig) -> Vec<Change> {
-    let paths: BTreeSet<&Path> = old.items.keys().chain(new.items.keys()).collect();
-    let change = |path: &Path| {
+    let paths: BTreeSet<&ItemPath> = old.items.keys().chain(new.items.keys()).collect();
+    let change = |path: &ItemPath| {
         let (from, to) = (old.items.get(path).cloned(), new.items.get(path).cloned());
         (from != to).then(|| Change { path: path.clone(), from, to, role: consistency(path) })
     };
--- a/crates/aldercrank-versioned-config/src/parse_fault.rs
+++ b/crates/aldercrank-versioned-config/src/parse_fault.rs
@@ -1,6 +1,6 @@
 //! What can be wrong with the text of a version, beyond the faults that every KDL reader of ours reports.
 
-use crate::path::Path;
+use crate::path::ItemPath;
 use thiserror::Error;
 
 /// A fault in the text of a version. Displays as operators see it behind line and column.
@@ -19,7 +19,7 @@
     #[error("{name} {of} stands here a second time; it may stand once")]
     RepeatedBlock { name: String, of: String },
     #[error("{path} stands here a second time; it may stand once")]
-    RepeatedItem { path: Path },
+    RepeatedItem { path: ItemPath },
     #[error("product takes a product's name, found {found}")]
     InvalidClassName { found: String },
     #[error("product takes one name, product \"NAME\" {{ ... }}")]
--- a/crates/aldercrank-versioned-config/src/parser.rs
+++ b/crates/aldercrank-versioned-config/src/parser.rs
@@ -2,9 +2,9 @@
 
 use crate::items::{self, Item, ValueKind};
 use crate::parse_fault::ParseFault;
-use crate::path::{self, Path};
+use crate::path::{self, ItemPath};
 use crate::value::Value;
-use crate::version::Number;
+use crate::version::VersionNumber;
 use crate::versioned_config::VersionedConfig;
 use aldercrank_service_config::{kind, Fault, Reader};
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
@@ -62,9 +62,9 @@
 
 struct Parser<'r, 't> {
     reader: &'r mut Reader<'t>,
-    items: BTreeMap<Path, Value>,
+    items: BTreeMap<ItemPath, Value>,
     /// Where each item stands in the text, for faults that concern more than one.
-    offsets: BTreeMap<Path, usize>,
+    offsets: BTreeMap<ItemPath, usize>,
 }
 
 fn offset_of(node: &KdlNode) -> usize {
@@ -82,7 +82,7 @@
         self.reader.fault(offset, fault.to_string());
     }
 
-    fn document(&mut self) -> Option<Number> {
+    fn document(&mut self) -> Option<VersionNumber> {
         let document = self.reader.document()?;
         self.reader.nodes(&document, &["rules"], |_, _| {});
         let Some(node) = document.nodes().iter().find(|node| node.name().value() == "rules") else {
@@ -97,11 +97,11 @@
         number
     }
 
-    fn version_number(&mut self, node: &KdlNode) -> Option<Number> {
+    fn version_number(&mut self, node: &KdlNode) -> Option<VersionNumber> {
         match node.entries() {
             [entry] if entry.name().is_none() => match entry.value() {
                 KdlValue::Integer(number) if (1..=MAX_NUMBER).contains(number) => {
-                    return Some(Number(*number as u64));
+                    return Some(VersionNumber(*number as u64));
                 }
                 other => {
                     let found = kind(other);
@@ -145,7 +145,7 @@
         self.check_across_items(rules_offset);
     }
 
-    fn insert(&mut self, offset: usize, path: Path, value: Value) {
+    fn insert(&mut self, offset: usize, path: ItemPath, value: Value) {
         if self.items.insert(path.clone(), value).is_some() {
             self.report(offset, &ParseFault::RepeatedItem { path: path.clone() });
         }
@@ -154,7 +154,7 @@
 
     fn time_span(&mut self, node: &KdlNode, block: &'static str, limits: &RangeInclusive<i128>) {
         if let Some(milliseconds) = self.reader.whole(node, *limits.start(), *limits.end()) {
-            self.insert(offset_of(node), Path::new(block, "", ""), Value::Number(milliseconds as f64));
+            self.insert(offset_of(node), ItemPath::new(block, "", ""), Value::Number(milliseconds as f64));
         }
     }
 
@@ -186,7 +186,7 @@
                 continue;
             };
             if let Some(value) = self.value(child, item.kind) {
-                self.insert(offset_of(child), Path::new(block, of, name), value);
+                self.insert(offset_of(child), ItemPath::new(block, of, name), value);
             }
         }
     }
@@ -239,7 +239,7 @@
             } else if address.parse::<SocketAddr>().is_err() {
                 self.report(offset_of(child), &ParseFault::InvalidAddress { address });
             } else {
-                self.insert(offset_of(child), Path::new(path::COMMITTEE, "", name), Value::Word(address));
+                self.insert(offset_of(child), ItemPath::new(path::COMMITTEE, "", name), Value::Word(address));
             }
         }
         let members = self.items.keys().filter(|path| path.block == path::COMMITTEE).count();
@@ -260,7 +260,7 @@
             if !is_plain_name(zone) || names.is_empty() {
                 self.report(offset_of(child), &ParseFault::ZoneExpected);
             }
-            self.insert(offset_of(child), Path::new(path::SERVERS, "", zone), Value::Names(names));
+            self.insert(offset_of(child), ItemPath::new(path::SERVERS, "", zone), Value::Names(names));
         }
     }
 
@@ -289,7 +289,7 @@
         let Some(children) = self.reader.children(node) else { return };
         for child in children.nodes() {
             if let Some(quota) = self.number_in_range(child, 0.0, MAX_QUOTA) {
-                let path = Path::new(path::QUOTAS, "", child.name().value());
+                let path = ItemPath::new(path::QUOTAS, "", child.name().value());
                 self.insert(offset_of(child), path, Value::Number(quota));
             }
         }
@@ -308,7 +308,7 @@
                 }
             }
         }
-        self.insert(offset_of(node), Path::new(path::REJECTED_CALLERS, "", ""), Value::Callers(callers));
+        self.insert(offset_of(node), ItemPath::new(path::REJECTED_CALLERS, "", ""), Value::Callers(callers));
     }
 
     /// Faults that concern more than one item.
@@ -320,7 +320,7 @@
         self.check_quotas();
     }
 
-    fn number(&self, path: &Path) -> Option<f64> {
+    fn number(&self, path: &ItemPath) -> Option<f64> {
         match self.items.get(path) {
             Some(Value::Number(number)) => Some(*number),
             _ => None,
@@ -332,8 +332,8 @@
         let classes = self.items.keys().filter(|path| path.block == path::CLASS);
         let classes: BTreeSet<String> = classes.map(|path| path.of.clone()).collect();
         for class in classes {
-            let timeout_path = Path::new(path::CLASS, &class, "give-up-ms");
-            let latency_target = self.number(&Path::new(path::CLASS, &class, "sla-ms"));
+            let timeout_path = ItemPath::new(path::CLASS, &class, "give-up-ms");
+            let latency_target = self.number(&ItemPath::new(path::CLASS, &class, "sla-ms"));
             let timeout = self.number(&timeout_path);
             if let Some((latency_target, timeout)) =
                 latency_target.zip(timeout).filter(|(latency_target, timeout)| timeout < latency_target)
@@ -347,13 +347,13 @@
 
     /// The quotas have a limit, their sum is within it, and each is of a zone that has servers.
     fn check_quotas(&mut self) {
-        let quotas: Vec<(Path, f64)> = self
+        let quotas: Vec<(ItemPath, f64)> = self
             .items
             .iter()
             .filter(|(path, _)| path.block == path::QUOTAS && path.name != path::QUOTA_LIMIT)
             .filter_map(|(path, _)| Some((path.clone(), self.number(path)?)))
             .collect();
-        let limit = self.number(&Path::new(path::QUOTAS, "", path::QUOTA_LIMIT));
+        let limit = self.number(&ItemPath::new(path::QUOTAS, "", path::QUOTA_LIMIT));
         let Some(first_offset) = quotas.first().map(|(path, _)| self.offsets[path]) else { return };
         let sum: f64 = quotas.iter().map(|(_, quota)| quota).sum();
         match limit {
@@ -364,7 +364,7 @@
             None => self.report(first_offset, &ParseFault::QuotaLimitMissing),
         }
         for (path, _) in quotas {
-            let servers = Path::new(path::SERVERS, "", &path.name);
+            let servers = ItemPath::new(path::SERVERS, "", &path.name);
             if !self.items.contains_key(&servers) {
                 let offset = self.offsets[&path];
                 self.report(offset, &ParseFault::UnknownZone { zone: path.name });
--- a/crates/aldercrank-versioned-config/src/path.rs
+++ b/crates/aldercrank-versioned-config/src/path.rs
@@ -23,7 +23,7 @@
 
 /// Identifies an item. Displays as its parts with dots between them, empty ones left out.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Path {
+pub struct ItemPath {
     /// Name of its block.
     pub block: &'static str,
     /// What the block is about: the name of a request class, or empty.
@@ -32,14 +32,14 @@
     pub name: String,
 }
 
-impl Path {
+impl ItemPath {
     /// The path with these parts.
-    pub fn new(block: &'static str, of: &str, name: &str) -> Path {
-        Path { block, of: of.to_string(), name: name.to_string() }
+    pub fn new(block: &'static str, of: &str, name: &str) -> ItemPath {
+        ItemPath { block, of: of.to_string(), name: name.to_string() }
     }
 }
 
-impl fmt::Display for Path {
+impl fmt::Display for ItemPath {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let parts = [self.block, &self.of, &self.name];
         let parts: Vec<&str> = parts.into_iter().filter(|part| !part.is_empty()).collect();
--- a/crates/aldercrank-versioned-config/src/platform_settings.rs
+++ b/crates/aldercrank-versioned-config/src/platform_settings.rs
@@ -87,7 +87,7 @@
         if let Some(quota) = self.share(server) {
             merged.set(QUOTA_SETTING, Setting::Number(quota));
         }
-        if !self.serves(server) {
+        if !self.is_in_service(server) {
             merged.set(IN_SERVICE_SETTING, Setting::Flag(false));
         }
         if let Some(Value::Callers(callers)) = self.get(path::REJECTED_CALLERS, "", "") {
--- a/crates/aldercrank-versioned-config/src/version.rs
+++ b/crates/aldercrank-versioned-config/src/version.rs
@@ -4,9 +4,9 @@
 
 /// A version number. Publishers count versions; a later one has a higher number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Number(pub u64);
+pub struct VersionNumber(pub u64);
 
-impl fmt::Display for Number {
+impl fmt::Display for VersionNumber {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         self.0.fmt(f)
     }
--- a/crates/aldercrank-versioned-config/src/versioned_config.rs
+++ b/crates/aldercrank-versioned-config/src/versioned_config.rs
@@ -1,8 +1,8 @@
 //! One version of the configuration: its items by path, and its canonical text.
 
-use crate::path::{self, Path};
+use crate::path::{self, ItemPath};
 use crate::value::Value;
-use crate::version::{Digest, Number};
+use crate::version::{Digest, VersionNumber};
 use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -27,19 +27,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionedConfig {
     /// The version number.
-    pub number: Number,
-    pub(crate) items: BTreeMap<Path, Value>,
+    pub number: VersionNumber,
+    pub(crate) items: BTreeMap<ItemPath, Value>,
 }
 
 impl VersionedConfig {
     /// All items, in the order of their paths.
-    pub fn items(&self) -> impl Iterator<Item = (&Path, &Value)> {
+    pub fn items(&self) -> impl Iterator<Item = (&ItemPath, &Value)> {
         self.items.iter()
     }
 
     /// The item with this path.
     pub fn get(&self, block: &'static str, of: &str, name: &str) -> Option<&Value> {
-        self.items.get(&Path::new(block, of, name))
+        self.items.get(&ItemPath::new(block, of, name))
     }
 
     fn time_span(&self, block: &'static str) -> Option<Duration> {
@@ -50,19 +50,19 @@
     }
 
     /// The agreement bound: longest time for which two values of a fenced item may be in use at once.
-    pub fn within(&self) -> Duration {
+    pub fn agreement_bound(&self) -> Duration {
         self.time_span(path::AGREEMENT_BOUND).unwrap_or(DEFAULT_AGREEMENT_BOUND)
     }
 
     /// The isolation limit: how long a server without a lease goes on with repeatable requests.
-    pub fn alone(&self) -> Duration {
+    pub fn isolation_limit(&self) -> Duration {
         self.time_span(path::ISOLATION_LIMIT).unwrap_or(DEFAULT_ISOLATION_LIMIT)
     }
 
     /// The committee that decides on the next version, in the order of names.
     pub fn committee(&self) -> Vec<MemberAddress> {
         let members = self.items.iter().filter(|(path, _)| path.block == path::COMMITTEE);
-        let with_address = |(path, value): (&Path, &Value)| match value {
+        let with_address = |(path, value): (&ItemPath, &Value)| match value {
             Value::Word(address) => {
                 address.parse().ok().map(|address| MemberAddress { name: path.name.clone(), address })
             }
@@ -84,7 +84,7 @@
     }
 
     /// Whether this server is in service.
-    pub fn serves(&self, server: &str) -> bool {
+    pub fn is_in_service(&self, server: &str) -> bool {
         self.servers().is_none_or(|servers| servers.contains_key(server))
     }
 
@@ -139,8 +139,8 @@
     /// result is checked only when its text is parsed.
     pub fn next(
         &self,
-        number: Number,
-        changes: impl IntoIterator<Item = (Path, Option<Value>)>,
+        number: VersionNumber,
+        changes: impl IntoIterator<Item = (ItemPath, Option<Value>)>,
     ) -> VersionedConfig {
         let mut items = self.items.clone();
         for (path, value) in changes {
--- a/crates/aldercrank-versioned-config/tests/golden.rs
+++ b/crates/aldercrank-versioned-config/tests/golden.rs
@@ -84,8 +84,8 @@
 fn content(config: &VersionedConfig) -> String {
     let mut out = format!("version {}\ndigest {}\n", config.number, hex(&config.digest().0));
     let _ = writeln!(out, "short digest {}", config.digest());
-    let _ = writeln!(out, "agree within {:?}", config.within());
-    let _ = writeln!(out, "alone for {:?}", config.alone());
+    let _ = writeln!(out, "agree within {:?}", config.agreement_bound());
+    let _ = writeln!(out, "alone for {:?}", config.isolation_limit());
     for MemberAddress { name, address } in config.committee() {
         let _ = writeln!(out, "committee: {name} at {address}");
     }
@@ -98,7 +98,7 @@
         }
     }
     for name in ["n1", "n2", "n3", "n5", "n9"] {
-        let (serves, share) = (config.serves(name), config.share(name));
+        let (serves, share) = (config.is_in_service(name), config.share(name));
         let _ = writeln!(out, "{name}: in service {serves}, share {share:?}");
     }
     for (path, value) in config.items() {
--- a/crates/aldercrank-versioned-config/tests/versions.rs
+++ b/crates/aldercrank-versioned-config/tests/versions.rs
@@ -11,7 +11,7 @@
 
 use aldercrank::{Settings, Value as Setting};
 use aldercrank_versioned_config::{
-    changes, restrictions, Consistency, Incompatibility, Number, Path, Value, VersionedConfig,
+    changes, restrictions, Consistency, Incompatibility, ItemPath, Value, VersionNumber, VersionedConfig,
 };
 use quickcheck::{Gen, QuickCheck};
 use std::time::Duration;
@@ -62,7 +62,10 @@
     let other = parse(&VERSION_8.replace("9000", "9001"));
     assert_ne!(other.digest(), first.digest());
     assert_eq!(first.committee().len(), 3);
-    assert_eq!((first.within(), first.alone()), (Duration::from_secs(2), Duration::from_secs(60)));
+    assert_eq!(
+        (first.agreement_bound(), first.isolation_limit()),
+        (Duration::from_secs(2), Duration::from_secs(60))
+    );
 }
 
 #[test]
@@ -191,18 +194,21 @@
     let set = steps.iter().map(|(what, value)| {
         let n = Value::Number(f64::from(value % 100));
         match what % 4 {
-            0 => (Path::new("product", "licence-buy", "points"), Some(n)),
-            1 => (Path::new("shares", "", "b"), Some(Value::Number(f64::from(value % 41)))),
-            2 => (Path::new("limits", "", "per-core"), Some(Value::Number(1.0 + f64::from(value % 9) / 7.0))),
-            _ => (Path::new("turned-away", "", ""), None),
+            0 => (ItemPath::new("product", "licence-buy", "points"), Some(n)),
+            1 => (ItemPath::new("shares", "", "b"), Some(Value::Number(f64::from(value % 41)))),
+            2 => (
+                ItemPath::new("limits", "", "per-core"),
+                Some(Value::Number(1.0 + f64::from(value % 9) / 7.0)),
+            ),
+            _ => (ItemPath::new("turned-away", "", ""), None),
         }
     });
-    let new = old.next(Number(9), set);
+    let new = old.next(VersionNumber(9), set);
     let again = parse(&new.text());
     let named = changes(&old, &again);
     again == new
         && named.iter().all(|c| c.from != c.to)
-        && (named.is_empty() == (new.text() == old.next(Number(9), []).text()))
+        && (named.is_empty() == (new.text() == old.next(VersionNumber(9), []).text()))
 }
 
 #[test]
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -99,7 +99,8 @@
         for name in settings.missing() {
             host.log(&format!("setting {name} is missing or makes no sense: a cautious default holds"));
         }
-        let (parameters, classes) = (Parameters::from_settings(settings), parameters::request_classes(settings));
+        let (parameters, classes) =
+            (Parameters::from_settings(settings), parameters::request_classes(settings));
         host.set_health(true, true);
         host.set_timer(parameters.tick);
         let run_seconds =
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,7 +18,6 @@
 mod tenant_quotas;
 pub mod types;
 
-
 pub use admission::Admission;
 pub use host::Host;
 pub use settings::{Settings, Value};
--- a/tests/suite/model.rs
+++ b/tests/suite/model.rs
@@ -164,7 +164,8 @@
         }
         let window = model.number(&format!("profiles.{}.window", request.class), 0.0) as u64;
         let effect = model.effects[request.class];
-        let senders_stop_within = Duration::from_micros(model.number("rules.stop_sending_within", 0.0) as u64);
+        let senders_stop_within =
+            Duration::from_micros(model.number("rules.stop_sending_within", 0.0) as u64);
         let is_original_that_ran = |other: &ModelRequest| {
             let in_window =
                 request.arrived_at.saturating_sub(other.arrived_at) <= Duration::from_micros(window);
