--- a/crates/aldercrank-consensus/src/follower.rs
+++ b/crates/aldercrank-consensus/src/follower.rs
@@ -10,11 +10,10 @@
     VersionId, VersionSummary,
 };
 use crate::permission::{PermissionBounds, PermissionLevel};
-use crate::timing::{InjectedFault, Terms};
+use crate::timing::{InjectedFault, Timing};
 use std::sync::Arc;
 use std::time::Duration;
 
-pub use FollowerEnvironment as Ports;
 
 /// Backoff after the first pass over all members without a lease, as a multiple of the response timeout. It doubles
 /// with every further pass, up to the renewal interval.
@@ -95,7 +94,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Follower {
     name: ServerName,
-    timing: Terms,
+    timing: Timing,
     committee: Vec<ServerName>,
     /// Index in `committee` of the member to ask.
     current_member: usize,
@@ -121,7 +120,7 @@
 impl Follower {
     /// A follower without a known version. `committee` is the initial one. `spread` differs between servers, so that
     /// they do not all begin with the same member.
-    pub fn new(name: ServerName, committee: Vec<ServerName>, spread: u64, timing: Terms) -> Follower {
+    pub fn new(name: ServerName, committee: Vec<ServerName>, spread: u64, timing: Timing) -> Follower {
         let current_member = (spread % committee.len().max(1) as u64) as usize;
         Follower {
             name,
--- a/crates/aldercrank-consensus/src/lib.rs
+++ b/crates/aldercrank-consensus/src/lib.rs
@@ -24,4 +24,4 @@
 };
 pub use permission::{PermissionBounds, PermissionLevel};
 pub use quota_handover::{AvailableQuota, QuotaHandover};
-pub use timing::{InjectedFault, Terms};
+pub use timing::{InjectedFault, Timing};
--- a/crates/aldercrank-consensus/src/member/followers.rs
+++ b/crates/aldercrank-consensus/src/member/followers.rs
@@ -1,7 +1,7 @@
 //! The registry of followers: which servers renew at this member, and what they reported.
 
 use crate::messages::{Evaluation, ServerName, VersionId};
-use crate::timing::Terms;
+use crate::timing::Timing;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
     pub(super) fn in_contact(
         &self,
         now: Duration,
-        timing: &Terms,
+        timing: &Timing,
     ) -> impl Iterator<Item = (&ServerName, &Renewal)> {
         let span = timing.renewal_interval().mul_f64(CONTACT_RENEWAL_INTERVALS);
         self.followers
@@ -83,19 +83,19 @@
     }
 
     /// Whether the server may still use its version, as far as this member knows.
-    pub(super) fn possibly_active(&self, name: &ServerName, now: Duration, timing: &Terms) -> bool {
+    pub(super) fn possibly_active(&self, name: &ServerName, now: Duration, timing: &Timing) -> bool {
         let last_seen = self.get(name).map_or(self.started_at, |renewal| renewal.received_at);
         last_seen + timing.activity_timeout() > now
     }
 
     /// Removes followers that have stopped using their version.
-    pub(super) fn remove_inactive(&mut self, now: Duration, timing: &Terms) {
+    pub(super) fn remove_inactive(&mut self, now: Duration, timing: &Timing) {
         let timeout = timing.activity_timeout();
         self.followers.retain(|_, renewal| renewal.received_at + timeout > now);
     }
 
     /// The followers in the order of their names.
-    pub(super) fn states(&self, now: Duration, timing: &Terms) -> Vec<FollowerStatus> {
+    pub(super) fn states(&self, now: Duration, timing: &Timing) -> Vec<FollowerStatus> {
         let lease = timing.lease_duration();
         let state = |(name, renewal): (&ServerName, &Renewal)| FollowerStatus {
             name: name.clone(),
--- a/crates/aldercrank-consensus/src/member/mod.rs
+++ b/crates/aldercrank-consensus/src/member/mod.rs
@@ -34,6 +34,5 @@
 
 pub use acceptor::AcceptorState;
 pub use environment::MemberEnvironment;
-pub use environment::MemberEnvironment as Ports;
 pub use followers::FollowerStatus;
 pub use state::{CommitteeMember, MemberIdentity, Refusal};
--- a/crates/aldercrank-consensus/src/member/proposals.rs
+++ b/crates/aldercrank-consensus/src/member/proposals.rs
@@ -2,7 +2,7 @@
 
 use super::followers::FollowerRegistry;
 use crate::messages::{ConfigVersion, ProposalTally, ServerName, VersionId, VersionSummary};
-use crate::timing::Terms;
+use crate::timing::Timing;
 use std::time::Duration;
 
 /// Most proposals of one number. Two contents for one number are refused anyway.
@@ -87,7 +87,7 @@
         now: Duration,
         followers: &FollowerRegistry,
         servers: Option<&[ServerName]>,
-        timing: &Terms,
+        timing: &Timing,
     ) -> ProposalTally {
         let Some(version_id) = self.first_id() else { return ProposalTally::default() };
         let mut tally = ProposalTally { proposed: Some(version_id), ..ProposalTally::default() };
--- a/crates/aldercrank-consensus/src/member/state.rs
+++ b/crates/aldercrank-consensus/src/member/state.rs
@@ -11,7 +11,7 @@
 use super::requests::OutstandingRequests;
 use super::verdict::PeerTallies;
 use crate::messages::{CommittedState, ConfigVersion, ProposalTally, ServerName, VersionId, VersionSummary};
-use crate::timing::Terms;
+use crate::timing::Timing;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CommitteeMember {
     pub(super) name: ServerName,
-    pub(super) timing: Terms,
+    pub(super) timing: Timing,
     pub(super) committed: CommittedState,
     /// Since when the committed version has been known here to be committed.
     pub(super) committed_since: Duration,
@@ -64,7 +64,7 @@
         identity: MemberIdentity,
         version: ConfigVersion,
         acceptor_state: Option<AcceptorState>,
-        timing: Terms,
+        timing: Timing,
         environment: &mut impl MemberEnvironment,
     ) -> Option<CommitteeMember> {
         let MemberIdentity { name, incarnation } = identity;
--- a/crates/aldercrank-consensus/src/member/verdict.rs
+++ b/crates/aldercrank-consensus/src/member/verdict.rs
@@ -2,7 +2,7 @@
 
 use super::proposals::Proposal;
 use crate::messages::{abbreviated_list, ProposalTally, ServerName, Verdict};
-use crate::timing::Terms;
+use crate::timing::Timing;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
     pub(super) rank: u32,
     /// Servers that the committed version names.
     pub(super) servers: Option<&'a [ServerName]>,
-    pub(super) timing: &'a Terms,
+    pub(super) timing: &'a Timing,
     pub(super) now: Duration,
 }
 
--- a/crates/aldercrank-consensus/src/quota_handover.rs
+++ b/crates/aldercrank-consensus/src/quota_handover.rs
@@ -2,7 +2,7 @@
 //! that may still use the version before has shrunk or lost its lease, and until the uses begun by then have ended:
 //! the agreement bound after the version was committed, plus the longest use of a quota.
 
-use crate::timing::{InjectedFault, Terms};
+use crate::timing::{InjectedFault, Timing};
 use std::time::Duration;
 
 /// Most quotas kept. Versions that arrive faster are folded into the smaller of the two oldest.
@@ -28,7 +28,7 @@
 /// The quota of this server over successive versions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaHandover<T> {
-    timing: Terms,
+    timing: Timing,
     longest_use: Duration,
     /// Oldest first.
     quotas: Vec<VersionQuota<T>>,
@@ -37,7 +37,7 @@
 impl<T: PartialOrd + Copy + Default> QuotaHandover<T> {
     /// A server that has just started has an empty quota: another server may still use its part.
     /// `longest_use` is the longest duration of one use of a quota.
-    pub fn new(timing: Terms, longest_use: Duration) -> QuotaHandover<T> {
+    pub fn new(timing: Timing, longest_use: Duration) -> QuotaHandover<T> {
         let empty = VersionQuota { quota: T::default(), limits_until: Duration::ZERO };
         QuotaHandover { timing, longest_use, quotas: vec![empty] }
     }
--- a/crates/aldercrank-consensus/src/timing.rs
+++ b/crates/aldercrank-consensus/src/timing.rs
@@ -17,7 +17,7 @@
 /// Silence of a member without acceptor state, as a fraction of the agreement bound: longer than any round or lease
 /// in which an earlier incarnation took part.
 const QUARANTINE_OF_BOUND: f64 = 1.3;
-/// Default of `Terms::clock_drift_per_mille`.
+/// Default of `Timing::clock_drift_per_mille`.
 const DEFAULT_CLOCK_DRIFT_PER_MILLE: u32 = 10;
 
 /// A deliberate protocol error, injected so that the invariant checkers can be shown to find it. The program itself
@@ -36,7 +36,7 @@
 
 /// Timing parameters, the same on all servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct Timing {
     /// Agreement bound: longest time for which two values of a fenced item may be in use at once.
     pub within: Duration,
     /// How long a server without a lease goes on with repeatable requests.
@@ -47,10 +47,10 @@
     pub injected_fault: Option<InjectedFault>,
 }
 
-impl Terms {
+impl Timing {
     /// Parameters with the given agreement bound and isolation limit, the default clock drift and no fault.
-    pub fn new(within: Duration, alone: Duration) -> Terms {
-        Terms { within, alone, clock_drift_per_mille: DEFAULT_CLOCK_DRIFT_PER_MILLE, injected_fault: None }
+    pub fn new(within: Duration, alone: Duration) -> Timing {
+        Timing { within, alone, clock_drift_per_mille: DEFAULT_CLOCK_DRIFT_PER_MILLE, injected_fault: None }
     }
 
     /// Duration of a lease, counted from the sending of the renewal. It is shorter than the agreement bound by twice
--- a/crates/aldercrank-consensus/tests/model_checking.rs
+++ b/crates/aldercrank-consensus/tests/model_checking.rs
@@ -16,7 +16,7 @@
 mod modelled_fleet;
 mod support;
 
-use aldercrank_consensus::{Follower, InjectedFault, PermissionLevel, QuotaHandover, Terms};
+use aldercrank_consensus::{Follower, InjectedFault, PermissionLevel, QuotaHandover, Timing};
 use modelled_fleet::{
     committee, server_name, version, Disks, Release, State, AGREEMENT_BOUND, FOLLOWERS, MEMBERS, PROCESSES,
 };
@@ -66,8 +66,8 @@
 }
 
 impl FleetModel {
-    fn timing(&self) -> Terms {
-        let mut timing = Terms::new(AGREEMENT_BOUND, ISOLATION_LIMIT);
+    fn timing(&self) -> Timing {
+        let mut timing = Timing::new(AGREEMENT_BOUND, ISOLATION_LIMIT);
         timing.injected_fault = self.injected_fault;
         timing
     }
--- a/crates/aldercrank-consensus/tests/modelled_fleet/mod.rs
+++ b/crates/aldercrank-consensus/tests/modelled_fleet/mod.rs
@@ -14,7 +14,7 @@
 use aldercrank_consensus::messages::VersionSummary;
 use aldercrank_consensus::{
     CommitteeMember, ConfigVersion, CorrelationId, Follower, MemberIdentity, PeerRequest, PeerResponse,
-    PermissionLevel, QuotaHandover, ServerName, Terms, VersionId,
+    PermissionLevel, QuotaHandover, ServerName, Timing, VersionId,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -136,7 +136,7 @@
 }
 
 impl State {
-    pub fn begin_incarnation(&mut self, member: usize, timing: Terms, disks: Disks) {
+    pub fn begin_incarnation(&mut self, member: usize, timing: Timing, disks: Disks) {
         self.incarnations[member] += 1;
         let stored = self.stored_acceptor_states[member].clone();
         let acceptor_state = stored.filter(|_| disks == Disks::Present);
--- a/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
+++ b/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
@@ -16,7 +16,7 @@
 use aldercrank_consensus::messages::VersionSummary;
 use aldercrank_consensus::{
     CommittedState, CommitteeMember, ConfigVersion, CorrelationId, Follower, InjectedFault, MemberIdentity,
-    PeerRequest, PeerResponse, PermissionLevel, QuotaHandover, ServerName, Terms, VersionId,
+    PeerRequest, PeerResponse, PermissionLevel, QuotaHandover, ServerName, Timing, VersionId,
 };
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -128,7 +128,7 @@
 
 pub struct SimulatedFleet {
     pub now: Duration,
-    timing: Terms,
+    timing: Timing,
     pub processes: Vec<Process>,
     committee: Vec<usize>,
     initial_version: ConfigVersion,
@@ -163,7 +163,7 @@
         seed: u64,
         injected_fault: Option<InjectedFault>,
     ) -> SimulatedFleet {
-        let mut timing = Terms::new(AGREEMENT_BOUND, ISOLATION_LIMIT);
+        let mut timing = Timing::new(AGREEMENT_BOUND, ISOLATION_LIMIT);
         timing.injected_fault = injected_fault;
         let mut fleet = SimulatedFleet {
             now: Duration::ZERO,
--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -54,9 +54,9 @@
             // A call lasts no longer than its request.
             let deadlines = (0..).map_while(|i| platform.span(&format!("profiles.{i}.give_up")));
             let longest_call = deadlines.max().unwrap_or_default();
-            let terms = &agreement.terms;
+            let timing = &agreement.timing;
             let quotas =
-                agreement.quotas.get_or_insert_with(|| QuotaHandover::new(terms.clone(), longest_call));
+                agreement.quotas.get_or_insert_with(|| QuotaHandover::new(timing.clone(), longest_call));
             quotas.given(now, quota.unwrap_or(own_limit), *committed_for);
         }
         if let Some(committed) = agreement.follower.committed() {
--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -25,7 +25,7 @@
 use aldercrank::Settings;
 use aldercrank_consensus::{
     CommitteeMember, ConfigVersion, Follower, MemberIdentity, PeerResponse, PermissionBounds,
-    PermissionLevel, QuotaHandover, ServerName, Terms, VersionId,
+    PermissionLevel, QuotaHandover, ServerName, Timing, VersionId,
 };
 use aldercrank_versioned_config::VersionedConfig;
 use ports::{FollowerPorts, MemberPorts, PortContext};
@@ -48,7 +48,7 @@
 pub(super) struct ConfigAgreement {
     /// Never restarted, unlike the server's own clock, which counts from its worker pool's start.
     clock: Clock,
-    terms: Terms,
+    timing: Timing,
     /// Distinguishes the committee members that this server has been in turn.
     next_incarnation: u64,
     follower: Follower,
@@ -82,11 +82,11 @@
     ) -> ConfigAgreement {
         let (clock, server) = (Clock::default(), ServerName::new(&config.name));
         let now = clock.now();
-        let mut terms = Terms::new(
+        let mut timing = Timing::new(
             agreement.initial_version.agreement_bound(),
             agreement.initial_version.isolation_limit(),
         );
-        terms.injected_fault = agreement.injected_fault;
+        timing.injected_fault = agreement.injected_fault;
         let initial = ConfigVersion {
             version_id: version_id(&agreement.initial_version),
             text: Arc::from(agreement.initial_version.text()),
@@ -101,7 +101,7 @@
         let mut context = PortContext::new(server.clone(), config.settings.clone(), peers, state_file);
         // Spreads the followers over the members.
         let spread = own_index.map_or_else(|| aldercrank_pacing::digest(&config.name), |index| index as u64);
-        let mut follower = Follower::new(server, member_names, spread, terms.clone());
+        let mut follower = Follower::new(server, member_names, spread, timing.clone());
         let stored = context.state_file.version();
         let newest = stored.as_ref().map_or(&initial, |stored| &stored.version).clone();
         if let Some(StoredVersion { committed, version }) = stored {
@@ -109,7 +109,7 @@
         }
         let mut created = ConfigAgreement {
             clock,
-            terms,
+            timing,
             // Only its difference from other incarnations matters, not that it is a time.
             next_incarnation: Clock::unix_time().as_nanos() as u64,
             follower,
@@ -144,7 +144,7 @@
             identity,
             version.clone(),
             acceptor_state,
-            self.terms.clone(),
+            self.timing.clone(),
             &mut MemberPorts(&mut self.context),
         );
         let number = version.version_id.number;
--- a/crates/aldercrank-server/src/net/config_agreement/ports.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/ports.rs
@@ -108,7 +108,7 @@
 /// The ports of the committee member.
 pub(super) struct MemberPorts<'a>(pub(super) &'a mut PortContext);
 
-impl follower::Ports for FollowerPorts<'_> {
+impl follower::FollowerEnvironment for FollowerPorts<'_> {
     fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest) {
         let context = &mut *self.0;
         if *to == context.server {
@@ -133,7 +133,7 @@
     }
 }
 
-impl member::Ports for MemberPorts<'_> {
+impl member::MemberEnvironment for MemberPorts<'_> {
     fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest) {
         let context = &mut *self.0;
         let tag = RequestTag { requester: Requester::CommitteeMember, correlation_id };
--- a/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
@@ -63,14 +63,14 @@
 impl VersionPolling {
     /// The first poll is due at once.
     pub(super) fn new(config: &Config, now: Duration) -> VersionPolling {
-        let terms = aldercrank_pacing::RetryPacerConfig {
+        let pacer_config = aldercrank_pacing::RetryPacerConfig {
             interval: POLL_WAIT,
             entry_lifetime: POLL_WAIT * 4,
             max_backoff: POLL_WAIT * 2,
             server_count: Some(1.0),
         };
         VersionPolling {
-            pacer: RetryPacer::new(terms, &config.seed, &config.name, Clock::unix_time()),
+            pacer: RetryPacer::new(pacer_config, &config.seed, &config.name, Clock::unix_time()),
             outstanding: None,
             last_number: 0,
             due: now,
