--- a/crates/aldercrank-consensus/src/follower.rs
+++ b/crates/aldercrank-consensus/src/follower.rs
@@ -14,7 +14,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-
 /// Backoff after the first pass over all members without a lease, as a multiple of the response timeout. It doubles
 /// with every further pass, up to the renewal interval.
 const FIRST_BACKOFF_OF_RESPONSE_TIMEOUT: f64 = 1.0;
@@ -349,7 +348,7 @@
             (Purpose::Renew, PeerResponse::Lease { committed, age, committed_for, proposed }) => {
                 let lease_until =
                     age.and_then(|age| (lease_start + self.timing.lease_duration()).checked_sub(age));
-                let state = ReportedState { committed, committed_for: committed_for, lease_until };
+                let state = ReportedState { committed, committed_for, lease_until };
                 self.lease_received(now, state, proposed, environment);
             }
             (Purpose::FetchCommitted(state), PeerResponse::Text { version_id, text })
--- a/crates/aldercrank-consensus/src/member/proposer.rs
+++ b/crates/aldercrank-consensus/src/member/proposer.rs
@@ -35,7 +35,7 @@
 
 impl Proposer {
     pub(super) fn new(name: ServerName, incarnation: u64, round_timeout: Duration) -> Proposer {
-        let ballot = Ballot { round: 0, proposer: Some(name), incarnation: incarnation };
+        let ballot = Ballot { round: 0, proposer: Some(name), incarnation };
         Proposer { round: Round::Idle, ballot, round_timeout }
     }
 
--- a/crates/aldercrank-protocol/tests/golden/main.rs
+++ b/crates/aldercrank-protocol/tests/golden/main.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_the_worker_pool_tells_is_as_recorded() {
+fn worker_pool_events_are_read_as_recorded() {
     compare_protocol("worker-pool.txt", worker_pool::write);
 }
 
--- a/crates/aldercrank-protocol/tests/golden/worker_pool.rs
+++ b/crates/aldercrank-protocol/tests/golden/worker_pool.rs
@@ -45,8 +45,8 @@
     fn other_notice(&mut self, notice: NoticeNumber) {
         self.0.push(format!("chatter notice={}", notice.0));
     }
-    fn metrics_reported(&mut self, tag: u64, gauges: &[f64]) {
-        self.0.push(format!("polled tag={tag} gauges={gauges:?}"));
+    fn metrics_reported(&mut self, tag: u64, load_metrics: &[f64]) {
+        self.0.push(format!("polled tag={tag} gauges={load_metrics:?}"));
     }
     fn unknown_attempt(&mut self, command: &str, id: &str) {
         self.0.push(format!("unknown command={command:?} id={id:?}"));
@@ -71,11 +71,11 @@
     cases.case(title, &escaped(bytes), &reads.0);
     // Byte by byte the same messages come; a line over the limit is passed over in other steps.
     if bytes.len() < 1_000 {
-        assert_eq!(one_byte_at_a_time(bytes, most), told(&reads.0), "{title}");
+        assert_eq!(one_byte_at_a_time(bytes, most), handler_calls(&reads.0), "{title}");
     }
 }
 
-fn told(lines: &[String]) -> Vec<String> {
+fn handler_calls(lines: &[String]) -> Vec<String> {
     lines.iter().filter(|l| !l.ends_with("announced")).cloned().collect()
 }
 
@@ -137,8 +137,8 @@
         "blocked without a body",
         &written(|b| worker_pool::write_run_blocked(b, NoticeNumber(u64::MAX), id(), b"")),
     );
-    let gauges = [0.62, 3.0, 0.00004, 1e6, -1.0];
-    sent_by_pool(cases, "polled", &written(|b| worker_pool::write_metrics(b, "5", &gauges)));
+    let load_metrics = [0.62, 3.0, 0.00004, 1e6, -1.0];
+    sent_by_pool(cases, "polled", &written(|b| worker_pool::write_metrics(b, "5", &load_metrics)));
     sent_by_pool(cases, "polled without gauges", &written(|b| worker_pool::write_metrics(b, "6", &[])));
     sent_by_pool(
         cases,
--- a/crates/aldercrank-server/tests/suite/codecs.rs
+++ b/crates/aldercrank-server/tests/suite/codecs.rs
@@ -8,7 +8,7 @@
 use rmp::encode::{write_array_len, write_bin, write_map_len, write_sint, write_str, write_uint};
 use std::time::Duration;
 
-const RID: &str = "9b1f03aa5c7e2d41";
+const ATTEMPT_ID: &str = "9b1f03aa5c7e2d41";
 
 /// Records the calls of a codec, a line each.
 #[derive(Default)]
@@ -138,7 +138,8 @@
 
 #[test]
 fn messages_of_edge_nodes_are_read_however_they_are_split() {
-    let fields = [("rid", RID), ("t0", "1764576000123"), ("mem", "24.5"), ("prio", "-1"), ("new", "x")];
+    let fields =
+        [("rid", ATTEMPT_ID), ("t0", "1764576000123"), ("mem", "24.5"), ("prio", "-1"), ("new", "x")];
     let mut bytes = call(7, "checkout", &fields, &[0, 13, 10, 255]);
     bytes.extend(interrupt(7));
     bytes.extend(check(9));
@@ -190,21 +191,26 @@
 fn events_of_the_worker_pool_are_read_however_they_are_split() {
     // Spans may have a fraction.
     let mut bytes = b"bound cold 12.5\r\n".to_vec();
-    bytes.extend(format!("finished 1 {RID} ok 62.067 4\r\n\r\n\r\n\r\nblocked 2 {RID} 0\r\n\r\n").bytes());
-    bytes.extend(format!("finished 3 {RID} void 0 0\r\n\r\nfinished 4 {RID} halted 1 0\r\n\r\n").bytes());
+    bytes.extend(
+        format!("finished 1 {ATTEMPT_ID} ok 62.067 4\r\n\r\n\r\n\r\nblocked 2 {ATTEMPT_ID} 0\r\n\r\n")
+            .bytes(),
+    );
+    bytes.extend(
+        format!("finished 3 {ATTEMPT_ID} void 0 0\r\n\r\nfinished 4 {ATTEMPT_ID} halted 1 0\r\n\r\n").bytes(),
+    );
     bytes.extend(b"polled 5 0.62 3 x 120\r\nunknown supply 77\r\nchatter 6 finished 1 2\r\n");
-    bytes.extend(format!("finished 7 {RID} odd 1 0\r\n\r\n").bytes());
+    bytes.extend(format!("finished 7 {ATTEMPT_ID} odd 1 0\r\n\r\n").bytes());
     let recorded = split_anywhere(&bytes, read_events);
     let expected = [
         "bound true 12.5ms".to_string(),
-        format!("finished 1 {RID} Completed 62.067ms [13, 10, 13, 10]"),
-        format!("blocked 2 {RID} []"),
-        format!("finished 3 {RID} NeverStarted 0ns []"),
-        format!("finished 4 {RID} Cancelled 1ms []"),
+        format!("finished 1 {ATTEMPT_ID} Completed 62.067ms [13, 10, 13, 10]"),
+        format!("blocked 2 {ATTEMPT_ID} []"),
+        format!("finished 3 {ATTEMPT_ID} NeverStarted 0ns []"),
+        format!("finished 4 {ATTEMPT_ID} Cancelled 1ms []"),
         "polled 5 [0.62, 3.0, 0.0, 120.0]".to_string(),
         "unknown supply 77".to_string(),
         "chatter 6".to_string(),
-        format!("finished 7 {RID} Failed 1ms []"),
+        format!("finished 7 {ATTEMPT_ID} Failed 1ms []"),
     ];
     assert_eq!(recorded, expected);
 }
@@ -212,7 +218,7 @@
 #[test]
 fn a_malformed_line_of_the_worker_pool_affects_no_other_line() {
     let bad = format!(
-        "\r\nhello\r\nfinished x {RID} ok 1 0\r\n\r\nfinished 1 abc ok 1 0\r\n\r\nbound cold soon\r\n"
+        "\r\nhello\r\nfinished x {ATTEMPT_ID} ok 1 0\r\n\r\nfinished 1 abc ok 1 0\r\n\r\nbound cold soon\r\n"
     );
     let long = [vec![b'x'; 50_000], b"\r\nchatter 9 on\r\n".to_vec()].concat();
     let recorded = read_events(&[bad.as_bytes(), &long]);
@@ -222,7 +228,9 @@
     assert_eq!(read_events(&parts), ["malformed line", "chatter 9"]);
     // A payload over the limit.
     assert_eq!(
-        read_events(&[format!("blocked 3 {RID} 99999999\r\nchatter 4 x\r\n").as_bytes()]).last().unwrap(),
+        read_events(&[format!("blocked 3 {ATTEMPT_ID} 99999999\r\nchatter 4 x\r\n").as_bytes()])
+            .last()
+            .unwrap(),
         "chatter 4"
     );
 }
@@ -294,11 +302,11 @@
 
 #[test]
 fn messages_to_dependency_membership_service_and_pool_carry_the_body_unchanged() {
-    let attempt = AttemptId::new(RID).unwrap();
+    let attempt = AttemptId::new(ATTEMPT_ID).unwrap();
     let call = index::write_call("h", attempt, Duration::from_micros(250_900), b"\r\n\r\n");
     let text = String::from_utf8(call).unwrap();
     assert!(text.starts_with("POST /lookup HTTP/1.1\r\n") && text.ends_with("\r\n\r\n\r\n\r\n"));
-    assert!(text.contains(&format!("X-Parent-Id: {RID}\r\nX-Budget-Ms: 250\r\nContent-Length: 4\r\n")));
+    assert!(text.contains(&format!("X-Parent-Id: {ATTEMPT_ID}\r\nX-Budget-Ms: 250\r\nContent-Length: 4\r\n")));
     let report = String::from_utf8(membership::write_report("h", "n3", false, None, None)).unwrap();
     assert!(
         report.starts_with("PUT /members/n3 HTTP/1.1\r\n") && report.ends_with("\r\n\r\n{\"phase\":\"OUT\"}")
@@ -309,7 +317,7 @@
     output.extend(b"\0\r\n");
     worker_pool::write_payload_end(&mut output);
     worker_pool::write_skip_call(&mut output, attempt, NoticeNumber(8));
-    assert_eq!(output, format!("spawn {RID} p 3\r\n\0\r\n\r\npass {RID} 8\r\n").into_bytes());
+    assert_eq!(output, format!("spawn {ATTEMPT_ID} p 3\r\n\0\r\n\r\npass {ATTEMPT_ID} 8\r\n").into_bytes());
     assert!(AttemptId::new("9b1f03aa5c7e2d4g").is_none() && AttemptId::new("9b").is_none());
 }
 
@@ -317,10 +325,11 @@
 fn no_input_makes_a_codec_panic_or_stall() {
     fn any(bytes: Vec<u8>, at: usize) -> bool {
         // Random bytes, and valid messages with one byte changed.
-        let mut corrupted = call(3, "p", &[("rid", RID), ("t0", "12")], &bytes);
+        let mut corrupted = call(3, "p", &[("rid", ATTEMPT_ID), ("t0", "12")], &bytes);
         let spot = at % corrupted.len();
         corrupted[spot] ^= bytes.first().copied().unwrap_or(1);
-        let mut text = format!("finished 1 {RID} ok 1 3\r\nabc\r\nblocked 2 {RID} 1\r\nx\r\n").into_bytes();
+        let mut text = format!("finished 1 {ATTEMPT_ID} ok 1 3\r\nabc\r\nblocked 2 {ATTEMPT_ID} 1\r\nx\r\n")
+            .into_bytes();
         let spot = at % text.len();
         text[spot] ^= bytes.first().copied().unwrap_or(1);
         read_requests(&[&bytes]).len() <= bytes.len() + 1
--- a/crates/aldercrank-server/tests/suite/crossings.rs
+++ b/crates/aldercrank-server/tests/suite/crossings.rs
@@ -200,8 +200,8 @@
     let mut program = Program::start(|_| None);
     let _pool = program.wait_until_serving();
     let (members, addr) = listen(&program.edge.ip().to_string());
-    let (say, reports) = channel();
-    http(members, say, report_accepted);
+    let (report_sender, reports) = channel();
+    http(members, report_sender, report_accepted);
     program.pause();
     program.term();
     program.reload(&[("members", addr)]);
--- a/crates/aldercrank-server/tests/suite/golden_command_line.rs
+++ b/crates/aldercrank-server/tests/suite/golden_command_line.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn check_config_and_version_say_what_is_recorded() {
+fn check_config_and_version_output_is_as_recorded() {
     let folder = Folder::new();
     let none: [(&str, &str); 0] = [];
     let both = [("ROUTER_NAME", "n7"), ("ROUTER_LISTEN", "127.0.0.1:7007")];
--- a/crates/aldercrank-server/tests/suite/golden_consensus/commands.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/commands.rs
@@ -18,7 +18,7 @@
     let _ = writeln!(out, "standard error\n{}", text(&output.stderr));
 }
 
-fn book_names() -> Vec<String> {
+fn version_file_names() -> Vec<String> {
     let files = std::fs::read_dir(golden("rule-books")).unwrap();
     let names = files.map(|file| file.unwrap().file_name().into_string().unwrap());
     let mut names: Vec<String> = names.filter(|name| name.ends_with(".kdl")).collect();
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn check_and_show_say_what_is_recorded() {
+fn check_and_show_output_is_as_recorded() {
     let mut out = String::new();
-    let names = book_names();
+    let names = version_file_names();
     assert!(names.len() >= 25);
     for name in &names {
         run(&mut out, &["rules", "check", name]);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn diff_says_what_is_recorded() {
+fn diff_output_is_as_recorded() {
     let mut out = String::new();
     let pairs = [
         ("plain.kdl", "plain-otherwise.kdl"),
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn help_and_wrong_use_say_what_is_recorded() {
+fn help_and_wrong_use_output_is_as_recorded() {
     let mut out = String::new();
     run(&mut out, &["rules"]);
     run(&mut out, &["rules", "--help"]);
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -109,9 +109,9 @@
     bytes
 }
 
-fn notification(draft: Option<VersionId>) -> Vec<u8> {
+fn notification(proposal: Option<VersionId>) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack_rpc::write_notification(&mut bytes, &pack(&draft));
+    msgpack_rpc::write_notification(&mut bytes, &pack(&proposal));
     bytes
 }
 
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn messages_about_the_rule_book_are_framed_as_recorded() {
+fn consensus_messages_are_framed_as_recorded() {
     let mut out = String::new();
     let renew = PeerRequest::Renew {
         from: ServerName::new("n1"),
@@ -148,9 +148,9 @@
     whole(&mut out, "request Renew", &request(128, &pack(&renew)), read_as_server);
     let fetch = request(u32::MAX, &pack(&PeerRequest::Fetch { version_id: version(9) }));
     whole(&mut out, "request Fetch", &fetch, read_as_server);
-    let standing = CommittedState { last: 9, version_id: version(8) };
+    let committed_state = CommittedState { last: 9, version_id: version(8) };
     let lease = PeerResponse::Lease {
-        committed: standing,
+        committed: committed_state,
         age: Some(Duration::from_millis(1500)),
         committed_for: Duration::from_secs(60),
         proposed: Some(version(10)),
--- a/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
@@ -97,7 +97,7 @@
     VersionId { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
 }
 
-fn standing(last: u64, number: u64) -> CommittedState {
+fn committed_state(last: u64, number: u64) -> CommittedState {
     CommittedState { last, version_id: version(number) }
 }
 
@@ -105,9 +105,9 @@
     Ballot { round, proposer: Some(ServerName::new("n2")), incarnation: 1_764_748_800_123_456_789 }
 }
 
-fn votes(promised: Ballot, accepted: Option<(Decision, Option<&str>)>) -> AcceptorState {
+fn acceptor_state(promised: Ballot, accepted: Option<(Decision, Option<&str>)>) -> AcceptorState {
     AcceptorState {
-        committed: standing(8, 8),
+        committed: committed_state(8, 8),
         text: Arc::from("rules 8 {\n}\n"),
         promised: promised.clone(),
         accepted: accepted.as_ref().map(|(decision, _)| (promised, decision.clone()).into()),
@@ -123,17 +123,17 @@
     Decision { version_id: version(9), verdict: Verdict::Refused("its number is used up".to_string()) }
 }
 
-fn say_version(version: &VersionId) -> String {
+fn described_version(version: &VersionId) -> String {
     format!("{} with digest {}", version.number, hex(&version.digest))
 }
 
-fn say_ballot(ballot: &Ballot) -> String {
+fn described_ballot(ballot: &Ballot) -> String {
     let by = ballot.proposer.as_ref().map(|name| name.to_string());
     format!("round {}, by {by:?}, life {}", ballot.round, ballot.incarnation)
 }
 
-fn say_standing(standing: &CommittedState) -> String {
-    format!("last {}, book {}", standing.last, say_version(&standing.version_id))
+fn committed_text(committed_state: &CommittedState) -> String {
+    format!("last {}, book {}", committed_state.last, described_version(&committed_state.version_id))
 }
 
 /// What a memory holds, a line for each thing.
@@ -141,28 +141,28 @@
     let mut out = String::new();
     match memory.version() {
         None => out.push_str("  version none\n"),
-        Some(StoredVersion { committed: standing, version: text }) => {
-            let _ = writeln!(out, "  version standing {}", say_standing(&standing));
-            assert_eq!(text.version_id, standing.version_id);
+        Some(StoredVersion { committed: committed_state, version: text }) => {
+            let _ = writeln!(out, "  version standing {}", committed_text(&committed_state));
+            assert_eq!(text.version_id, committed_state.version_id);
             let _ = writeln!(out, "  version text {:?}", &text.text[..text.text.len().min(60)]);
         }
     }
-    let Some(votes) = memory.acceptor_state() else { return out + "  votes none\n" };
-    let _ = writeln!(out, "  votes standing {}", say_standing(&votes.committed));
-    let _ = writeln!(out, "  votes text {:?}", &*votes.text);
-    let _ = writeln!(out, "  votes promised {}", say_ballot(&votes.promised));
-    match &votes.accepted {
+    let Some(acceptor_state) = memory.acceptor_state() else { return out + "  votes none\n" };
+    let _ = writeln!(out, "  votes standing {}", committed_text(&acceptor_state.committed));
+    let _ = writeln!(out, "  votes text {:?}", &*acceptor_state.text);
+    let _ = writeln!(out, "  votes promised {}", described_ballot(&acceptor_state.promised));
+    match &acceptor_state.accepted {
         None => out.push_str("  votes accepted none\n"),
         Some(AcceptedDecision { ballot, decision }) => {
             let verdict = match &decision.verdict {
                 Verdict::Committed => "InForce".to_string(),
                 Verdict::Refused(why) => format!("Refused {why:?}"),
             };
-            let (ballot, of) = (say_ballot(ballot), say_version(&decision.version_id));
+            let (ballot, of) = (described_ballot(ballot), described_version(&decision.version_id));
             let _ = writeln!(out, "  votes accepted {verdict} for {of} in {ballot}");
         }
     }
-    let _ = writeln!(out, "  votes accepted text {:?}", votes.accepted_text.as_deref());
+    let _ = writeln!(out, "  votes accepted text {:?}", acceptor_state.accepted_text.as_deref());
     out
 }
 
@@ -190,23 +190,26 @@
 
 /// The calls of which the golden file is the outcome.
 fn calls() -> Vec<(&'static str, Call)> {
-    let keep = |votes: AcceptorState| move |memory: &mut StateFile| memory.store_acceptor_state(&votes);
-    let first = votes(Ballot::default(), None);
-    let accepted = votes(ballot(300), Some((in_force(), Some("rules 9 {\n}\n"))));
-    let no_text = votes(ballot(301), Some((refused(), None)));
-    let own_text = votes(ballot(302), Some((refused(), Some("rules 9 {\n    limits {\n    }\n}\n"))));
+    let keep = |acceptor_state: AcceptorState| {
+        move |memory: &mut StateFile| memory.store_acceptor_state(&acceptor_state)
+    };
+    let first = acceptor_state(Ballot::default(), None);
+    let accepted = acceptor_state(ballot(300), Some((in_force(), Some("rules 9 {\n}\n"))));
+    let no_text = acceptor_state(ballot(301), Some((refused(), None)));
+    let own_text =
+        acceptor_state(ballot(302), Some((refused(), Some("rules 9 {\n    limits {\n    }\n}\n"))));
     vec![
         ("keep votes with nothing promised", Box::new(keep(first))),
         (
             "keep version 7, 7 being the last",
-            Box::new(|memory| memory.store_version(standing(7, 7), &Arc::from("rules 7 {\n}\n"))),
+            Box::new(|memory| memory.store_version(committed_state(7, 7), &Arc::from("rules 7 {\n}\n"))),
         ),
         ("keep votes that accept version 9", Box::new(keep(accepted.clone()))),
         ("keep votes that accept a refusal without its text", Box::new(keep(no_text))),
         ("keep votes that accept a refusal with its text", Box::new(keep(own_text))),
         (
             "keep version 8, 9 having been refused",
-            Box::new(|memory| memory.store_version(standing(9, 8), &Arc::from("rules 8 {\n}\n"))),
+            Box::new(|memory| memory.store_version(committed_state(9, 8), &Arc::from("rules 8 {\n}\n"))),
         ),
         ("keep votes that accept version 9 again", Box::new(keep(accepted))),
     ]
@@ -256,7 +259,7 @@
     let mut memory = StateFile::open(Some(&directory.0));
     let read = meaning(&memory);
     assert_eq!(directory.bytes(), bytes, "opening writes nothing");
-    memory.store_version(standing(20, 20), &Arc::from("rules 20 {\n}\n"));
+    memory.store_version(committed_state(20, 20), &Arc::from("rules 20 {\n}\n"));
     let after = directory.bytes();
     let written = [0, SLOT].into_iter().find(|at| slot(&after, *at) != slot(bytes, *at)).unwrap();
     let count = slot(&after, written).unwrap().0;
@@ -306,14 +309,14 @@
 
 fn named() -> Vec<u8> {
     let digest: Vec<u8> = (0..32).collect();
-    let book = serde_json::json!({"number": 4, "digest": digest});
-    let standing = serde_json::json!({"last": 5, "book": book});
+    let config_version = serde_json::json!({"number": 4, "digest": digest});
+    let committed_state = serde_json::json!({"last": 5, "book": config_version});
     let ballot = serde_json::json!({"round": 1, "by": "n1", "life": 2});
-    let decision = serde_json::json!({"stamp": book, "verdict": "InForce"});
-    let votes = serde_json::json!({"standing": standing, "text": "rules 4", "promised": ballot,
+    let decision = serde_json::json!({"stamp": config_version, "verdict": "InForce"});
+    let acceptor_state = serde_json::json!({"standing": committed_state, "text": "rules 4", "promised": ballot,
         "accepted": [ballot, decision], "accepted_text": "rules 6"});
-    let body = serde_json::json!({"form": 1, "boot": machine_boot(), "standing": standing, "text": "rules 4",
-        "votes": votes});
+    let body = serde_json::json!({"form": 1, "boot": machine_boot(), "standing": committed_state, "text": "rules 4",
+        "votes": acceptor_state});
     sealed(2, &rmp_serde::to_vec(&body).unwrap())
 }
 
@@ -336,14 +339,14 @@
     let file = golden_file();
     let directory = Directory::holding(&file);
     let mut memory = StateFile::open(Some(&directory.0));
-    memory.store_version(standing(21, 21), &Arc::from("x".repeat(SLOT)));
+    memory.store_version(committed_state(21, 21), &Arc::from("x".repeat(SLOT)));
     let mut out = format!("a text of {SLOT} bytes\n{}", layout(&directory.bytes()));
     out += &meaning(&memory);
-    memory.store_version(standing(22, 22), &Arc::from("rules 22 {\n}\n"));
+    memory.store_version(committed_state(22, 22), &Arc::from("rules 22 {\n}\n"));
     let _ = write!(out, "a short text after it\n{}{}", layout(&directory.bytes()), meaning(&memory));
     let _ = write!(out, "opened again\n{}", meaning(&StateFile::open(Some(&directory.0))));
     let mut nowhere = StateFile::open(None);
-    nowhere.store_acceptor_state(&votes(ballot(1), None));
+    nowhere.store_acceptor_state(&acceptor_state(ballot(1), None));
     let _ = write!(out, "without a directory, after votes were kept\n{}", meaning(&nowhere));
     let blocked = Directory::holding(&file);
     let inside_a_file = StateFile::open(Some(Path::new(&blocked.0.join(FILE))));
--- a/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
@@ -65,18 +65,18 @@
         "rules 8 {{\n    committee {{ {committee} }}\n    product \"licence-buy\" {{ points 5 }}\n    \
          servers {{ a \"n1\" }}\n}}\n"
     );
-    let book = VersionedConfig::parse(&text).unwrap();
+    let config_version = VersionedConfig::parse(&text).unwrap();
     let mut service = format!("rules {{\n    book {:?}\n", file("rules.kdl", text).to_str().unwrap());
     if memory {
-        let version = VersionId { number: 8, digest: book.digest().0 };
-        let standing = CommittedState { last: 9, version_id: version };
-        StateFile::open(Some(&directory)).store_version(standing, &Arc::from(book.text()));
+        let version = VersionId { number: 8, digest: config_version.digest().0 };
+        let committed_state = CommittedState { last: 9, version_id: version };
+        StateFile::open(Some(&directory)).store_version(committed_state, &Arc::from(config_version.text()));
         let _ = writeln!(service, "    dir {:?}", directory.to_str().unwrap());
     }
     let service = file("service.kdl", service + "}\n");
     let config = file("config.json", config.to_string());
-    let (say, _) = channel();
-    http(members, say, report_accepted);
+    let (described, _) = channel();
+    http(members, described, report_accepted);
     let mut command = Command::new(env!("CARGO_BIN_EXE_aldercrank"));
     command.arg("serve").arg("--service").arg(service).arg(config);
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
--- a/crates/aldercrank-server/tests/suite/harness.rs
+++ b/crates/aldercrank-server/tests/suite/harness.rs
@@ -252,14 +252,14 @@
         let ip = format!("127.{}.{}.{number}", 16 + pid / 250, 1 + pid % 250);
         let (edge, (pool, pool_addr), (index, index_addr), (members, members_addr)) =
             (unused_address(&ip), listen(&ip), listen(&ip), listen(&ip));
-        let ((say_call, calls), (say_report, reports)) = (channel(), channel());
+        let ((call_sender, calls), (report_sender, reports)) = (channel(), channel());
         let mut away = Vec::new();
         match answer {
             Some(answer) => {
-                http(index, say_call, answer);
-                http(members, say_report, report_accepted);
+                http(index, call_sender, answer);
+                http(members, report_sender, report_accepted);
             }
-            None => away = vec![(index_addr, say_call), (members_addr, say_report)],
+            None => away = vec![(index_addr, call_sender), (members_addr, report_sender)],
         }
         let class = |name: &str, effect: &str| {
             serde_json::json!({"name": name, "effect": effect, "goal_time": 2000000, "give_up": 5000000,
--- a/crates/aldercrank-server/tests/suite/lifecycle.rs
+++ b/crates/aldercrank-server/tests/suite/lifecycle.rs
@@ -69,8 +69,8 @@
         assert!(!fine && why.lines().count() == 1, "{args:?}: {why}");
     }
     let program = Program::start(|_| None);
-    let (fine, says, _) = run(&["check-config", program.config.to_str().unwrap()]);
-    assert!(fine && says.contains("n1"), "{says}");
+    let (fine, output, _) = run(&["check-config", program.config.to_str().unwrap()]);
+    assert!(fine && output.contains("n1"), "{output}");
 }
 
 #[test]
@@ -138,10 +138,10 @@
     // The new addresses, which only this test listens on.
     let ip = program.edge.ip().to_string();
     let (new_pool, pool_addr) = listen(&ip);
-    let ((say_call, calls), (say_report, reports)) = (channel(), channel());
+    let ((call_sender, calls), (report_sender, reports)) = (channel(), channel());
     let ((index, index_addr), (members, members_addr)) = (listen(&ip), listen(&ip));
-    http(index, say_call, |_| ok("new"));
-    http(members, say_report, report_accepted);
+    http(index, call_sender, |_| ok("new"));
+    http(members, report_sender, report_accepted);
     program.reload(&[("pool", pool_addr), ("index", index_addr), ("members", members_addr)]);
     let mut moved = PoolConnection::accept(&new_pool);
     assert_eq!(moved.next().0, ["bind", "1"]);
--- a/crates/aldercrank-test-cluster/src/run_record.rs
+++ b/crates/aldercrank-test-cluster/src/run_record.rs
@@ -48,7 +48,7 @@
 pub struct Line {
     /// Microseconds since the callers began; negative before.
     pub us: i64,
-    /// The request that it is about. Records of earlier versions call it `txn`.
+    /// The request that it is about. Records of earlier versions have it under another name.
     #[serde(alias = "txn")]
     pub request: Option<u32>,
     /// The server that it is about.
--- a/crates/aldercrank-test-cluster/tests/components/worker_pool_stub.rs
+++ b/crates/aldercrank-test-cluster/tests/components/worker_pool_stub.rs
@@ -103,7 +103,7 @@
 
 /// A run that waits for the call of a request that is over would stay forever, and take a core's share.
 #[test]
-fn a_run_whose_request_is_over_is_halted_at_its_call() {
+fn a_run_of_an_ended_request_is_stopped_at_its_call() {
     struct CallingHost(Vec<(AttemptId, RunEnd)>);
     impl WorkerPoolHost for CallingHost {
         fn plan_run(&mut self, _attempt: AttemptId, _class: &str, _body: &[u8]) -> Option<RunPlan> {
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn service_files_of_the_test_cluster_are_read_as_recorded() {
-    let book = Path::new("/run/a \"b\"/rules.kdl");
+    let config_version = Path::new("/run/a \"b\"/rules.kdl");
     let member_addresses = |server: u16| MemberAddress {
         member: ServerNo(server),
         address: ([127, 0, 0, 1], 7100 + server).into(),
@@ -33,8 +33,12 @@
     let texts = [
         start_section(&Start { report_share: true }),
         start_section(&Start { report_share: false }),
-        rules_section(book, None, &[]),
-        rules_section(book, Some(Path::new("/run/n1")), &[member_addresses(1), member_addresses(2)]),
+        rules_section(config_version, None, &[]),
+        rules_section(
+            config_version,
+            Some(Path::new("/run/n1")),
+            &[member_addresses(1), member_addresses(2)],
+        ),
     ];
     let both = format!("{}{}", texts[3], texts[0]);
     let all = texts.iter().chain([&both]);
