--- a/crates/aldercrank-consensus/tests/golden.rs
+++ b/crates/aldercrank-consensus/tests/golden.rs
@@ -171,7 +171,7 @@
 }
 
 fn describe_committed(committed: &CommittedState) -> String {
-    format!("last {}, version_id {}", committed.last, describe_version(&committed.version_id))
+    format!("last {}, book {}", committed.last, describe_version(&committed.version_id))
 }
 
 fn describe_ballot(ballot: &Ballot) -> String {
@@ -354,7 +354,7 @@
         json!({"Fetch": [[9, long_digest]]}),
         json!({"Fetch": [[9, vec![256; 32]]]}),
         json!({"Check": ["n1", [8, version_id], tally]}),
-        json!({"Check": {"from": "n1", "standing": {"last": 8, "version_id": version_id}, "tally": {"draft": null,
+        json!({"Check": {"from": "n1", "standing": {"last": 8, "book": version_id}, "tally": {"draft": null,
             "attached": 1, "hold": 2, "refuses": "x", "holders": [3], "loud": [0, 255]}}}),
         json!({"Check": ["n1", [8, version_id], [null, 4294967296u64, 0, null, [], []]]}),
         json!({"Check": ["n1", [8, version_id], [null, 0, 0, null, [256], []]]}),
--- a/crates/aldercrank-server/tests/suite/codecs.rs
+++ b/crates/aldercrank-server/tests/suite/codecs.rs
@@ -149,7 +149,7 @@
     bytes.extend([0x94, 0, 11, 0xa1, b'p', 0x92, 0x90, 0xc0]);
     let recorded = split_anywhere(&bytes, read_requests);
     assert!(recorded[0].starts_with("request 7 checkout") && recorded[0].ends_with("[0, 13, 10, 255]"));
-    assert!(recorded[0].contains("t0: Some(1764576000123)") && recorded[0].contains("prio: None"));
+    assert!(recorded[0].contains("sent_at_ms: Some(1764576000123)") && recorded[0].contains("rank: None"));
     let rest =
         ["cancel 7", "health check 9", "invalid request 10", "unknown notification", "invalid request 11"];
     assert_eq!(recorded[1..], rest);
--- a/crates/aldercrank-test-cluster/src/cluster/sample.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/sample.rs
@@ -91,10 +91,25 @@
     }
 
     fn check_server_limits(&mut self, now: Duration, number: ServerNo) {
+        let Some(process) = &self.servers[number.0 as usize].process else { return };
+        let pid = process.pid();
+        if !process::is_starting(&process::command_line(pid)) {
+            self.check_process_size(now, number, pid);
+        }
         let fleet = &self.scenario.fleet;
         let server = &mut self.servers[number.0 as usize];
-        let Some(process) = &server.process else { return };
-        let size = process::size(process.pid());
+        let run_seconds = server.pool.run_seconds;
+        let new_run_seconds = run_seconds - std::mem::replace(&mut server.run_seconds, run_seconds);
+        let limit = fleet.cores * (1.0 + (config::MAX_RUNS_PER_CORE - 1.0) * server.pool.warmth(now));
+        if new_run_seconds > limit * LIMITS_INTERVAL.as_secs_f64() * CROWDING_ALLOWANCE {
+            let what = format!("{new_run_seconds:.1} runs on its cores on average, over {limit:.1}");
+            self.testbed.checker.record_violation(now, Rule::Fall, None, Some(number), what);
+        }
+    }
+
+    fn check_process_size(&mut self, now: Duration, number: ServerNo, pid: u32) {
+        let fleet = &self.scenario.fleet;
+        let size = process::size(pid);
         self.totals.peak_memory_kb = self.totals.peak_memory_kb.max(size.peak_memory_kb);
         self.totals.descriptors = self.totals.descriptors.max(size.descriptors);
         let checker = &mut self.testbed.checker;
@@ -106,13 +121,6 @@
             let what = format!("{} descriptors, over its limit", size.descriptors);
             checker.record_violation(now, Rule::Fall, None, Some(number), what);
         }
-        let run_seconds = server.pool.run_seconds;
-        let new_run_seconds = run_seconds - std::mem::replace(&mut server.run_seconds, run_seconds);
-        let limit = fleet.cores * (1.0 + (config::MAX_RUNS_PER_CORE - 1.0) * server.pool.warmth(now));
-        if new_run_seconds > limit * LIMITS_INTERVAL.as_secs_f64() * CROWDING_ALLOWANCE {
-            let what = format!("{new_run_seconds:.1} runs on its cores on average, over {limit:.1}");
-            checker.record_violation(now, Rule::Fall, None, Some(number), what);
-        }
     }
 
     fn check_index_limit(&mut self, now: Duration) {
--- a/crates/aldercrank-test-cluster/src/process.rs
+++ b/crates/aldercrank-test-cluster/src/process.rs
@@ -25,7 +25,7 @@
 impl Program {
     /// The program at `path`, started by the holder's command `hold`.
     pub fn new(path: PathBuf, holder: PathBuf) -> Program {
-        Program { path, first: Vec::new(), holder, verb: ("hold".to_string(), Vec::new()) }
+        Program { path, first: Vec::new(), holder, verb: (HOLD_COMMAND.to_string(), Vec::new()) }
     }
 }
 
@@ -173,6 +173,23 @@
     pub descriptors: usize,
 }
 
+/// The name of the command by which a holder becomes the program.
+const HOLD_COMMAND: &str = "hold";
+
+/// Whether a process of this command line, as `/proc/PID/cmdline` has it, is still to become the program: it has
+/// none yet, or is the holder. Until the kernel has completed the holder's start, its descriptors are those of the
+/// process that started it.
+pub fn is_starting(command_line: &[u8]) -> bool {
+    let mut arguments = command_line.split(|byte| *byte == 0);
+    let program = arguments.next().unwrap_or_default();
+    program.is_empty() || arguments.next() == Some(HOLD_COMMAND.as_bytes())
+}
+
+/// The command line of a process; empty once it has ended.
+pub fn command_line(pid: u32) -> Vec<u8> {
+    std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default()
+}
+
 /// The resources of a process; zero once it has ended.
 pub fn size(pid: u32) -> ProcessSize {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
--- a/crates/aldercrank-test-cluster/tests/components/main.rs
+++ b/crates/aldercrank-test-cluster/tests/components/main.rs
@@ -10,6 +10,7 @@
 )]
 
 mod invariant_checker;
+mod process;
 mod relayed_link;
 mod scenarios;
 mod stub_services;
