--- a/crates/aldercrank-consensus/src/follower.rs
+++ b/crates/aldercrank-consensus/src/follower.rs
@@ -101,7 +101,7 @@
     outstanding: Option<OutstandingRequest>,
     known: Option<KnownVersion>,
     lease_until: Duration,
-    /// End of the last lease, or the restart from disk: repeatable requests go on for a limited time after it.
+    /// End of the last lease, or the restart from disk: idempotent requests go on for a limited time after it.
     isolated_since: Option<Duration>,
     renewal_due: Duration,
     /// A notification has come since the last renewal.
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Restores the version that an earlier incarnation stored. It allows repeatable requests without a lease, and its
+    /// Restores the version that an earlier incarnation stored. It allows idempotent requests without a lease, and its
     /// text need not be fetched. Called once, before anything else; without effect where the text can't be parsed.
     pub fn restore(
         &mut self,
@@ -186,26 +186,26 @@
         self.level_at(now)
     }
 
-    /// Until when the server may do everything, and until when repeatable requests.
+    /// Until when the server may do everything, and until when idempotent requests.
     pub fn bounds(&self) -> PermissionBounds {
         let compatible = self.known.as_ref().is_some_and(|known| known.incompatibility.is_none());
         match (compatible, self.isolated_since) {
             (true, _) if self.timing.injected_fault == Some(InjectedFault::NoLeaseCheck) => {
-                PermissionBounds { full_until: Duration::MAX, alone_until: Duration::MAX }
+                PermissionBounds { full_until: Duration::MAX, idempotent_until: Duration::MAX }
             }
             (true, Some(since)) => PermissionBounds {
                 full_until: self.lease_until,
-                alone_until: since.max(self.lease_until) + self.timing.alone,
+                idempotent_until: since.max(self.lease_until) + self.timing.isolation_limit,
             },
             _ => PermissionBounds::default(),
         }
     }
 
     fn level_at(&self, now: Duration) -> PermissionLevel {
-        let PermissionBounds { full_until, alone_until } = self.bounds();
+        let PermissionBounds { full_until, idempotent_until } = self.bounds();
         if now < full_until {
             PermissionLevel::Full
-        } else if now < alone_until {
+        } else if now < idempotent_until {
             PermissionLevel::IdempotentOnly
         } else {
             PermissionLevel::Denied
--- a/crates/aldercrank-consensus/src/lib.rs
+++ b/crates/aldercrank-consensus/src/lib.rs
@@ -5,7 +5,7 @@
 //! each decision, without a leader. Every server ([`follower`]) uses fenced items under a lease, which it renews at
 //! any one member and counts from the sending of its request. A member grants leases only on a state that a majority
 //! has confirmed to be the newest (read index). [`quota_handover`] moves quotas whose sum has a limit.
-//! `docs/design-rules.md` has the assumptions and a sketch of the proof.
+//! `docs/design-consensus.md` has the assumptions and a sketch of the proof.
 
 mod error;
 pub mod follower;
--- a/crates/aldercrank-consensus/src/permission.rs
+++ b/crates/aldercrank-consensus/src/permission.rs
@@ -7,7 +7,7 @@
 pub enum PermissionLevel {
     /// Nothing: it has never known the committed version, or its lease ended too long ago.
     Denied,
-    /// Repeatable requests alone: it has no lease, or has restarted with a version from disk.
+    /// Idempotent requests alone: it has no lease, or has restarted with a version from disk.
     IdempotentOnly,
     /// Everything that its version allows.
     Full,
@@ -19,5 +19,5 @@
     /// End of [`PermissionLevel::Full`]: of the lease.
     pub full_until: Duration,
     /// End of [`PermissionLevel::IdempotentOnly`].
-    pub alone_until: Duration,
+    pub idempotent_until: Duration,
 }
--- a/crates/aldercrank-consensus/src/quota_handover.rs
+++ b/crates/aldercrank-consensus/src/quota_handover.rs
@@ -43,12 +43,12 @@
     }
 
     /// A version with this quota is committed, and has been for `committed_for` at least.
-    pub fn given(&mut self, now: Duration, quota: T, committed_for: Duration) {
+    pub fn version_committed(&mut self, now: Duration, quota: T, committed_for: Duration) {
         self.remove_expired(now);
         let wait = if self.timing.injected_fault == Some(InjectedFault::NoHandoverWait) {
             Duration::ZERO
         } else {
-            self.timing.within + self.longest_use
+            self.timing.agreement_bound + self.longest_use
         };
         let newest = self.quotas.len() - 1;
         self.quotas[newest].limits_until = now + wait.saturating_sub(committed_for);
@@ -68,7 +68,7 @@
     }
 
     /// The quota that may be used now.
-    pub fn share(&mut self, now: Duration) -> AvailableQuota<T> {
+    pub fn available(&mut self, now: Duration) -> AvailableQuota<T> {
         self.remove_expired(now);
         let quotas = self.quotas.iter().map(|quota| quota.quota);
         let smallest = quotas.reduce(|least, quota| if quota < least { quota } else { least });
--- a/crates/aldercrank-consensus/src/timing.rs
+++ b/crates/aldercrank-consensus/src/timing.rs
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Timing {
     /// Agreement bound: longest time for which two values of a fenced item may be in use at once.
-    pub within: Duration,
-    /// How long a server without a lease goes on with repeatable requests.
-    pub alone: Duration,
+    pub agreement_bound: Duration,
+    /// How long a server without a lease goes on with idempotent requests.
+    pub isolation_limit: Duration,
     /// Largest difference between the rates of two clocks, in thousandths.
     pub clock_drift_per_mille: u32,
     /// The protocol error to make, in tests alone.
@@ -49,14 +49,19 @@
 
 impl Timing {
     /// Parameters with the given agreement bound and isolation limit, the default clock drift and no fault.
-    pub fn new(within: Duration, alone: Duration) -> Timing {
-        Timing { within, alone, clock_drift_per_mille: DEFAULT_CLOCK_DRIFT_PER_MILLE, injected_fault: None }
+    pub fn new(agreement_bound: Duration, isolation_limit: Duration) -> Timing {
+        Timing {
+            agreement_bound,
+            isolation_limit,
+            clock_drift_per_mille: DEFAULT_CLOCK_DRIFT_PER_MILLE,
+            injected_fault: None,
+        }
     }
 
     /// Duration of a lease, counted from the sending of the renewal. It is shorter than the agreement bound by twice
     /// the clock drift, since the follower's clock and the clock behind the reported age may both be slow.
     pub fn lease_duration(&self) -> Duration {
-        self.within - self.drift_over(self.within)
+        self.agreement_bound - self.drift_over(self.agreement_bound)
     }
 
     /// Largest difference that two clocks can show over a span, with a margin of the same size.
@@ -64,43 +69,43 @@
         span * 2 * self.clock_drift_per_mille / 1000
     }
 
-    /// A server that was last seen this long ago has stopped using its version, repeatable requests included.
+    /// A server that was last seen this long ago has stopped using its version, idempotent requests included.
     pub(crate) fn activity_timeout(&self) -> Duration {
-        self.alone + self.within
+        self.isolation_limit + self.agreement_bound
     }
 
     /// Interval between two lease renewals.
     pub fn renewal_interval(&self) -> Duration {
-        self.within.mul_f64(RENEWAL_INTERVAL_OF_BOUND)
+        self.agreement_bound.mul_f64(RENEWAL_INTERVAL_OF_BOUND)
     }
 
     /// Interval between two read confirmations.
     pub fn check_interval(&self) -> Duration {
-        self.within.mul_f64(CHECK_INTERVAL_OF_BOUND)
+        self.agreement_bound.mul_f64(CHECK_INTERVAL_OF_BOUND)
     }
 
     /// Longest wait for a response.
     pub fn response_timeout(&self) -> Duration {
-        self.within.mul_f64(RESPONSE_TIMEOUT_OF_BOUND)
+        self.agreement_bound.mul_f64(RESPONSE_TIMEOUT_OF_BOUND)
     }
 
     /// Time that followers have to evaluate a proposed version.
     pub fn gather_timeout(&self) -> Duration {
-        self.within.mul_f64(GATHER_TIMEOUT_OF_BOUND)
+        self.agreement_bound.mul_f64(GATHER_TIMEOUT_OF_BOUND)
     }
 
     /// Longest duration of a Paxos round.
     pub fn round_timeout(&self) -> Duration {
-        self.within.mul_f64(ROUND_TIMEOUT_OF_BOUND)
+        self.agreement_bound.mul_f64(ROUND_TIMEOUT_OF_BOUND)
     }
 
     /// Extra delay per rank before a member begins a round.
     pub fn rank_delay(&self) -> Duration {
-        self.within.mul_f64(RANK_DELAY_OF_BOUND)
+        self.agreement_bound.mul_f64(RANK_DELAY_OF_BOUND)
     }
 
     /// Silence of a member that has lost its acceptor state.
     pub fn recovery_quarantine(&self) -> Duration {
-        self.within.mul_f64(QUARANTINE_OF_BOUND)
+        self.agreement_bound.mul_f64(QUARANTINE_OF_BOUND)
     }
 }
--- a/crates/aldercrank-consensus/tests/agreement_bound.rs
+++ b/crates/aldercrank-consensus/tests/agreement_bound.rs
@@ -223,7 +223,7 @@
     fleet.run_for(MILLISECOND * 100);
     fleet.propose(0, &version(2, &[0, 1, 2], "servers=7 restrictions"));
     fleet.run_for(SECOND * 3);
-    assert_eq!(fleet.servers_using(1), 6, "n6 may still run repeatable requests");
+    assert_eq!(fleet.servers_using(1), 6, "n6 may still run idempotent requests");
     let refusals = refusals(&fleet, 0);
     assert!(refusals[0].reason.contains("n0006 may go on against it"), "{refusals:?}");
     fleet.run_for(Duration::from_secs(63));
--- a/crates/aldercrank-consensus/tests/modelled_fleet/mod.rs
+++ b/crates/aldercrank-consensus/tests/modelled_fleet/mod.rs
@@ -175,7 +175,7 @@
                 self.violation = Some("a version went back");
             }
             self.versions_in_use[follower] = Some(number);
-            self.quotas[follower].given(self.now, quota(number, from), committed.committed_for);
+            self.quotas[follower].version_committed(self.now, quota(number, from), committed.committed_for);
         }
     }
 
@@ -276,7 +276,7 @@
                 continue;
             }
             let Some(number) = self.versions_in_use[follower] else { continue };
-            quota_sum += self.quotas[follower].share(self.now).quota;
+            quota_sum += self.quotas[follower].available(self.now).quota;
             self.first_use.entry(number).or_insert(self.now);
             let newer = self.first_use.range(number + 1..).map(|(_, first)| *first).min();
             if newer.is_some_and(|first| self.now - first > AGREEMENT_BOUND) {
--- a/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
+++ b/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
@@ -338,7 +338,7 @@
                 self.regressions.push(format!("n{index} went back to {number} at {:?}", self.now));
             }
             self.processes[index].version_in_use = Some(number);
-            self.processes[index].quota.given(now, quota, committed.committed_for);
+            self.processes[index].quota.version_committed(now, quota, committed.committed_for);
         }
         self.schedule_timer(index);
     }
@@ -462,7 +462,7 @@
             let process = &mut self.processes[index];
             let active = process.running && !process.paused;
             if active && process.follower.level(now) == PermissionLevel::Full {
-                sum += process.quota.share(now).quota;
+                sum += process.quota.available(now).quota;
             }
         }
         self.largest_quota_sum = self.largest_quota_sum.max(sum);
--- a/crates/aldercrank-protocol/src/msgpack_rpc/response.rs
+++ b/crates/aldercrank-protocol/src/msgpack_rpc/response.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResponseFields<'a> {
     /// The server's load hint, as it is written.
-    pub hint: Option<&'a str>,
+    pub load_hint: Option<&'a str>,
     /// The number of the configuration version by which the request was decided.
-    pub rules: Option<u64>,
+    pub version: Option<u64>,
 }
 
 /// The fields of a rejection alone.
@@ -35,9 +35,10 @@
     let (mut retry_digits, mut version_digits) = (itoa::Buffer::new(), itoa::Buffer::new());
     // Rounded up, so that a shorter time than a millisecond is not none.
     let retry_after = rejection.retry_after.map(|span| retry_digits.format(span.as_micros().div_ceil(1000)));
-    let version = fields.rules.map(|number| version_digits.format(number));
+    let version = fields.version.map(|number| version_digits.format(number));
     let last = rejection.last.then_some("1");
-    let all = [("hint", fields.hint), ("backoff", retry_after), ("final", last), (FIELD_VERSION, version)];
+    let all =
+        [("hint", fields.load_hint), ("backoff", retry_after), ("final", last), (FIELD_VERSION, version)];
     let _ = encode::write_map_len(output, all.iter().flat_map(|(_, value)| value).count() as u32);
     for (name, value) in all.iter().filter_map(|(name, value)| value.map(|value| (name, value))) {
         let _ = encode::write_str(output, name);
@@ -126,13 +127,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReceivedFields {
     /// The server's load hint.
-    pub hint: Option<f64>,
+    pub load_hint: Option<f64>,
     /// How long the caller should stay away.
     pub retry_after: Option<Duration>,
     /// Whether the caller should not try other servers.
-    pub last: bool,
+    pub is_final: bool,
     /// The number of the configuration version by which the request was decided.
-    pub rules: Option<u64>,
+    pub version: Option<u64>,
 }
 
 /// What an edge node does with responses and notifications.
@@ -234,10 +235,10 @@
     for _ in 0..decode::read_map_len(rest).ok()? {
         let (name, value) = (read_text(rest)?, read_text(rest)?);
         match name {
-            "hint" => fields.hint = parse_number(value),
+            "hint" => fields.load_hint = parse_number(value),
             "backoff" => fields.retry_after = value.parse().ok().map(Duration::from_millis),
-            "final" => fields.last = value == "1",
-            FIELD_VERSION => fields.rules = value.parse().ok(),
+            "final" => fields.is_final = value == "1",
+            FIELD_VERSION => fields.version = value.parse().ok(),
             _ => {}
         }
     }
--- a/crates/aldercrank-protocol/tests/golden/edge_answers.rs
+++ b/crates/aldercrank-protocol/tests/golden/edge_answers.rs
@@ -12,7 +12,7 @@
 struct EdgeReads(Vec<String>);
 
 fn beside(with: ReceivedFields) -> String {
-    let ReceivedFields { hint, retry_after, last, rules } = with;
+    let ReceivedFields { load_hint: hint, retry_after, is_final: last, version: rules } = with;
     format!("hint={hint:?} backoff={retry_after:?} final={last} rules={rules:?}")
 }
 
@@ -85,15 +85,15 @@
     })
 }
 
-const NOTHING: ResponseFields = ResponseFields { hint: None, rules: None };
-const BOTH: ResponseFields = ResponseFields { hint: Some("0.35"), rules: Some(u64::MAX) };
+const NOTHING: ResponseFields = ResponseFields { load_hint: None, version: None };
+const BOTH: ResponseFields = ResponseFields { load_hint: Some("0.35"), version: Some(u64::MAX) };
 
 fn write_results(cases: &mut Cases) {
     sent_by_server(cases, "an empty result", &result(0, b"", NOTHING));
     sent_by_server(cases, "a result with all that may go along", &result(1, b"done\x00\xff", BOTH));
-    let hint = ResponseFields { hint: Some("12"), rules: None };
+    let hint = ResponseFields { load_hint: Some("12"), version: None };
     sent_by_server(cases, "a result with a hint", &result(2, b"d", hint));
-    let rules = ResponseFields { hint: None, rules: Some(0) };
+    let rules = ResponseFields { load_hint: None, version: Some(0) };
     sent_by_server(cases, "a result with a version of the rules", &result(3, b"d", rules));
     for number in [127, 128, 255, 256, 65_535, 65_536, u32::MAX] {
         sent_by_server(cases, &format!("a result of call {number}"), &result(number, b"d", NOTHING));
--- a/crates/aldercrank-server/src/config/mod.rs
+++ b/crates/aldercrank-server/src/config/mod.rs
@@ -59,7 +59,7 @@
     /// Whether the service file asks for a log in JSON.
     pub json_log: bool,
     /// The versioned configuration, where the service file names one.
-    pub rules: Option<AgreementConfig>,
+    pub agreement: Option<AgreementConfig>,
     /// How this server starts, by the service file.
     pub start: aldercrank_service_config::Start,
     /// The settings of the admission module.
@@ -98,7 +98,7 @@
         self.start = service.start.clone();
         self.reports_longest = service.reports.max_backoff;
         if let Some(options) = &service.versioned_config {
-            self.rules = Some(self.initial_version(options)?);
+            self.agreement = Some(self.initial_version(options)?);
         }
         Ok(())
     }
--- a/crates/aldercrank-server/src/config/platform_file.rs
+++ b/crates/aldercrank-server/src/config/platform_file.rs
@@ -105,7 +105,7 @@
             seed: json.get("seed").and_then(Json::as_str).unwrap_or_default().to_string(),
             reports_longest: None,
             json_log: false,
-            rules: None,
+            agreement: None,
             start: aldercrank_service_config::Start::default(),
             listen: file.address("listen", Some("ROUTER_LISTEN"))?,
             pool: file.address("pool", None)?,
--- a/crates/aldercrank-server/src/config/reload.rs
+++ b/crates/aldercrank-server/src/config/reload.rs
@@ -49,7 +49,7 @@
             ("limits.sockets", self.sockets == new.sockets),
             ("results in the service file", self.result == new.result),
             ("reports in the service file", self.reports_longest == new.reports_longest),
-            ("rules in the service file", self.rules == new.rules),
+            ("rules in the service file", self.agreement == new.agreement),
             ("start in the service file", self.start == new.start),
             ("cores of the settings", self.cores() == new.cores()),
             ("products of the settings", self.request_classes() == new.request_classes()),
--- a/crates/aldercrank-server/src/core/configuration.rs
+++ b/crates/aldercrank-server/src/core/configuration.rs
@@ -24,9 +24,9 @@
         self.notify_ended();
     }
 
-    /// Renews the lease: everything is permitted until `full`, idempotent requests until `alone`.
-    pub fn renew_lease(&mut self, now: Duration, full: Duration, alone: Duration) {
-        self.advance_to(now).lease.renew(full, alone);
+    /// Renews the lease: everything is permitted until `full_until`, idempotent requests until `idempotent_until`.
+    pub fn renew_lease(&mut self, now: Duration, full_until: Duration, idempotent_until: Duration) {
+        self.advance_to(now).lease.renew(full_until, idempotent_until);
         self.apply_lease(now);
         self.notify_ended();
     }
--- a/crates/aldercrank-server/src/core/receive.rs
+++ b/crates/aldercrank-server/src/core/receive.rs
@@ -102,7 +102,7 @@
     }
 
     /// A connection is lost, and with it all callers on it.
-    pub fn conn_lost(&mut self, now: Duration, conn: ConnId) {
+    pub fn connection_lost(&mut self, now: Duration, conn: ConnId) {
         let first = ReplyTo { conn, call: MessageId(0) };
         while let Some((reply_to, _)) = self.admission.host.replies_owed.next(Bound::Included(&first)) {
             if reply_to.conn != conn {
--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -47,7 +47,7 @@
         let NewVersion { version, parsed, committed_for } = new;
         let before = agreement.in_force.replace(parsed.clone());
         agreement.in_force_since = now;
-        let quota = parsed.share(&agreement.context.server.0);
+        let quota = parsed.quota(&agreement.context.server.0);
         if quota.is_some() || agreement.quotas.is_some() {
             let platform = &agreement.context.platform;
             let own_limit = platform.number("family_info.calls_out").unwrap_or_default();
@@ -57,7 +57,7 @@
             let timing = &agreement.timing;
             let quotas =
                 agreement.quotas.get_or_insert_with(|| QuotaHandover::new(timing.clone(), longest_call));
-            quotas.given(now, quota.unwrap_or(own_limit), *committed_for);
+            quotas.version_committed(now, quota.unwrap_or(own_limit), *committed_for);
         }
         if let Some(committed) = agreement.follower.committed() {
             agreement.context.state_file.store_version(committed, &version.text);
@@ -110,9 +110,9 @@
             Duration::MAX => bound,
             bound => (at + bound).saturating_sub(now),
         };
-        let PermissionBounds { full_until, alone_until } = agreement.permission_bounds;
+        let PermissionBounds { full_until, idempotent_until } = agreement.permission_bounds;
         if let Some(core) = &mut self.core {
-            core.renew_lease(at, on_core_clock(full_until), on_core_clock(alone_until));
+            core.renew_lease(at, on_core_clock(full_until), on_core_clock(idempotent_until));
         }
     }
 
--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -215,7 +215,7 @@
     /// When something is due next, on the agreement's clock.
     fn next_due(&mut self, now: Duration) -> Duration {
         let member = self.member.as_ref().map(CommitteeMember::next_timeout);
-        let quota = self.quotas.as_mut().and_then(|quotas| quotas.share(now).grows_at);
+        let quota = self.quotas.as_mut().and_then(|quotas| quotas.available(now).grows_at);
         let polling = self.polling.as_ref().filter(|_| self.member.is_some()).map(VersionPolling::due);
         let others = [member, quota, polling].into_iter().flatten();
         others.fold(self.follower.next_timeout(), Duration::min)
@@ -225,7 +225,7 @@
     fn effective_settings(&mut self, now: Duration) -> Option<EffectiveSettings> {
         let version = self.in_force.as_ref()?;
         let mut settings = version.settings(&self.context.platform, &self.context.server.0);
-        let quota = self.quotas.as_mut().map(|quotas| quotas.share(now).quota);
+        let quota = self.quotas.as_mut().map(|quotas| quotas.available(now).quota);
         if let Some(quota) = quota {
             // The admission module takes zero for no limit; the core makes sure that no quota means no calls.
             settings.set("family_info.calls_out", aldercrank::Value::Number(quota.max(MIN_QUOTA)));
--- a/crates/aldercrank-server/src/net/config_agreement/status.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/status.rs
@@ -24,7 +24,7 @@
                 json!({"phase": start.phase.name(), "share": start.share, "why": start.reason.name()})
             }),
             "text": self.follower.version().map(|version| &*version.text),
-            "agree_within_ms": millis(self.timing.within),
+            "agree_within_ms": millis(self.timing.agreement_bound),
         });
         status.to_string()
     }
--- a/crates/aldercrank-server/src/net/edge_closing.rs
+++ b/crates/aldercrank-server/src/net/edge_closing.rs
@@ -162,7 +162,7 @@
     /// Notifies the core that no caller waits on a connection any more.
     fn connection_lost(&mut self, now: Duration, conn: ConnId) {
         if let Some(core) = &mut self.core {
-            core.conn_lost(now, conn);
+            core.connection_lost(now, conn);
         }
     }
 }
--- a/crates/aldercrank-server/src/net/edge_connections.rs
+++ b/crates/aldercrank-server/src/net/edge_connections.rs
@@ -144,7 +144,7 @@
     /// How long the peer has to close; shorter where this server has less time left.
     close_timeout: Duration,
     /// The advertised load hint as it is written.
-    hint: Option<String>,
+    load_hint: Option<String>,
     /// Connections to which output was added in this turn.
     flush_queue: Vec<ConnId>,
 }
@@ -178,7 +178,7 @@
 
     /// Sets the load hint that accompanies answers from now on.
     pub(super) fn set_hint(&mut self, value: f64) {
-        self.hint = Some(value.to_string());
+        self.load_hint = Some(value.to_string());
     }
 
     /// Called after a read: tells whether complete messages were received, and restarts or clears the message timeout.
@@ -317,7 +317,7 @@
         write: impl FnOnce(&mut OutputBuffer, ResponseFields),
     ) {
         let Some(edge) = self.connections.get_mut(Slot(conn.0)) else { return };
-        let fields = ResponseFields { hint: self.hint.as_deref(), rules: version };
+        let fields = ResponseFields { load_hint: self.load_hint.as_deref(), version };
         write(&mut edge.connection.output, fields);
         if !std::mem::replace(&mut edge.flush_queued, true) {
             self.flush_queue.push(conn);
--- a/crates/aldercrank-server/src/net/startup.rs
+++ b/crates/aldercrank-server/src/net/startup.rs
@@ -148,7 +148,7 @@
         listener_token: RegistrationToken,
     ) -> Server {
         let agreement = config
-            .rules
+            .agreement
             .as_ref()
             .map(|agreement| Box::new(ConfigAgreement::new(&config, agreement, net.event_loop.clone())));
         let socket_settings = SocketSettings::new(&config.settings);
--- a/crates/aldercrank-server/tests/suite/codecs.rs
+++ b/crates/aldercrank-server/tests/suite/codecs.rs
@@ -180,7 +180,7 @@
     plain.extend([1, 2, 255]);
     msgpack_rpc::write_completed_end(&mut plain, msgpack_rpc::ResponseFields::default());
     assert_eq!(plain, [0x94, 1, 7, 0xc0, 0x92, 0xc4, 3, 1, 2, 255, 0x80]);
-    let fields = msgpack_rpc::ResponseFields { hint: Some("0.85"), rules: None };
+    let fields = msgpack_rpc::ResponseFields { load_hint: Some("0.85"), version: None };
     msgpack_rpc::write_rejected(&mut full, MessageId(300), fields, Some(Duration::from_micros(1200)), true);
     let mut expected = vec![0x94, 1, 0xcd, 1, 44, 0x92, 0xaa];
     expected.extend(b"Overloaded\x83\xa4hint\xa40.85\xa7backoff\xa12\xa5final\xa11\xc0");
--- a/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
@@ -58,9 +58,9 @@
             0 => core.caller_gone(now, reply_to),
             1 => {
                 core.call_needed(now, attempt, NoticeNumber(u64::from(n)), b"ask");
-                core.conn_lost(now, reply_to.conn);
+                core.connection_lost(now, reply_to.conn);
             }
-            2 => core.conn_lost(now, reply_to.conn),
+            2 => core.connection_lost(now, reply_to.conn),
             _ => {}
         }
         core.run_ended(now, attempt, Outcome::Completed, MS, Payload::Transient(b"r"));
@@ -78,7 +78,7 @@
         receive(&mut core, now, attempt, reply_to);
     }
     assert!(core.requests_in_flight() > 8);
-    core.conn_lost(now, ConnId(7));
+    core.connection_lost(now, ConnId(7));
     // The pool ends what runs; nothing is queued, and no response is owed.
     for n in 0..500u32 {
         let attempt = AttemptId::new(&format!("{:016x}", 200_000 + n)).unwrap();
--- a/crates/aldercrank-server/tests/suite/core/requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/requests.rs
@@ -87,7 +87,7 @@
         .iter_mut()
         .filter(|(reply_to, _)| reply_to.conn == ConnId(1))
         .for_each(|(_, record)| record.caller_gone = true);
-    scenario.core.conn_lost(now, ConnId(1));
+    scenario.core.connection_lost(now, ConnId(1));
     let open = replies_owed.iter().filter(|to| to.conn != ConnId(1) && scenario.responses(**to) == 0).count();
     assert_eq!(scenario.core.responses_owed(), open);
     scenario.core.drain(now, now + MS * 1500);
--- a/crates/aldercrank-server/tests/suite/crossings.rs
+++ b/crates/aldercrank-server/tests/suite/crossings.rs
@@ -1,5 +1,5 @@
 //! Pairs of events that cross, each forced into its unfavourable order: the process is suspended while both are queued,
-//! or a stub controls the other end. docs/crossings.md has the table that these tests belong to.
+//! or a stub controls the other end. docs/concurrent-events.md has the table that these tests belong to.
 
 use crate::codecs::check;
 use crate::harness::{
--- a/crates/aldercrank-server/tests/suite/golden_config.rs
+++ b/crates/aldercrank-server/tests/suite/golden_config.rs
@@ -43,7 +43,7 @@
 }
 
 fn versioned_config(config: &Config) -> String {
-    let Some(rules) = &config.rules else { return "  rules: none\n".to_string() };
+    let Some(rules) = &config.agreement else { return "  rules: none\n".to_string() };
     let mut lines =
         format!("  rules: version {} ({})\n", rules.initial_version.number, rules.initial_version.digest());
     writeln!(lines, "  rules: dir {}, read-list {}", or_none(rules.state_dir.as_ref()), rules.read_proposals)
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -40,7 +40,7 @@
 fn beside(with: ReceivedFields) -> String {
     format!(
         "hint {:?}, backoff {:?}, final {}, rules {:?}",
-        with.hint, with.retry_after, with.last, with.rules
+        with.load_hint, with.retry_after, with.is_final, with.version
     )
 }
 
@@ -156,7 +156,7 @@
         proposed: Some(version(10)),
     };
     let plain = ResponseFields::default();
-    let full = ResponseFields { hint: Some("0.85"), rules: Some(8) };
+    let full = ResponseFields { load_hint: Some("0.85"), version: Some(8) };
     whole(&mut out, "response Fine", &response(1, &pack(&PeerResponse::Acknowledged), plain), read_as_caller);
     whole(
         &mut out,
--- a/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -33,7 +33,7 @@
 impl TestCluster<'_> {
     /// Writes the first version and opens the relays, where the scenario has a versioned configuration.
     pub(super) fn prepare_versions(&mut self) -> io::Result<()> {
-        let Some(settings) = self.scenario.rules.clone() else { return Ok(()) };
+        let Some(settings) = self.scenario.versioned_config.clone() else { return Ok(()) };
         let addresses: Vec<SocketAddr> = self.servers.iter().map(|server| server.addresses.listen).collect();
         let newest = genesis(self.scenario, &settings, &addresses)?;
         let relay_addresses = self.open_relays(settings.committee)?;
@@ -110,7 +110,7 @@
     pub(super) fn relay_bytes(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
         let Some(versions) = &mut self.versions else { return };
         versions.peer_messages += 1;
-        self.testbed.record.second(now).words += 1;
+        self.testbed.record.second(now).peer_messages += 1;
         if let Some(&other) = versions.relay_partners.get(&conn) {
             self.testbed.send_to_process(now, other, bytes);
         }
--- a/crates/aldercrank-test-cluster/src/cluster/connections.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/connections.rs
@@ -117,7 +117,7 @@
 
     /// Whether the scenario injects this violation and has not done so yet.
     pub(super) fn violation_is_pending(&self, kind: InjectedViolation) -> bool {
-        self.scenario.sabotage == Some(kind) && !self.violation_injected
+        self.scenario.injected_violation == Some(kind) && !self.violation_injected
     }
 
     /// The same, once the callers have begun long enough before.
@@ -128,7 +128,7 @@
 
     /// Changes the bytes to an edge node by an injected violation, once; `None` if they stay as they are.
     fn inject_into_response(&mut self, now: Duration, bytes: &[u8]) -> Option<Vec<u8>> {
-        let kind = self.scenario.sabotage.filter(|kind| self.may_inject(*kind, now))?;
+        let kind = self.scenario.injected_violation.filter(|kind| self.may_inject(*kind, now))?;
         let attempt_id = attempt_id_range(bytes)?;
         let mut changed = bytes.to_vec();
         match kind {
--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -72,7 +72,7 @@
         }
         let until = if step.lasts.is_some() { until } else { now + UNENDING };
         match &step.fault {
-            Fault::Kill | Fault::Leave | Fault::Pause | Fault::InvalidConfig | Fault::InvalidStart => {
+            Fault::Kill | Fault::Shutdown | Fault::Pause | Fault::InvalidConfig | Fault::InvalidStart => {
                 self.begin_process_fault(now, &step.fault, number, until)
             }
             Fault::CorruptLink { remote, to_server, from_server } => {
@@ -110,7 +110,7 @@
                     self.server(number).killed = true;
                 }
             }
-            Fault::Leave => {
+            Fault::Shutdown => {
                 self.server(number).restarts = true;
                 self.request_shutdown(now, number);
             }
@@ -244,7 +244,9 @@
                 self.testbed.membership.set_state(now, MembershipState::Up);
                 self.set_all_accept(RemoteEndpoint::MembershipService, Accepts::Yes)?;
             }
-            Fault::MembershipCapacity(_) => self.testbed.membership.set_capacity(self.scenario.list_capacity),
+            Fault::MembershipCapacity(_) => {
+                self.testbed.membership.set_capacity(self.scenario.membership_capacity)
+            }
             Fault::MembershipWrong => self.testbed.wrong_membership = false,
             Fault::MembershipStale(_) => self.testbed.extra_membership_lag = Duration::ZERO,
             Fault::ArrivalRate(_) => self.arrival_rate = self.scenario.callers.rate,
--- a/crates/aldercrank-test-cluster/src/cluster/finish.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/finish.rs
@@ -35,15 +35,15 @@
             servers: self.servers.len(),
             span_s: self.scenario.span.as_secs_f64(),
             value: record.value(),
-            inquiry: record.inquiry(),
+            idempotent_value: record.idempotent_value(),
             classes: record.by_class(),
             ends: record.ends.clone(),
-            poorer: record.poorer,
+            degraded: record.degraded,
             p50_ms: record.quantile(0.5),
             p99_ms: record.quantile(0.99),
             counts: checker.counts,
-            broken: checker.violations.clone(),
-            list: self.totals.membership_load,
+            violations: checker.violations.clone(),
+            membership: self.totals.membership_load,
             index_most: self.index.most_open_calls,
             memory_kb: self.totals.peak_memory_kb,
             descriptors: self.totals.descriptors,
@@ -59,7 +59,7 @@
             steady_s: record.steady(STEADY_SHARE),
             least_steady_s: self.least_steady_seconds(),
             crowded: self.most_crowded(),
-            agree: version_figures,
+            version_figures,
             by_server: idempotent_counts.map(|counts| (counts.attempts, counts.completed)).collect(),
             servers_cpu_s: self.totals.servers_cpu.as_secs_f64(),
         })
@@ -73,7 +73,7 @@
             self.testbed.checker.record_violation(violation.at, Rule::Fence, None, server, violation.what);
         }
         let mut figures = versions.checker.finish();
-        figures.words = versions.peer_messages;
+        figures.peer_messages = versions.peer_messages;
         figures.reads = versions.store.reads;
         figures.read_bytes = versions.store.read_bytes;
         Some(figures)
@@ -82,7 +82,7 @@
     /// The soonest that all servers could be listed and seen by edge nodes, and the index warm, in seconds.
     fn least_steady_seconds(&self) -> f64 {
         let (scenario, index) = (self.scenario, &self.scenario.index);
-        let listed = scenario.fleet.servers as f64 / scenario.list_capacity
+        let listed = scenario.fleet.servers as f64 / scenario.membership_capacity
             + scenario.callers.membership_lag.as_secs_f64();
         let mean_call = index.call_duration.as_secs_f64() * (1.0 + index.cold_slowdown) / 2.0;
         let warm_by_slots = f64::from(index.warming) * mean_call / index.slots;
--- a/crates/aldercrank-test-cluster/src/cluster/prepare.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/prepare.rs
@@ -1,7 +1,7 @@
 //! Prepares a run before anything is started: checks descriptor limits, chooses addresses, opens listeners.
 
 use super::state::{RunOptions, RunTotals, ServerState, TestCluster};
-use crate::config::Places;
+use crate::config::ServerAddresses;
 use crate::edge_nodes::{self, EdgeNodes};
 use crate::ids::{Incarnation, RemoteEndpoint, ServerNo};
 use crate::index_stub::IndexStub;
@@ -124,7 +124,7 @@
     Testbed::new(
         InvariantChecker::new(settings),
         RunRecord::new(classes, keeps_trace),
-        MembershipStub::new(scenario.list_capacity),
+        MembershipStub::new(scenario.membership_capacity),
         scenario.callers.membership_lag,
         scenario.fleet.servers,
         RandomStream::of(scenario.seed, "links"),
@@ -194,7 +194,12 @@
         let membership = self.listen_for(number, RemoteEndpoint::MembershipService)?;
         self.testbed.server_addresses.push(listen);
         Ok(ServerState {
-            addresses: Places { listen, pool: pool.address, index: index.address, list: membership.address },
+            addresses: ServerAddresses {
+                listen,
+                pool: pool.address,
+                index: index.address,
+                membership: membership.address,
+            },
             process: None,
             pool: self.new_pool(Duration::ZERO, self.scenario.fleet.starts_cold, Duration::ZERO),
             link: None,
--- a/crates/aldercrank-test-cluster/src/cluster/run.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/run.rs
@@ -104,7 +104,7 @@
         let later = membership.connection_peaks(began + STABILIZATION_TIME, end);
         let load = &mut self.totals.membership_load;
         load.connections = membership.connections.len() as u64;
-        load.refused = membership.reports.iter().filter(|report| !report.accepted).count() as u64;
+        load.rejected = membership.reports.iter().filter(|report| !report.accepted).count() as u64;
         load.parts = self.testbed.record.seconds.iter().map(|second| second.parts).sum();
         (load.most_tenth, load.most_second) = (all.per_tenth, all.per_second);
         (load.later_tenth, load.later_second) = (later.per_tenth, later.per_second);
--- a/crates/aldercrank-test-cluster/src/cluster/sample.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/sample.rs
@@ -32,7 +32,7 @@
         let new_call_seconds = call_seconds - std::mem::replace(&mut self.index_call_seconds, call_seconds);
         let second = self.testbed.record.second(now);
         (second.up, second.listed) = (running, listed_count);
-        second.in_hand += new_call_seconds;
+        second.outstanding_calls += new_call_seconds;
     }
 
     fn sample_scheduling_delay(&mut self, now: Duration) {
@@ -130,7 +130,7 @@
             return;
         }
         let complete = &seconds[seconds.len() - 1 - window..seconds.len() - 1];
-        let mean = complete.iter().map(|second| second.in_hand).sum::<f64>() / window as f64;
+        let mean = complete.iter().map(|second| second.outstanding_calls).sum::<f64>() / window as f64;
         let injects = self.violation_is_pending(InjectedViolation::Overrun);
         let limit = if injects { 0.0 } else { self.index.settings().limit };
         if mean > limit {
@@ -152,8 +152,8 @@
             second.up,
             second.listed,
             second.reports,
-            second.in_hand,
-            self.testbed.checker.counts.broken,
+            second.outstanding_calls,
+            self.testbed.checker.counts.violations,
             ends.join(", ")
         );
     }
--- a/crates/aldercrank-test-cluster/src/cluster/state.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/state.rs
@@ -1,13 +1,13 @@
 //! The state of a test cluster during a run.
 
-use crate::config::Places;
+use crate::config::ServerAddresses;
 use crate::config_store_stub::ConfigStoreStub;
 use crate::edge_nodes::EdgeNodes;
 use crate::ids::{ConnNo, Incarnation, RemoteEndpoint, ServerNo};
 use crate::index_stub::IndexStub;
 use crate::process::{Process, Program};
 use crate::random::RandomStream;
-use crate::run_record::ListLoad;
+use crate::run_record::MembershipLoad;
 use crate::scenario::{Scenario, VersionedConfigSettings};
 use crate::sockets::PortNo;
 use crate::testbed::{RelayId, Testbed};
@@ -79,7 +79,7 @@
 
 /// A server of a test cluster.
 pub(super) struct ServerState {
-    pub(super) addresses: Places,
+    pub(super) addresses: ServerAddresses,
     pub(super) process: Option<Process>,
     pub(super) pool: WorkerPoolStub,
     /// The server's current link to its pool.
@@ -132,7 +132,7 @@
     pub(super) starts: u32,
     /// Until all servers were listed for the first time.
     pub(super) start_duration: Duration,
-    pub(super) membership_load: ListLoad,
+    pub(super) membership_load: MembershipLoad,
     /// The servers that are listed.
     pub(super) listed: BTreeSet<ServerNo>,
     /// CPU time of the test cluster while requests arrived.
--- a/crates/aldercrank-test-cluster/src/cluster/stub_services.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/stub_services.rs
@@ -145,7 +145,7 @@
         let second = self.testbed.record.second(now);
         second.reports += 1;
         second.parts += u64::from(offers_part);
-        second.refused_reports += u64::from(answer == ReportAnswer::Rejected);
+        second.rejected_reports += u64::from(answer == ReportAnswer::Rejected);
         match answer {
             ReportAnswer::AcceptedAt(at) => self.testbed.set_timer(at, Timer::MembershipService),
             ReportAnswer::Rejected => {
--- a/crates/aldercrank-test-cluster/src/config.rs
+++ b/crates/aldercrank-test-cluster/src/config.rs
@@ -18,7 +18,7 @@
 
 /// The addresses of a server and of its neighbours.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct ServerAddresses {
     /// Where it listens.
     pub listen: SocketAddr,
     /// Its worker pool.
@@ -26,7 +26,7 @@
     /// The index.
     pub index: SocketAddr,
     /// The membership service.
-    pub list: SocketAddr,
+    pub membership: SocketAddr,
 }
 
 /// Where a server reaches a committee member.
@@ -59,7 +59,7 @@
 }
 
 /// The JSON configuration of a server. `cold`: its worker pool starts cold.
-pub fn config(scenario: &Scenario, server: ServerNo, cold: bool, addresses: &Places) -> Value {
+pub fn config(scenario: &Scenario, server: ServerNo, cold: bool, addresses: &ServerAddresses) -> Value {
     let fleet = &scenario.fleet;
     let classes: Vec<Value> = scenario.classes.iter().map(class_settings).collect();
     let makes_calls: Vec<bool> = scenario.classes.iter().map(|class| class.call_probability > 0.0).collect();
@@ -67,7 +67,7 @@
     let zones: Vec<String> = (0..fleet.zones).map(zone_name).collect();
     json!({
         "name": server.to_string(), "listen": addresses.listen, "pool": addresses.pool,
-        "members": addresses.list, "index": addresses.index,
+        "members": addresses.membership, "index": addresses.index,
         "seed": format!("{:x}", scenario.seed), "stop_ms": fleet.stop_timeout.as_millis() as u64,
         "limits": {"cores": 1.0, "memory_mb": fleet.process_memory_mb, "sockets": fleet.max_sockets},
         "settings": {
--- a/crates/aldercrank-test-cluster/src/edge_nodes/responses.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/responses.rs
@@ -102,7 +102,7 @@
                 let Some(call) = self.answer_received(now, reply_to, Answer::Rejected, fields, host) else {
                     return;
                 };
-                let is_final = fields.last && self.policy.follows_advice;
+                let is_final = fields.is_final && self.policy.follows_advice;
                 if self.is_current(call.request, reply_to) {
                     self.request(call.request).end_without_retry = RequestEnd::Rejected;
                     if is_final {
@@ -139,7 +139,7 @@
         host: &mut impl EdgeHost,
     ) -> Option<ClosedCall> {
         let server = self.connections.get(&reply_to.conn)?.server;
-        host.answer_received(now, server, reply_to, answer, fields.rules);
+        host.answer_received(now, server, reply_to, answer, fields.version);
         let call = self.close_call(now, reply_to)?;
         self.note_advice(now, call.edge, call.server, fields);
         Some(call)
@@ -147,7 +147,7 @@
 
     fn note_advice(&mut self, now: Duration, edge: EdgeNo, server: ServerNo, fields: ReceivedFields) {
         let known = self.known_server(edge, server);
-        (known.stay_probability, known.failed_at) = (fields.hint.or(known.stay_probability), None);
+        (known.stay_probability, known.failed_at) = (fields.load_hint.or(known.stay_probability), None);
         if let Some(retry_after) = fields.retry_after {
             known.avoided_until = known.avoided_until.max(now + retry_after);
         }
--- a/crates/aldercrank-test-cluster/src/fault_search.rs
+++ b/crates/aldercrank-test-cluster/src/fault_search.rs
@@ -24,18 +24,18 @@
 
 /// What the faults are injected into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Game {
+pub enum SearchTarget {
     /// Servers without a versioned configuration.
     Servers,
     /// Servers with a versioned configuration.
-    Rules,
+    Versions,
 }
 
-impl Game {
+impl SearchTarget {
     fn base(self) -> &'static str {
         match self {
-            Game::Servers => SERVERS_BASE,
-            Game::Rules => VERSIONS_BASE,
+            SearchTarget::Servers => SERVERS_BASE,
+            SearchTarget::Versions => VERSIONS_BASE,
         }
     }
 }
@@ -46,14 +46,14 @@
     /// The seed.
     pub seed: u64,
     /// What the faults are injected into.
-    pub game: Game,
+    pub target: SearchTarget,
 }
 
 impl SearchStart {
     /// The document of a scenario with these steps.
     fn document(self, steps: &[String]) -> String {
-        let SearchStart { seed, game } = self;
-        let base = game.base();
+        let SearchStart { seed, target } = self;
+        let base = target.base();
         let mut text = format!("// Found by a hunt.\nname \"found with seed {seed}\"\nseed {seed}\n{base}");
         for step in steps {
             text += step;
@@ -71,15 +71,15 @@
     /// Its value, as a share of that without faults.
     pub of_calm: f64,
     /// How many violations there were.
-    pub broken: u64,
+    pub violations: u64,
     /// The first violations.
     pub what: Vec<String>,
 }
 
 /// A random step for servers without a versioned configuration, or one in three with it, as a line of a document.
-fn random_step(random: &mut RandomStream, game: Game) -> String {
+fn random_step(random: &mut RandomStream, target: SearchTarget) -> String {
     let at = 0.5 + (random.unit() * 30.0).round() / 10.0;
-    if game == Game::Rules && random.chance(0.7) {
+    if target == SearchTarget::Versions && random.chance(0.7) {
         let later = (random.unit() * 20.0).round() / 10.0;
         return random_version_step(random, at + later);
     }
@@ -163,9 +163,9 @@
     let scenario = Scenario::parse(&text).map_err(|errors| invalid_document(&errors))?;
     let outcome = play(&scenario)?;
     let of_calm = outcome.value / calm.value.max(1e-9);
-    let violations = outcome.broken.iter();
+    let violations = outcome.violations.iter();
     let what = violations.map(|violation| format!("{:?}: {}", violation.rule, violation.what)).collect();
-    Ok(Found { text, of_calm, broken: outcome.counts.broken, what })
+    Ok(Found { text, of_calm, violations: outcome.counts.violations, what })
 }
 
 /// Removes each step without which the timeline stays nearly as bad.
@@ -181,8 +181,8 @@
         let mut fewer = steps.clone();
         fewer.remove(index);
         let shrunk = play_steps(start, &fewer, calm, play)?;
-        let is_as_bad = if found.broken > 0 {
-            shrunk.broken > 0
+        let is_as_bad = if found.violations > 0 {
+            shrunk.violations > 0
         } else {
             shrunk.of_calm <= found.of_calm + SHRINK_TOLERANCE
         };
@@ -197,7 +197,8 @@
 
 /// Keeps the worst: those with violations first, then those with the least value.
 pub fn rank(findings: &mut Vec<Found>) {
-    findings.sort_by(|a, b| (a.broken == 0).cmp(&(b.broken == 0)).then(a.of_calm.total_cmp(&b.of_calm)));
+    findings
+        .sort_by(|a, b| (a.violations == 0).cmp(&(b.violations == 0)).then(a.of_calm.total_cmp(&b.of_calm)));
     findings.truncate(MAX_FINDINGS);
 }
 
@@ -219,20 +220,20 @@
         let start = SearchStart { seed, ..start };
         let mut random = RandomStream::of(seed, "hunt");
         let count = 1 + random.below(MAX_STEPS);
-        let steps: Vec<String> = (0..count).map(|_| random_step(&mut random, start.game)).collect();
+        let steps: Vec<String> = (0..count).map(|_| random_step(&mut random, start.target)).collect();
         let calm = play(&Scenario::parse(&start.document(&[])).map_err(|errors| invalid_document(&errors))?)?;
         let found = play_steps(start, &steps, &calm, play)?;
         report(&format!(
             "seed {seed}: {count} steps, value {:.3} of calm, {} rules broken{}",
             found.of_calm,
-            found.broken,
+            found.violations,
             found.what.iter().take(3).map(|what| format!("\n    {what}")).collect::<String>()
         ));
-        if found.broken > 0 || found.of_calm < FINDING_SHARE {
+        if found.violations > 0 || found.of_calm < FINDING_SHARE {
             let shrunk = shrink(start, steps, found, &calm, play)?;
             report(&format!(
                 "shrunk, value {:.3} of calm, {} broken:\n{}",
-                shrunk.of_calm, shrunk.broken, shrunk.text
+                shrunk.of_calm, shrunk.violations, shrunk.text
             ));
             findings.push(shrunk);
             rank(&mut findings);
--- a/crates/aldercrank-test-cluster/src/invariant_checker/checker.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/checker.rs
@@ -107,7 +107,7 @@
         server: Option<ServerNo>,
         what: impl Into<String>,
     ) {
-        self.counts.broken += 1;
+        self.counts.violations += 1;
         if self.violations.len() < MAX_KEPT_VIOLATIONS {
             let attempt = attempt.map(|attempt| attempt.to_string());
             let server = server.map(|server| server.to_string());
--- a/crates/aldercrank-test-cluster/src/invariant_checker/violation.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/violation.rs
@@ -58,5 +58,6 @@
     /// can prevent.
     pub across: u64,
     /// Violations.
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub violations: u64,
 }
--- a/crates/aldercrank-test-cluster/src/report.rs
+++ b/crates/aldercrank-test-cluster/src/report.rs
@@ -199,7 +199,7 @@
             unit: "reports a second",
             series: vec![
                 Series::new("reports", |second| second.reports as f64),
-                Series::new("of them rejected", |second| second.refused_reports as f64),
+                Series::new("of them rejected", |second| second.rejected_reports as f64),
             ],
         },
         PlotSpec {
@@ -212,7 +212,7 @@
             title: "Outstanding calls at the index",
             caption: "On average, of all servers together.",
             unit: "calls",
-            series: vec![Series::new("outstanding calls", |second| second.in_hand)],
+            series: vec![Series::new("outstanding calls", |second| second.outstanding_calls)],
         },
         PlotSpec {
             title: "Servers",
--- a/crates/aldercrank-test-cluster/src/run_record.rs
+++ b/crates/aldercrank-test-cluster/src/run_record.rs
@@ -32,15 +32,18 @@
     /// Load reports.
     pub reports: u64,
     /// Load reports that were rejected.
-    pub refused_reports: u64,
+    #[serde(rename = "refused_reports")]
+    pub rejected_reports: u64,
     /// Load reports by which a server offers a part of its capacity.
     pub parts: u64,
     /// Open calls at the index, on average.
-    pub in_hand: f64,
+    #[serde(rename = "in_hand")]
+    pub outstanding_calls: f64,
     /// Calls to the index.
     pub calls: u64,
     /// Messages between servers.
-    pub words: u64,
+    #[serde(rename = "words")]
+    pub peer_messages: u64,
 }
 
 /// A line of the trace: what crossed the wire, or what the test cluster did.
@@ -85,7 +88,7 @@
     /// How requests ended.
     pub ends: BTreeMap<RequestEnd, u64>,
     /// Requests that were completed with a result that was made without its call.
-    pub poorer: u64,
+    pub degraded: u64,
     /// In microseconds.
     response_times: Histogram<u64>,
     /// The trace, if it is kept.
@@ -100,7 +103,7 @@
             begun: None,
             seconds: Vec::new(),
             ends: BTreeMap::new(),
-            poorer: 0,
+            degraded: 0,
             response_times: Histogram::new(RESPONSE_TIME_DIGITS).expect("the digits are in range"),
             trace: keeps_trace.then(Vec::new),
         }
@@ -138,7 +141,7 @@
             _ => 0.0,
         };
         let got = if request.degraded { got * class.degraded_share } else { got };
-        self.poorer += u64::from(request.degraded);
+        self.degraded += u64::from(request.degraded);
         if matches!(end, RequestEnd::InTime | RequestEnd::Late) {
             // The histogram resizes itself, so that no time is out of its range.
             let _ = self.response_times.record((now - request.arrived_at).as_micros() as u64);
@@ -196,7 +199,7 @@
     }
 
     /// The same, of idempotent classes.
-    pub fn inquiry(&self) -> f64 {
+    pub fn idempotent_value(&self) -> f64 {
         self.value_of(|class| class.effect == Effect::Idempotent)
     }
 
@@ -214,11 +217,12 @@
 
 /// The load on the membership service.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct ListLoad {
+pub struct MembershipLoad {
     /// Connections, until the callers ended.
     pub connections: u64,
     /// Load reports that were not accepted.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// The most connections in any tenth of a second.
     pub most_tenth: usize,
     /// The most connections in any second.
@@ -249,13 +253,15 @@
     /// The value that was got, as a share of what was sought.
     pub value: f64,
     /// The same, of idempotent classes.
-    pub inquiry: f64,
+    #[serde(rename = "inquiry")]
+    pub idempotent_value: f64,
     /// The same, by class.
     pub classes: Vec<(String, f64)>,
     /// How requests ended.
     pub ends: BTreeMap<RequestEnd, u64>,
     /// Requests that were completed with a result that was made without its call.
-    pub poorer: u64,
+    #[serde(rename = "poorer")]
+    pub degraded: u64,
     /// The median response time of completed requests.
     pub p50_ms: f64,
     /// The 99th percentile of the response times of completed requests.
@@ -263,9 +269,11 @@
     /// Counts of what crossed the wire.
     pub counts: Counts,
     /// The first violations.
-    pub broken: Vec<Violation>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<Violation>,
     /// The load on the membership service.
-    pub list: ListLoad,
+    #[serde(rename = "list")]
+    pub membership: MembershipLoad,
     /// The most open calls at the index.
     pub index_most: usize,
     /// The most memory of a server's process.
@@ -298,7 +306,8 @@
     /// The most that one server completed in a second, as a multiple of the mean of the servers.
     pub crowded: f64,
     /// Figures of the versioned configuration, if there is one.
-    pub agree: Option<Figures>,
+    #[serde(rename = "agree")]
+    pub version_figures: Option<Figures>,
     /// By server: attempts of idempotent requests, and how many of them were completed.
     pub by_server: Vec<(u64, u64)>,
     /// CPU seconds of the servers' processes while requests arrived.
--- a/crates/aldercrank-test-cluster/src/scenario/bounds.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/bounds.rs
@@ -10,15 +10,15 @@
     /// The least value, as a share of that of the same seed without faults.
     pub of_calm: Option<f64>,
     /// The same, of idempotent classes alone.
-    pub inquiry_of_calm: Option<f64>,
+    pub idempotent_of_calm: Option<f64>,
     /// The most runs of requests on a further server or incarnation.
     pub across: Option<u64>,
     /// The most connections to the membership service in any second, as a share of its capacity in a second.
-    pub list_second: Option<f64>,
+    pub membership_per_second: Option<f64>,
     /// The same, in any tenth of a second.
-    pub list_tenth: Option<f64>,
+    pub membership_per_tenth: Option<f64>,
     /// The most load reports that the membership service rejects.
-    pub list_refused: Option<u64>,
+    pub membership_rejected: Option<u64>,
     /// By when all servers are listed, since the first start.
     pub listed_by: Option<Duration>,
     /// The least configuration versions that some server acted by.
@@ -28,7 +28,7 @@
     /// The same of the other versions.
     pub fenced_p99_ms: Option<f64>,
     /// The least share of idempotent attempts that cut-off servers complete, of that without faults.
-    pub cut_inquiry_of_calm: Option<f64>,
+    pub cut_off_idempotent_of_calm: Option<f64>,
     /// The most open calls at the index at any moment.
     pub index_most: Option<u64>,
     /// The most collapses of the index.
--- a/crates/aldercrank-test-cluster/src/scenario/defaults.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/defaults.rs
@@ -100,13 +100,13 @@
                 cold_slowdown: 4.0,
                 warming: 400,
             },
-            list_capacity: 400.0,
-            rules: None,
+            membership_capacity: 400.0,
+            versioned_config: None,
             start: Start::default(),
             from_start: false,
             timeline: Vec::new(),
             bounds: Bounds::default(),
-            sabotage: None,
+            injected_violation: None,
         }
     }
 }
--- a/crates/aldercrank-test-cluster/src/scenario/model.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/model.rs
@@ -138,9 +138,9 @@
     /// The index.
     pub index: IndexSettings,
     /// Load reports that the membership service can take in a second.
-    pub list_capacity: f64,
+    pub membership_capacity: f64,
     /// The versioned configuration, if the servers have one.
-    pub rules: Option<VersionedConfigSettings>,
+    pub versioned_config: Option<VersionedConfigSettings>,
     /// How servers start, by their service file.
     pub start: Start,
     /// Callers and timeline begin with the first start, not once all servers are listed.
@@ -150,7 +150,7 @@
     /// What must hold.
     pub bounds: Bounds,
     /// The injected violation, if any.
-    pub sabotage: Option<InjectedViolation>,
+    pub injected_violation: Option<InjectedViolation>,
 }
 
 impl Scenario {
@@ -173,7 +173,13 @@
     /// The same scenario without faults, and so without bounds.
     pub fn calm(&self) -> Scenario {
         let name = format!("{}, without faults", self.name);
-        Scenario { name, timeline: Vec::new(), bounds: Bounds::default(), sabotage: None, ..self.clone() }
+        Scenario {
+            name,
+            timeline: Vec::new(),
+            bounds: Bounds::default(),
+            injected_violation: None,
+            ..self.clone()
+        }
     }
 }
 
--- a/crates/aldercrank-test-cluster/src/scenario/read.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/read.rs
@@ -168,7 +168,7 @@
 
     fn read_membership(&mut self, properties: &mut NodeProperties) {
         let callers = &mut self.callers;
-        set(&mut self.list_capacity, properties.number("capacity", 0.1, 1e6));
+        set(&mut self.membership_capacity, properties.number("capacity", 0.1, 1e6));
         set(&mut callers.membership_lag, properties.number("lag-ms", 0.0, 20_000.0).map(milliseconds));
         let refresh = properties.number("learn-ms", 10.0, 20_000.0);
         set(&mut callers.membership_refresh, refresh.map(milliseconds));
@@ -178,15 +178,18 @@
         let bounds = &mut self.bounds;
         set_some(&mut bounds.value, properties.number("value", 0.0, 1.0));
         set_some(&mut bounds.of_calm, properties.number("of-calm", 0.0, 2.0));
-        set_some(&mut bounds.inquiry_of_calm, properties.number("inquiry-of-calm", 0.0, 2.0));
-        set_some(&mut bounds.list_second, properties.number("list-second", 0.0, 1e6));
-        set_some(&mut bounds.list_tenth, properties.number("list-tenth", 0.0, 1e6));
-        set_some(&mut bounds.list_refused, properties.number("list-refused", 0.0, 1e9).map(|n| n as u64));
+        set_some(&mut bounds.idempotent_of_calm, properties.number("inquiry-of-calm", 0.0, 2.0));
+        set_some(&mut bounds.membership_per_second, properties.number("list-second", 0.0, 1e6));
+        set_some(&mut bounds.membership_per_tenth, properties.number("list-tenth", 0.0, 1e6));
+        set_some(
+            &mut bounds.membership_rejected,
+            properties.number("list-refused", 0.0, 1e9).map(|n| n as u64),
+        );
         set_some(&mut bounds.listed_by, properties.number("listed-by", 0.0, 86_400.0).map(seconds));
         set_some(&mut bounds.acted, properties.number("acted", 0.0, 1e9).map(|n| n as u64));
         set_some(&mut bounds.free_p99_ms, properties.number("free-p99-ms", 0.0, 1e6));
         set_some(&mut bounds.fenced_p99_ms, properties.number("fenced-p99-ms", 0.0, 1e6));
-        set_some(&mut bounds.cut_inquiry_of_calm, properties.number("cut-inquiry-of-calm", 0.0, 2.0));
+        set_some(&mut bounds.cut_off_idempotent_of_calm, properties.number("cut-inquiry-of-calm", 0.0, 2.0));
         set_some(&mut bounds.collapses, properties.number("collapses", 0.0, 1e9).map(|n| n as u64));
         set_some(&mut bounds.flaps, properties.number("flaps", 0.0, 1e9).map(|n| n as u64));
         set_some(&mut bounds.steady, properties.number("steady", 0.0, 1e6));
@@ -205,7 +208,7 @@
             InjectedViolation::Overrun,
             InjectedViolation::DoubleAnswer,
         ];
-        self.sabotage = properties.first_word("what is broken", &words).map(|i| kinds[i]);
+        self.injected_violation = properties.first_word("what is broken", &words).map(|i| kinds[i]);
     }
 
     fn read_fleet(&mut self, properties: &mut NodeProperties) {
@@ -273,7 +276,7 @@
     }
 
     fn read_versioned_config(&mut self, properties: &mut NodeProperties) {
-        let mut settings = self.rules.take().unwrap_or(VersionedConfigSettings {
+        let mut settings = self.versioned_config.take().unwrap_or(VersionedConfigSettings {
             committee: 3,
             decision_bound: Duration::from_secs(2),
             alone_for: Duration::from_secs(60),
@@ -285,6 +288,6 @@
         set(&mut settings.alone_for, properties.number("alone-ms", 1000.0, 86_400_000.0).map(milliseconds));
         set(&mut settings.has_disks, properties.flag("disks"));
         set(&mut settings.initial_items, properties.text("set"));
-        self.rules = Some(settings);
+        self.versioned_config = Some(settings);
     }
 }
--- a/crates/aldercrank-test-cluster/src/scenario/read_step.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/read_step.rs
@@ -110,7 +110,7 @@
 fn read_fault(word: &str, properties: &mut NodeProperties) -> Option<Fault> {
     match word {
         "kill" => Some(Fault::Kill),
-        "leave" => Some(Fault::Leave),
+        "leave" => Some(Fault::Shutdown),
         "stop" => Some(Fault::Pause),
         "bad-config" => Some(Fault::InvalidConfig),
         "bad-start" => Some(Fault::InvalidStart),
--- a/crates/aldercrank-test-cluster/src/scenario/timeline.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/timeline.rs
@@ -49,7 +49,7 @@
     /// SIGKILL; the server is started again at the step's end, if it has one.
     Kill,
     /// SIGTERM; the server is started again shortly after its exit.
-    Leave,
+    Shutdown,
     /// SIGSTOP, and SIGCONT at the step's end.
     Pause,
     /// The server is asked, by SIGHUP, to read an invalid configuration.
@@ -131,7 +131,7 @@
             Fault::Publish(publication) => publication.interval.is_none(),
             _ => matches!(
                 self,
-                Fault::Leave
+                Fault::Shutdown
                     | Fault::InvalidConfig
                     | Fault::IndexCachesEmptied
                     | Fault::MembershipForgets
--- a/crates/aldercrank-test-cluster/src/scenario/validate.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/validate.rs
@@ -28,10 +28,10 @@
                 Fault::Publish(_) | Fault::Withdraw | Fault::StoreCorruptConfig(_) | Fault::StoreGenesis
             )
         };
-        if let (Some(step), None) = (self.timeline.iter().find(needs_versions), &self.rules) {
+        if let (Some(step), None) = (self.timeline.iter().find(needs_versions), &self.versioned_config) {
             return Err(Contradiction::NoVersionedConfig { fault: step.word.clone() });
         }
-        if self.rules.as_ref().is_some_and(|settings| settings.committee > self.fleet.servers) {
+        if self.versioned_config.as_ref().is_some_and(|settings| settings.committee > self.fleet.servers) {
             return Err(Contradiction::CommitteeTooLarge);
         }
         if self.fleet.zones > self.fleet.servers {
--- a/crates/aldercrank-test-cluster/src/version_checker.rs
+++ b/crates/aldercrank-test-cluster/src/version_checker.rs
@@ -100,7 +100,8 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
     /// Decisions by some version.
-    pub acts: u64,
+    #[serde(rename = "acts")]
+    pub decisions: u64,
     /// Published versions.
     pub published: u64,
     /// Versions that some decision was made by.
@@ -115,7 +116,8 @@
     /// The same for the other versions.
     pub fenced_p99_ms: f64,
     /// Messages between servers.
-    pub words: u64,
+    #[serde(rename = "words")]
+    pub peer_messages: u64,
     /// Reads of the configuration store.
     pub reads: u64,
     /// The bytes of the answers to these reads.
@@ -172,7 +174,7 @@
 
     /// Checks a decision. `waited_since` gives how long its server and the test cluster waited for a core since a time.
     pub fn check(&mut self, decision: &VersionedDecision, waited_since: impl Fn(Duration) -> Duration) {
-        self.figures.acts += 1;
+        self.figures.decisions += 1;
         let Some(version) = self.versions.get(&decision.version) else {
             let what = format!("decided by version {}, which nobody published", decision.version);
             return self.record(decision, what);
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
@@ -40,7 +40,7 @@
         writeln!(lines, "  reaches {}", reached.join(" ")).unwrap();
     }
     lines += &bounds(&scenario.bounds);
-    writeln!(lines, "sabotage {}", scenario.sabotage.map_or("none", sabotage)).unwrap();
+    writeln!(lines, "sabotage {}", scenario.injected_violation.map_or("none", violation_name)).unwrap();
     lines
 }
 
@@ -125,11 +125,11 @@
         millis(index.call_duration),
         index.cold_slowdown,
         index.warming,
-        scenario.list_capacity,
+        scenario.membership_capacity,
         millis(callers.membership_lag),
         millis(callers.membership_refresh)
     );
-    lines += &match &scenario.rules {
+    lines += &match &scenario.versioned_config {
         None => "rules none\n".to_string(),
         Some(settings) => format!(
             "rules committee={} within-ms={} alone-ms={} disks={} set={:?}\n",
@@ -164,7 +164,7 @@
 fn fault(fault: &Fault) -> String {
     match fault {
         Fault::Kill => "kill".into(),
-        Fault::Leave => "leave".into(),
+        Fault::Shutdown => "leave".into(),
         Fault::Pause => "stop".into(),
         Fault::InvalidConfig => "bad-config".into(),
         Fault::InvalidStart => "bad-start".into(),
@@ -255,16 +255,16 @@
     let all = [
         ("value", or_none(bounds.value)),
         ("of-calm", or_none(bounds.of_calm)),
-        ("inquiry-of-calm", or_none(bounds.inquiry_of_calm)),
+        ("inquiry-of-calm", or_none(bounds.idempotent_of_calm)),
         ("across", or_none(bounds.across)),
-        ("list-second", or_none(bounds.list_second)),
-        ("list-tenth", or_none(bounds.list_tenth)),
-        ("list-refused", or_none(bounds.list_refused)),
+        ("list-second", or_none(bounds.membership_per_second)),
+        ("list-tenth", or_none(bounds.membership_per_tenth)),
+        ("list-refused", or_none(bounds.membership_rejected)),
         ("listed-by-ms", listed_by),
         ("acted", or_none(bounds.acted)),
         ("free-p99-ms", or_none(bounds.free_p99_ms)),
         ("fenced-p99-ms", or_none(bounds.fenced_p99_ms)),
-        ("cut-inquiry-of-calm", or_none(bounds.cut_inquiry_of_calm)),
+        ("cut-inquiry-of-calm", or_none(bounds.cut_off_idempotent_of_calm)),
         ("index-most", or_none(bounds.index_most)),
         ("collapses", or_none(bounds.collapses)),
         ("steady", or_none(bounds.steady)),
@@ -274,8 +274,8 @@
     all.iter().map(|(name, value)| format!("bounds {name}={value}\n")).collect()
 }
 
-fn sabotage(sabotage: InjectedViolation) -> &'static str {
-    match sabotage {
+fn violation_name(violation: InjectedViolation) -> &'static str {
+    match violation {
         InjectedViolation::LoseAnswer => "lose-answer",
         InjectedViolation::DoubleRun => "double-run",
         InjectedViolation::LateStart => "late-start",
--- a/crates/aldercrank-testbench/src/check_runner.rs
+++ b/crates/aldercrank-testbench/src/check_runner.rs
@@ -65,12 +65,12 @@
     let missed = missed_bounds(scenario, &outcome, calm.as_ref());
     let mut text = if scenario.from_start {
         figures::of_cold_start(&outcome)
-    } else if scenario.rules.is_some() {
+    } else if scenario.versioned_config.is_some() {
         figures::of_versions(&outcome, calm.as_ref())
     } else {
         figures::of_cluster(&outcome, calm.as_ref())
     };
-    for violation in outcome.broken.iter().take(PRINTED_VIOLATIONS) {
+    for violation in outcome.violations.iter().take(PRINTED_VIOLATIONS) {
         let attempt = violation.attempt.as_deref().unwrap_or_default();
         let server = violation.server.as_deref().unwrap_or_default();
         text += &format!(
@@ -81,7 +81,7 @@
     for bound in &missed {
         text += &format!("\n    MISSED {bound}");
     }
-    Ok(Verdict { text, passed: outcome.counts.broken == 0 && missed.is_empty() })
+    Ok(Verdict { text, passed: outcome.counts.violations == 0 && missed.is_empty() })
 }
 
 /// Plays a scenario and, where a bound asks for it, the same seed without faults at the same time, so that both meet
@@ -103,8 +103,8 @@
     program: &Program,
 ) -> io::Result<Verdict> {
     let outcome = scenario_command::play(scenario, program, false)?;
-    let named = outcome.broken.iter().filter(|violation| violation.rule == rule).count();
-    let others = outcome.broken.len() - named;
+    let named = outcome.violations.iter().filter(|violation| violation.rule == rule).count();
+    let others = outcome.violations.len() - named;
     let text =
         format!("injected violation {kind:?}: {rule:?} named {named} times, other rules {others} times");
     Ok(Verdict { text, passed: named > 0 && others == 0 })
@@ -112,8 +112,8 @@
 
 fn play_faulty_program(fault: &str, scenario: &Scenario, program: &Program) -> io::Result<Verdict> {
     let outcome = scenario_command::play(scenario, program, false)?;
-    let named = outcome.broken.iter().filter(|violation| violation.rule == Rule::Fence).count();
-    let apart_ms = outcome.agree.as_ref().map_or(0.0, |figures| figures.farthest_ms);
+    let named = outcome.violations.iter().filter(|violation| violation.rule == Rule::Fence).count();
+    let apart_ms = outcome.version_figures.as_ref().map_or(0.0, |figures| figures.farthest_ms);
     let text = format!(
         "{} by a build with the injected fault {fault}: Fence named {named} times, conflicting versions used \
          {apart_ms:.0} ms apart",
--- a/crates/aldercrank-testbench/src/cluster_checks.rs
+++ b/crates/aldercrank-testbench/src/cluster_checks.rs
@@ -53,7 +53,7 @@
             scenario.timeline =
                 Scenario::parse("at 2 \"leave\" share=0.5").map_err(io::Error::other)?.timeline;
         }
-        scenario.sabotage = Some(kind);
+        scenario.injected_violation = Some(kind);
         all.push(CheckTask::Violation(kind, rule, scenario));
     }
     Ok(all)
--- a/crates/aldercrank-testbench/src/cold_start.rs
+++ b/crates/aldercrank-testbench/src/cold_start.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ColdStart {
     pub(crate) servers: usize,
-    pub(crate) list_capacity: f64,
+    pub(crate) membership_capacity: f64,
     pub(crate) index_slots: f64,
     pub(crate) rate: f64,
     pub(crate) seed: u64,
@@ -44,7 +44,7 @@
     scenario.name = format!("{} servers start at once", start.servers);
     scenario.bounds = Bounds::default();
     (scenario.fleet.servers, scenario.seed) = (start.servers, start.seed);
-    (scenario.list_capacity, scenario.callers.rate) = (start.list_capacity, start.rate);
+    (scenario.membership_capacity, scenario.callers.rate) = (start.membership_capacity, start.rate);
     (scenario.index.slots, scenario.index.limit) = (start.index_slots, start.index_slots * 1.5);
     let play = |program: Option<PathBuf>| -> io::Result<Outcome> {
         scenario_command::play(&scenario, &scenario_command::program(program)?, false)
@@ -61,7 +61,7 @@
     } else {
         print_comparison(&now, before.as_ref());
     }
-    Ok(now.counts.broken == 0)
+    Ok(now.counts.violations == 0)
 }
 
 fn print_comparison(now: &Outcome, before: Option<&Outcome>) {
@@ -71,12 +71,12 @@
     };
     let or_never = |s: Option<f64>| s.map_or("never".to_string(), |s| format!("{s:.1}"));
     println!("{:<52}{:>12}{}", now.scenario, "", if before.is_some() { "      before" } else { "" });
-    row("membership service, connections", &|o| o.list.connections.to_string());
-    row("  most in a second", &|o| o.list.most_second.to_string());
-    row("  most in a tenth of a second", &|o| o.list.most_tenth.to_string());
-    row("  reports rejected", &|o| o.list.refused.to_string());
-    row("all listed after, s", &|o| or_never(o.list.all_listed_s));
-    row("lapses of running servers", &|o| o.list.flaps.to_string());
+    row("membership service, connections", &|o| o.membership.connections.to_string());
+    row("  most in a second", &|o| o.membership.most_second.to_string());
+    row("  most in a tenth of a second", &|o| o.membership.most_tenth.to_string());
+    row("  reports rejected", &|o| o.membership.rejected.to_string());
+    row("all listed after, s", &|o| or_never(o.membership.all_listed_s));
+    row("lapses of running servers", &|o| o.membership.flaps.to_string());
     row("index, most outstanding calls", &|o| o.index_most.to_string());
     row("  slowest second, times one alone", &|o| format!("{:.1}", o.index_slowest));
     row("  collapses", &|o| o.index_collapses.to_string());
@@ -84,7 +84,7 @@
     row("  steady after, s", &|o| or_never(o.steady_s));
     row("  least possible, s", &|o| format!("{:.1}", o.least_steady_s));
     row("most completed by one server, times the mean", &|o| format!("{:.2}", o.crowded));
-    row("rules broken", &|o| o.counts.broken.to_string());
+    row("rules broken", &|o| o.counts.violations.to_string());
 }
 
 /// A fleet that starts at once, and what it comes to at the membership service; an earlier build beside it for its figures.
@@ -124,18 +124,19 @@
     let times = SERVERS as f64 / scenario.fleet.servers as f64;
     scenario.name = scenario.name.replace("forty", "three hundred");
     scenario.fleet.servers = SERVERS;
-    scenario.list_capacity *= times;
+    scenario.membership_capacity *= times;
     let rate = (scenario.callers.rate * times).min(MOST_RATE);
     let calls = rate / scenario.callers.rate;
     (scenario.callers.rate, scenario.span) = (rate, scenario.span.mul_f64(1.5));
     (scenario.index.slots, scenario.index.limit) =
         (scenario.index.slots * times, scenario.index.limit * times);
     // The test cluster itself takes a moment for each process: hundreds in one turn would delay it.
-    for step in scenario.timeline.iter_mut().filter(|s| matches!(s.fault, Fault::Kill | Fault::Leave)) {
+    for step in scenario.timeline.iter_mut().filter(|s| matches!(s.fault, Fault::Kill | Fault::Shutdown)) {
         step.each = step.each.max(Duration::from_millis(4));
     }
     // It warms by calls, which come so much oftener.
     scenario.index.warming = (f64::from(scenario.index.warming) * calls) as u32;
     scenario.bounds.index_most = scenario.bounds.index_most.map(|most| (most as f64 * times) as u64);
-    scenario.bounds.list_refused = scenario.bounds.list_refused.map(|most| (most as f64 * times) as u64);
+    scenario.bounds.membership_rejected =
+        scenario.bounds.membership_rejected.map(|most| (most as f64 * times) as u64);
 }
--- a/crates/aldercrank-testbench/src/command_line.rs
+++ b/crates/aldercrank-testbench/src/command_line.rs
@@ -229,7 +229,7 @@
 
 fn cold_start_command() -> impl Parser<Command> {
     let servers = long("servers").help("how many start at once").argument("N").fallback(40usize);
-    let list_capacity = long("list-capacity")
+    let membership_capacity = long("list-capacity")
         .help("reports that the membership service can handle in a second")
         .argument("R")
         .fallback(60.0);
@@ -243,7 +243,7 @@
     let json = json();
     construct!(ColdStart {
         servers,
-        list_capacity,
+        membership_capacity,
         index_slots,
         rate,
         seed,
--- a/crates/aldercrank-testbench/src/figures.rs
+++ b/crates/aldercrank-testbench/src/figures.rs
@@ -9,11 +9,11 @@
 }
 
 fn lost(outcome: &Outcome) -> usize {
-    outcome.broken.iter().filter(|b| matches!(b.rule, Rule::Lost | Rule::Late)).count()
+    outcome.violations.iter().filter(|b| matches!(b.rule, Rule::Lost | Rule::Late)).count()
 }
 
 fn twice(outcome: &Outcome) -> usize {
-    outcome.broken.iter().filter(|b| b.rule == Rule::Twice).count()
+    outcome.violations.iter().filter(|b| b.rule == Rule::Twice).count()
 }
 
 /// A run with faults between servers and what they depend on.
@@ -30,7 +30,7 @@
         lost(o),
         twice(o),
         o.counts.across,
-        o.counts.broken,
+        o.counts.violations,
         o.cluster_cpu_s / o.span_s,
         o.cluster_memory_kb / 1000,
         o.start_s
@@ -39,34 +39,34 @@
 
 /// A start of a whole fleet.
 pub(crate) fn of_cold_start(o: &Outcome) -> String {
-    let listed = o.list.all_listed_s.map_or("never".to_string(), |at| format!("after {at:.1} s"));
+    let listed = o.membership.all_listed_s.map_or("never".to_string(), |at| format!("after {at:.1} s"));
     format!(
         "{}: {} connections at the membership service, at most {} in a second and {} in a tenth ({} and {} from 5 s on), \
          {} reports rejected, all listed {listed}, {} lapses, value {:.3}, steady after {} s ({:.1} at least), index at \
          most {} and {:.1} times one alone, most on one server {:.2}, rules broken {}",
         o.scenario,
-        o.list.connections,
-        o.list.most_second,
-        o.list.most_tenth,
-        o.list.later_second,
-        o.list.later_tenth,
-        o.list.refused,
-        o.list.flaps,
+        o.membership.connections,
+        o.membership.most_second,
+        o.membership.most_tenth,
+        o.membership.later_second,
+        o.membership.later_tenth,
+        o.membership.rejected,
+        o.membership.flaps,
         o.value,
         o.steady_s.map_or("-".to_string(), |s| format!("{s:.0}")),
         o.least_steady_s,
         o.index_most,
         o.index_slowest,
         o.crowded,
-        o.counts.broken
+        o.counts.violations
     )
 }
 
 /// A run in which servers go by a versioned configuration.
 pub(crate) fn of_versions(o: &Outcome, calm: Option<&Outcome>) -> String {
     let of_calm = of_calm(o, calm);
-    let a = o.agree.clone().unwrap_or_default();
-    let each = a.words as f64 / o.servers as f64 / o.span_s;
+    let a = o.version_figures.clone().unwrap_or_default();
+    let each = a.peer_messages as f64 / o.servers as f64 / o.span_s;
     format!(
         "{}: {} servers, value {:.3}{of_calm}, lost {}, twice {}, rules broken {}, {} acts by {} of {} versions, \
          contradicting acts at most {:.0} ms apart, in force after {:.0} and {:.0} ms (p99, free and fenced), \
@@ -76,8 +76,8 @@
         o.value,
         lost(o),
         twice(o),
-        o.counts.broken,
-        a.acts,
+        o.counts.violations,
+        a.decisions,
         a.acted_on,
         a.published + 1,
         a.farthest_ms,
--- a/crates/aldercrank-testbench/src/platform_check.rs
+++ b/crates/aldercrank-testbench/src/platform_check.rs
@@ -306,11 +306,11 @@
     );
     let names = observations.calls.keys().cloned().collect::<Vec<_>>().join(" ");
     println!("{calls} system calls of {} kinds: {names}", observations.calls.len());
-    for broken in &outcome.broken {
+    for broken in &outcome.violations {
         println!("BROKEN {:?}: {}", broken.rule, broken.what);
     }
     observations.faults.iter().for_each(|fault| println!("REFUSED {fault}"));
-    let (faults, broken) = (observations.faults.len(), outcome.counts.broken);
+    let (faults, broken) = (observations.faults.len(), outcome.counts.violations);
     println!("check platform: {faults} things that the platform refuses, {broken} rules broken");
     // A run in which nothing was observed would prove nothing.
     let whole = incarnations == outcome.starts as usize && calls > 1000 && outcome.counts.completed > 50;
--- a/crates/aldercrank-testbench/src/scenario_bounds.rs
+++ b/crates/aldercrank-testbench/src/scenario_bounds.rs
@@ -7,7 +7,7 @@
 /// The bounds of a scenario that do not hold, one line each; empty where all do. `calm` is the same seed without faults,
 /// which some bounds are a share of.
 pub(crate) fn missed_bounds(scenario: &Scenario, outcome: &Outcome, calm: Option<&Outcome>) -> Vec<String> {
-    let (bounds, capacity) = (&scenario.bounds, scenario.list_capacity);
+    let (bounds, capacity) = (&scenario.bounds, scenario.membership_capacity);
     let mut missed = Vec::new();
     let mut least = |what: &str, found: f64, least: Option<f64>| {
         if let Some(least) = least.filter(|least| found < *least) {
@@ -17,8 +17,8 @@
     least("value", outcome.value, bounds.value);
     if let Some(calm) = calm {
         least("value of calm", outcome.value / calm.value.max(1e-9), bounds.of_calm);
-        let idempotent = outcome.inquiry / calm.inquiry.max(1e-9);
-        least("idempotent value of calm", idempotent, bounds.inquiry_of_calm);
+        let idempotent = outcome.idempotent_value / calm.idempotent_value.max(1e-9);
+        least("idempotent value of calm", idempotent, bounds.idempotent_of_calm);
     }
     missed.extend(missed_by_membership_load(bounds, outcome, capacity));
     missed.extend(missed_by_versions(scenario, outcome, calm));
@@ -46,8 +46,11 @@
     if let Some(most) = bounds.collapses.filter(|most| u64::from(outcome.index_collapses) > *most) {
         missed.push(format!("the index collapsed {} times, {most} at most", outcome.index_collapses));
     }
-    if let Some(most) = bounds.flaps.filter(|most| outcome.list.flaps > *most) {
-        missed.push(format!("servers lapsed {} times while they ran, {most} at most", outcome.list.flaps));
+    if let Some(most) = bounds.flaps.filter(|most| outcome.membership.flaps > *most) {
+        missed.push(format!(
+            "servers lapsed {} times while they ran, {most} at most",
+            outcome.membership.flaps
+        ));
     }
     if let Some(most) = bounds.crowded.filter(|most| outcome.crowded > *most) {
         missed.push(format!(
@@ -71,7 +74,7 @@
     if let Some(most) = bounds.index_most.filter(|most| outcome.index_most as u64 > *most) {
         missed.push(format!("{} outstanding calls at the index, {most} at most", outcome.index_most));
     }
-    let Some(agree) = &outcome.agree else { return missed };
+    let Some(agree) = &outcome.version_figures else { return missed };
     if let Some(least) = bounds.acted.filter(|least| (agree.acted_on as u64) < *least) {
         missed.push(format!("{} versions were acted on, {least} wanted", agree.acted_on));
     }
@@ -83,7 +86,7 @@
             missed.push(format!("versions of {what} items took {found:.0} ms (p99), {most:.0} at most"));
         }
     }
-    if let Some((least, calm)) = bounds.cut_inquiry_of_calm.zip(calm) {
+    if let Some((least, calm)) = bounds.cut_off_idempotent_of_calm.zip(calm) {
         let cut = |n: &usize| scenario.timeline[*n].word == "cut";
         let servers: Vec<ServerNo> =
             (0..scenario.timeline.len()).filter(cut).flat_map(|n| scenario.reached(n)).collect();
@@ -97,17 +100,17 @@
 
 /// Bounds on the load of the membership service that do not hold.
 fn missed_by_membership_load(bounds: &Bounds, outcome: &Outcome, capacity: f64) -> Vec<String> {
-    let (list, mut missed) = (&outcome.list, Vec::new());
+    let (list, mut missed) = (&outcome.membership, Vec::new());
     let mut most = |what: &str, found: usize, share: Option<f64>| {
         if let Some(most) = share.map(|share| share * capacity).filter(|most| found as f64 > *most) {
             missed
                 .push(format!("{found} connections at the membership service in {what}, {most:.0} at most"));
         }
     };
-    most("one second", list.most_second, bounds.list_second);
-    most("a tenth of a second", list.most_tenth, bounds.list_tenth);
-    if let Some(most) = bounds.list_refused.filter(|most| list.refused > *most) {
-        missed.push(format!("{} reports refused, {most} at most", list.refused));
+    most("one second", list.most_second, bounds.membership_per_second);
+    most("a tenth of a second", list.most_tenth, bounds.membership_per_tenth);
+    if let Some(most) = bounds.membership_rejected.filter(|most| list.rejected > *most) {
+        missed.push(format!("{} reports refused, {most} at most", list.rejected));
     }
     if let Some(by) = bounds.listed_by.map(|by| by.as_secs_f64()) {
         if list.all_listed_s.is_none_or(|at| at > by) {
--- a/crates/aldercrank-testbench/src/scenario_command.rs
+++ b/crates/aldercrank-testbench/src/scenario_command.rs
@@ -5,7 +5,7 @@
 use crate::scenario_bounds::missed_bounds;
 use crate::server_under_test::program_beside;
 use aldercrank_test_cluster::cluster::{run_dir, RunOptions, TestCluster};
-use aldercrank_test_cluster::fault_search::{self, Game, SearchStart};
+use aldercrank_test_cluster::fault_search::{self, SearchStart, SearchTarget};
 use aldercrank_test_cluster::process::Program;
 use aldercrank_test_cluster::report;
 use aldercrank_test_cluster::run_record::Outcome;
@@ -55,7 +55,8 @@
     asked: bool,
 ) -> io::Result<Option<Outcome>> {
     let bounds = &scenario.bounds;
-    let relative = bounds.of_calm.or(bounds.inquiry_of_calm).or(bounds.cut_inquiry_of_calm).is_some();
+    let relative =
+        bounds.of_calm.or(bounds.idempotent_of_calm).or(bounds.cut_off_idempotent_of_calm).is_some();
     (asked || relative).then(|| play(&scenario.calm(), program, false)).transpose()
 }
 
@@ -84,7 +85,7 @@
     } else {
         print_table(&outcome, calm.as_ref(), &missed);
     }
-    Ok(outcome.broken.is_empty() && missed.is_empty())
+    Ok(outcome.violations.is_empty() && missed.is_empty())
 }
 
 fn print_table(o: &Outcome, calm: Option<&Outcome>, missed: &[String]) {
@@ -100,39 +101,39 @@
         let other = calm.map_or(String::new(), |c| format!("{:>14}", c.ends.get(end).copied().unwrap_or(0)));
         println!("{:<34}{count:>10}{other}", format!("  {end:?}"));
     }
-    println!("{:<34}{:>10}", "completed without their call", o.poorer);
+    println!("{:<34}{:>10}", "completed without their call", o.degraded);
     println!("{:<34}{:>10.1}{}", "completed, median ms", o.p50_ms, program_beside(&|o| o.p50_ms));
     println!("{:<34}{:>10.1}{}", "completed, 99th percentile ms", o.p99_ms, program_beside(&|o| o.p99_ms));
     println!("{:<34}{:>10}", "attempts", o.counts.attempts);
     println!("{:<34}{:>10}", "runs", o.counts.runs);
     println!("{:<34}{:>10}", "runs of one request, other incarnations", o.counts.across);
-    println!("{:<34}{:>10}", "connections at the membership service", o.list.connections);
-    println!("{:<34}{:>10}", "  most in a second", o.list.most_second);
-    println!("{:<34}{:>10}", "  most in a tenth of a second", o.list.most_tenth);
-    println!("{:<34}{:>10}", "  reports rejected", o.list.refused);
-    println!("{:<34}{:>10}", "times a running server lapsed", o.list.flaps);
+    println!("{:<34}{:>10}", "connections at the membership service", o.membership.connections);
+    println!("{:<34}{:>10}", "  most in a second", o.membership.most_second);
+    println!("{:<34}{:>10}", "  most in a tenth of a second", o.membership.most_tenth);
+    println!("{:<34}{:>10}", "  reports rejected", o.membership.rejected);
+    println!("{:<34}{:>10}", "times a running server lapsed", o.membership.flaps);
     println!("{:<34}{:>10}", "most outstanding calls at the index", o.index_most);
     println!("{:<34}{:>10}", "most memory of a server, KB", o.memory_kb);
     println!("{:<34}{:>10}", "most descriptors of a server", o.descriptors);
     println!("{:<34}{:>10.2}", "servers' time on a core, s", o.servers_cpu_s);
-    if let Some(a) = &o.agree {
+    if let Some(a) = &o.version_figures {
         println!("{:<34}{:>10}", "versions published", a.published);
         println!("{:<34}{:>10}", "  acted on, the first among them", a.acted_on);
         println!("{:<34}{:>10.0}", "conflicting versions, furthest ms", a.farthest_ms);
         println!("{:<34}{:>10.0}", "free version everywhere, p99 ms", a.free_p99_ms);
         println!("{:<34}{:>10.0}", "fenced version everywhere, p99 ms", a.fenced_p99_ms);
-        println!("{:<34}{:>10}", "messages between servers", a.words);
+        println!("{:<34}{:>10}", "messages between servers", a.peer_messages);
         println!("{:<34}{:>10}", "reads of the membership service", a.reads);
     }
     println!("{:<34}{:>10.2}", "test cluster's time on a core, s", o.cluster_cpu_s);
     println!("{:<34}{:>10.2}", "start until all listed, s", o.start_s);
-    for broken in &o.broken {
+    for broken in &o.violations {
         let (attempt, server) =
             (broken.attempt.clone().unwrap_or_default(), broken.server.clone().unwrap_or_default());
         println!("BROKEN {:?} at {:.3} s {server} {attempt}: {}", broken.rule, broken.at, broken.what);
     }
     missed.iter().for_each(|m| println!("MISSED {m}"));
-    println!("rules broken: {}, bounds missed: {}", o.counts.broken, missed.len());
+    println!("rules broken: {}, bounds missed: {}", o.counts.violations, missed.len());
 }
 
 /// Searches that run side by side.
@@ -142,11 +143,11 @@
 /// was broken.
 pub(crate) fn search(arguments: &SearchArguments) -> io::Result<bool> {
     let program = &program(arguments.program.clone())?;
-    let game = if arguments.rules { Game::Rules } else { Game::Servers };
+    let target = if arguments.rules { SearchTarget::Versions } else { SearchTarget::Servers };
     let search_from = |n: u64| {
         fault_search::hunt(
             arguments.seconds,
-            SearchStart { seed: arguments.seed * PARALLEL_SEARCHES + n, game },
+            SearchStart { seed: arguments.seed * PARALLEL_SEARCHES + n, target },
             &mut |scenario| play(scenario, program, false),
             &|line| eprintln!("{line}"),
         )
@@ -164,7 +165,7 @@
     for (n, find) in finds.iter().enumerate() {
         let file = arguments.into.join(format!("found-{}-{}.kdl", arguments.seed, n + 1));
         std::fs::write(&file, &find.text)?;
-        println!("{}: value {:.3} of calm, {} rules broken", file.display(), find.of_calm, find.broken);
+        println!("{}: value {:.3} of calm, {} rules broken", file.display(), find.of_calm, find.violations);
     }
-    Ok(finds.iter().all(|find| find.broken == 0))
+    Ok(finds.iter().all(|find| find.violations == 0))
 }
--- a/crates/aldercrank-testbench/src/server_modes.rs
+++ b/crates/aldercrank-testbench/src/server_modes.rs
@@ -14,8 +14,8 @@
     let fault = injected_fault(name).ok_or_else(unknown)?;
     let load = move || -> Result<Config, ConfigError> {
         let mut config = Config::load(Some(&config), service.as_deref())?;
-        if let Some(rules) = &mut config.rules {
-            rules.injected_fault = Some(fault);
+        if let Some(agreement) = &mut config.agreement {
+            agreement.injected_fault = Some(fault);
         }
         Ok(config)
     };
--- a/crates/aldercrank-testbench/src/soak_check.rs
+++ b/crates/aldercrank-testbench/src/soak_check.rs
@@ -146,7 +146,7 @@
         core.caller_gone(now, reply_to);
     }
     if n % REQUESTS_PER_CONNECTION == REQUESTS_PER_CONNECTION - 1 {
-        core.conn_lost(now, reply_to.conn);
+        core.connection_lost(now, reply_to.conn);
     }
     (owed - core.responses_owed()) as u64
 }
--- a/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
@@ -3,7 +3,7 @@
 use crate::compare;
 use aldercrank::Value;
 use aldercrank_server::config::Config;
-use aldercrank_test_cluster::config::{config, Places};
+use aldercrank_test_cluster::config::{config, ServerAddresses};
 use aldercrank_test_cluster::ids::ServerNo;
 use aldercrank_test_cluster::scenario::Scenario;
 use std::fmt::Write;
@@ -36,10 +36,15 @@
 fn the_configuration_that_the_test_cluster_writes_is_read_as_recorded() {
     let scenario = Scenario::parse(SCENARIO).unwrap();
     let place = |port: u16| ([127, 0, 0, 1], port).into();
-    let places = Places { listen: place(7001), pool: place(9300), index: place(8900), list: place(8761) };
+    let addresses = ServerAddresses {
+        listen: place(7001),
+        pool: place(9300),
+        index: place(8900),
+        membership: place(8761),
+    };
     let mut built = String::new();
     for (server, cold) in [(0, false), (1, true)] {
-        let json = config(&scenario, ServerNo(server), cold, &places);
+        let json = config(&scenario, ServerNo(server), cold, &addresses);
         let text = serde_json::to_string_pretty(&json).unwrap();
         let read = Config::parse(&text, |_| None).unwrap();
         writeln!(built, "== server {}, cold {cold}\n{text}\n--\n{}", server + 1, decoded(&read)).unwrap();
--- a/crates/aldercrank-versioned-config/src/changes.rs
+++ b/crates/aldercrank-versioned-config/src/changes.rs
@@ -57,7 +57,7 @@
     paths.into_iter().filter_map(change).collect()
 }
 
-/// Changes that a server without a lease would violate, since it goes on with repeatable requests: as text for
+/// Changes that a server without a lease would violate, since it goes on with idempotent requests: as text for
 /// operators. Every server that could must know the new version before it takes effect.
 pub fn restrictions(old: &VersionedConfig, new: &VersionedConfig) -> Vec<String> {
     let changes = changes(old, new).into_iter();
--- a/crates/aldercrank-versioned-config/src/items.rs
+++ b/crates/aldercrank-versioned-config/src/items.rs
@@ -48,7 +48,7 @@
 
 const DAY_MILLISECONDS: f64 = 86_400_000.0;
 
-/// Effects of a request class: repeatable, idempotent with a key, or neither.
+/// Effects of a request class: idempotent, keyed, or neither.
 const EFFECTS: &[Choice] = &[
     Choice { name: "inquiry-like", setting: "retryable" },
     Choice { name: "referenced", setting: "dedup" },
--- a/crates/aldercrank-versioned-config/src/platform_settings.rs
+++ b/crates/aldercrank-versioned-config/src/platform_settings.rs
@@ -84,7 +84,7 @@
                 merged.set(&setting, value);
             }
         }
-        if let Some(quota) = self.share(server) {
+        if let Some(quota) = self.quota(server) {
             merged.set(QUOTA_SETTING, Setting::Number(quota));
         }
         if !self.is_in_service(server) {
--- a/crates/aldercrank-versioned-config/src/versioned_config.rs
+++ b/crates/aldercrank-versioned-config/src/versioned_config.rs
@@ -54,7 +54,7 @@
         self.time_span(path::AGREEMENT_BOUND).unwrap_or(DEFAULT_AGREEMENT_BOUND)
     }
 
-    /// The isolation limit: how long a server without a lease goes on with repeatable requests.
+    /// The isolation limit: how long a server without a lease goes on with idempotent requests.
     pub fn isolation_limit(&self) -> Duration {
         self.time_span(path::ISOLATION_LIMIT).unwrap_or(DEFAULT_ISOLATION_LIMIT)
     }
@@ -90,7 +90,7 @@
 
     /// Quota of outstanding calls to the upstream dependency for this server, in equal parts of its zone's; `None`
     /// where the version has no quotas.
-    pub fn share(&self, server: &str) -> Option<f64> {
+    pub fn quota(&self, server: &str) -> Option<f64> {
         self.items.keys().find(|path| path.block == path::QUOTAS)?;
         let servers = self.servers().unwrap_or_default();
         let Some(zone) = servers.get(server) else { return Some(0.0) };
--- a/crates/aldercrank-versioned-config/tests/golden.rs
+++ b/crates/aldercrank-versioned-config/tests/golden.rs
@@ -98,7 +98,7 @@
         }
     }
     for name in ["n1", "n2", "n3", "n5", "n9"] {
-        let (serves, share) = (config.is_in_service(name), config.share(name));
+        let (serves, share) = (config.is_in_service(name), config.quota(name));
         let _ = writeln!(out, "{name}: in service {serves}, share {share:?}");
     }
     for (path, value) in config.items() {
