--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -245,7 +245,7 @@
                 self.set_all_accept(RemoteEndpoint::MembershipService, Accepts::Yes)?;
             }
             Fault::MembershipCapacity(_) => {
-                self.testbed.membership.set_capacity(self.scenario.membership_capacity)
+                self.testbed.membership.set_capacity(self.scenario.membership_capacity);
             }
             Fault::MembershipWrong => self.testbed.wrong_membership = false,
             Fault::MembershipStale(_) => self.testbed.extra_membership_lag = Duration::ZERO,
