--- a/crates/aldercrank-consensus/tests/golden.rs
+++ b/crates/aldercrank-consensus/tests/golden.rs
@@ -10,6 +10,9 @@
     clippy::too_many_lines
 )]
 
+#[path = "../../../tests/golden/compare.rs"]
+mod compare;
+
 use aldercrank_consensus::messages::ServerSet;
 use aldercrank_consensus::{
     AcceptedDecision, Ballot, CommittedState, Decision, Evaluation, PeerRequest, PeerResponse, ProposalTally,
@@ -18,25 +21,11 @@
 use serde::Serialize;
 use serde_json::{json, Value as Json};
 use std::fmt::Write;
-use std::path::PathBuf;
 use std::time::Duration;
 
 /// Compares a text with the golden file of this name; a failure names the first line that differs.
 fn compare(name: &str, actual: &str) {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../tests/golden/consensus").join(name);
-    if std::env::var_os("RECORD_GOLDEN_FILES").is_some() {
-        std::fs::write(&path, actual).unwrap();
-    }
-    let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
-    let (mut expected_lines, mut actual_lines) = (expected.split('\n'), actual.split('\n'));
-    for number in 1.. {
-        match (expected_lines.next(), actual_lines.next()) {
-            (None, None) => return,
-            (expected, actual) => {
-                assert_eq!(actual, expected, "{name}, line {number}: the left is actual, the right golden")
-            }
-        }
-    }
+    compare::check(&format!("consensus/{name}"), actual);
 }
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/aldercrank-server/tests/suite/golden_consensus/mod.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/mod.rs
@@ -6,6 +6,7 @@
 mod memory;
 mod status;
 
+use crate::compare;
 use std::path::PathBuf;
 
 fn golden(name: &str) -> PathBuf {
@@ -18,20 +19,7 @@
 
 /// Compares a text with the golden file of this name; a failure names the first line that differs.
 fn compare(name: &str, actual: &str) {
-    let path = golden(name);
-    if recording() {
-        std::fs::write(&path, actual).unwrap();
-    }
-    let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
-    let (mut expected_lines, mut actual_lines) = (expected.split('\n'), actual.split('\n'));
-    for number in 1.. {
-        match (expected_lines.next(), actual_lines.next()) {
-            (None, None) => return,
-            (expected, actual) => {
-                assert_eq!(actual, expected, "{name}, line {number}: the left is actual, the right golden")
-            }
-        }
-    }
+    compare::check(name, actual);
 }
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/aldercrank-versioned-config/tests/golden.rs
+++ b/crates/aldercrank-versioned-config/tests/golden.rs
@@ -10,6 +10,9 @@
     clippy::too_many_lines
 )]
 
+#[path = "../../../tests/golden/compare.rs"]
+mod compare;
+
 use aldercrank::{Settings, Value as Setting};
 use aldercrank_versioned_config::{changes, restrictions, Consistency, MemberAddress, VersionedConfig};
 use std::fmt::Write;
@@ -25,20 +28,7 @@
 
 /// Compares a text with the golden file of this name; a failure names the first line that differs.
 fn compare(name: &str, actual: &str) {
-    let path = directory().join(name);
-    if std::env::var_os("RECORD_GOLDEN_FILES").is_some() {
-        std::fs::write(&path, actual).unwrap();
-    }
-    let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
-    let (mut expected_lines, mut actual_lines) = (expected.split('\n'), actual.split('\n'));
-    for number in 1.. {
-        match (expected_lines.next(), actual_lines.next()) {
-            (None, None) => return,
-            (expected, actual) => {
-                assert_eq!(actual, expected, "{name}, line {number}: the left is actual, the right golden")
-            }
-        }
-    }
+    compare::check(&format!("rule-books/{name}"), actual);
 }
 
 /// All golden versions, in the order of their names.
