--- a/crates/aldercrank-testbench/src/cost_budget.rs
+++ b/crates/aldercrank-testbench/src/cost_budget.rs
@@ -77,19 +77,49 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("budget.json")
 }
 
-/// Reads a budget. Fails with the first thing that is malformed.
-pub fn read(text: &str) -> Result<Budget, String> {
-    let json: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let cases = json.as_object().ok_or("not a map of cases")?;
-    let counts = |(case, counts): (&String, &Value)| {
-        let counts = counts.as_object().ok_or(format!("{case} is no map of counts"))?;
-        let per_request = counts.iter().map(|(what, n)| {
-            let n = n.as_f64().ok_or(format!("{case}: {what} is no number"))?;
-            Ok((what.clone(), n))
-        });
-        Ok((case.clone(), per_request.collect::<Result<Counts, String>>()?))
+/// What is malformed in the text of a budget.
+#[derive(Debug, thiserror::Error)]
+pub enum BudgetError {
+    /// The text is no JSON document.
+    #[error("{0}")]
+    NotJson(#[from] serde_json::Error),
+    /// The document is not a map of cases.
+    #[error("not a map of cases")]
+    NotCases,
+    /// A case has something else than a map of counts.
+    #[error("{case} is no map of counts")]
+    NotCounts {
+        /// The name of the case.
+        case: String,
+    },
+    /// A count is not a number.
+    #[error("{case}: {what} is no number")]
+    NotNumber {
+        /// The name of the case.
+        case: String,
+        /// What is counted.
+        what: String,
+    },
+}
+
+/// Reads a budget.
+///
+/// # Errors
+///
+/// The first thing that is malformed.
+pub fn read(text: &str) -> Result<Budget, BudgetError> {
+    let json: Value = serde_json::from_str(text)?;
+    let cases = json.as_object().ok_or(BudgetError::NotCases)?;
+    cases.iter().map(|(case, counts)| Ok((case.clone(), read_counts(case, counts)?))).collect()
+}
+
+fn read_counts(case: &str, counts: &Value) -> Result<Counts, BudgetError> {
+    let counts = counts.as_object().ok_or_else(|| BudgetError::NotCounts { case: case.to_string() })?;
+    let number = |(what, count): (&String, &Value)| match count.as_f64() {
+        Some(count) => Ok((what.clone(), count)),
+        None => Err(BudgetError::NotNumber { case: case.to_string(), what: what.clone() }),
     };
-    cases.iter().map(counts).collect()
+    counts.iter().map(number).collect()
 }
 
 /// Measures the ordinary cases and holds them against the budget. Gives whether all are within.
--- a/crates/aldercrank-testbench/src/cost_command.rs
+++ b/crates/aldercrank-testbench/src/cost_command.rs
@@ -55,7 +55,8 @@
         });
         let earlier = earlier.unwrap_or_default();
         measured.missing.extend(earlier.missing);
-        cost_plot::draw(file, &measured.rows, &earlier.rows).map_err(io::Error::other)?;
+        cost_plot::draw(file, &measured.rows, &earlier.rows)
+            .map_err(|error| io::Error::other(error.to_string()))?;
         println!("drawn: {}", file.display());
     }
     for line in &measured.missing {
--- a/crates/aldercrank-testbench/src/cost_plot.rs
+++ b/crates/aldercrank-testbench/src/cost_plot.rs
@@ -6,7 +6,7 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::error::Error;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 /// Width and height of the drawing, in pixels.
 const SIZE: (u32, u32) = (1080, 360);
@@ -46,13 +46,21 @@
     grown.map(|(case, cost)| (size(case) as f64, cost.cpu_time.as_nanos() as f64 / 1e3)).collect()
 }
 
+/// The plot could not be drawn.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {cause}", file.display())]
+pub(crate) struct PlotError {
+    file: PathBuf,
+    cause: Box<dyn Error>,
+}
+
 /// Draws this build, and an earlier one's rows where there are any. Fails where the file can't be written.
 pub(crate) fn draw(
     file: &Path,
     rows: &[(CostCase, RequestCost)],
     earlier: &[(CostCase, RequestCost)],
-) -> Result<(), String> {
-    draw_panels(file, rows, earlier).map_err(|e| format!("{}: {e}", file.display()))
+) -> Result<(), PlotError> {
+    draw_panels(file, rows, earlier).map_err(|cause| PlotError { file: file.to_path_buf(), cause })
 }
 
 fn draw_panels(
--- a/crates/aldercrank-testbench/tests/suite/cost_budget.rs
+++ b/crates/aldercrank-testbench/tests/suite/cost_budget.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_malformed_budget_is_an_error_that_names_the_fault() {
-    assert!(read("[]").is_err_and(|why| why.contains("no map") || why.contains("not a map")));
-    assert!(read("{\"a\": {\"b\": \"c\"}}").is_err_and(|why| why.contains("a: b is no number")));
+    assert!(read("[]").is_err_and(|error| error.to_string() == "not a map of cases"));
+    assert!(read("{\"a\": {\"b\": \"c\"}}").is_err_and(|error| error.to_string() == "a: b is no number"));
     assert_eq!(read("{\"a\": {\"b\": 2}}").unwrap()["a"]["b"], 2.0);
 }
