--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl Server {
-    /// Lets something happen to the agreement, and applies all that follows from it in one step.
+    /// Updates the agreement, and applies everything that follows from the update in one step.
     pub(super) fn update_agreement(&mut self, update: impl FnOnce(&mut ConfigAgreement, Duration)) {
         let Some(mut agreement) = self.agreement.take() else { return };
         let now = agreement.clock.now();
@@ -28,7 +28,7 @@
             self.apply_lease(agreement, now);
             let Some(proposed) = agreement.context.notification.take() else { break };
             self.notify_followers(agreement, proposed);
-            // The follower in this very server is notified as well.
+            // This server's own follower is notified as well.
             agreement.follower.notify(now, proposed, &mut FollowerPorts(&mut agreement.context));
             agreement.answer_local_requests(now);
         }
@@ -41,8 +41,8 @@
         net.timers.set(TimerEvent::ConfigAgreement, due);
     }
 
-    /// Puts a version in force: stores it, hands its settings to the core, and joins the committee if it names this
-    /// server.
+    /// Puts a version in force: stores it, passes its settings to the core, and joins the committee if the version
+    /// names this server.
     fn apply_version(&mut self, agreement: &mut ConfigAgreement, now: Duration, new: &NewVersion) {
         let NewVersion { version, parsed, committed_for } = new;
         let before = agreement.in_force.replace(parsed.clone());
@@ -73,7 +73,7 @@
         self.apply_settings(agreement, now);
     }
 
-    /// Hands the settings in force to the core.
+    /// Passes the settings in force to the core.
     fn apply_settings(&mut self, agreement: &mut ConfigAgreement, now: Duration) {
         let pool_was_cold = self.pool_was_cold;
         if let (Some(mut effective), Some(core)) = (agreement.effective_settings(now), &mut self.core) {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Tells the core until when it may act, and reports to the membership service when that changes this server's
-    /// health.
+    /// Passes the bounds of the lease to the core, and marks the health as changed if the permission is lost or
+    /// regained.
     fn apply_lease(&mut self, agreement: &mut ConfigAgreement, now: Duration) {
         let bounds = agreement.follower.bounds();
         let permission = agreement.follower.level(now);
@@ -96,7 +96,7 @@
         let before = std::mem::replace(&mut agreement.permission, permission);
         if before != permission {
             let level = permission_name(permission);
-            tracing::info!(level, "permission by the versioned configuration changed");
+            tracing::info!(level, "permission level under the versioned configuration changed");
             if (before == PermissionLevel::Denied) != (permission == PermissionLevel::Denied) {
                 self.net().health_changed = true;
             }
@@ -105,7 +105,7 @@
 
     fn apply_lease_bounds(&mut self, agreement: &ConfigAgreement, now: Duration) {
         let at = self.now();
-        // The two clocks differ in their start alone.
+        // The two clocks differ only in their start.
         let on_core_clock = |bound: Duration| match bound {
             Duration::MAX => bound,
             bound => (at + bound).saturating_sub(now),
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The core has started: it is given the lease and settings known so far.
+    /// Passes the lease and settings known so far to a core that has just started.
     pub(in crate::net) fn apply_config_to_new_core(&mut self) {
         let Some(mut agreement) = self.agreement.take() else { return };
         let now = agreement.clock.now();
@@ -125,15 +125,15 @@
         self.agreement = Some(agreement);
     }
 
-    /// Why these settings of the platform don't fit the version in force.
+    /// Why these platform settings are incompatible with the version in force; `None` if they are not.
     pub(in crate::net) fn config_version_incompatibility(&self, settings: &Settings) -> Option<String> {
         let agreement = self.agreement.as_ref()?;
         let version = agreement.in_force.as_ref()?;
         version.incompatibilities(settings, &agreement.context.server.0).first().map(ToString::to_string)
     }
 
-    /// The platform's settings, which versions build on, have changed. Returns whether a version is in force, so that
-    /// the core has been given its settings.
+    /// Applies changed platform settings, which versions build on. Returns whether a version is in force; if so, the
+    /// resulting settings have been passed to the core.
     pub(in crate::net) fn platform_settings_changed(&mut self, settings: &Settings) -> bool {
         let Some(mut agreement) = self.agreement.take() else { return false };
         agreement.context.platform = settings.clone();
@@ -144,7 +144,7 @@
         is_in_force
     }
 
-    /// Whether nothing may be done, since the version in force is not known.
+    /// Whether no request may run, since this server doesn't know which version is in force.
     pub(in crate::net) fn lacks_permission(&self) -> bool {
         self.agreement.as_ref().is_some_and(|agreement| agreement.permission == PermissionLevel::Denied)
     }
@@ -154,13 +154,13 @@
         self.agreement.as_ref()?.in_force.as_ref().map(|version| version.number.0)
     }
 
-    /// A timer of the agreement is due.
+    /// Handles the timer of the agreement.
     pub(in crate::net) fn agreement_due(&mut self) {
         let quotas = |server: &Server| server.agreement.as_ref().and_then(|a| a.quotas.clone());
         let before = quotas(self);
         self.update_agreement(|agreement, now| agreement.timer_fired(now));
         if before != quotas(self) {
-            // A quota has grown by the passing of time.
+            // A quota has grown since its time has come.
             if let Some(mut agreement) = self.agreement.take() {
                 let now = agreement.clock.now();
                 self.apply_settings(&mut agreement, now);
--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -1,10 +1,10 @@
-//! This server's part in the agreement on the versioned configuration: a follower on every server, and a committee
-//! member where the configuration names this server as one.
+//! This server's part in the agreement on the versioned configuration. Every server runs a follower, and also a
+//! committee member if the configuration names it as one.
 //!
-//! The consensus package decides; this module connects it to sockets, the state file and the core. None of it exists
-//! where the service file names no versioned configuration.
+//! `aldercrank-consensus` makes the decisions; this module connects it to the sockets, the state file and the core. It
+//! is used only if the service file names a versioned configuration.
 //!
-//! - [`ports`]: how follower and member act on this server.
+//! - [`ports`]: the environments in which follower and member run.
 //! - [`applying`]: how a committed version, leases and quotas reach the core.
 //! - [`peer_requests`]: requests from and to other servers, and notifications.
 //! - [`version_polling`]: reading proposed versions from the membership service.
@@ -35,7 +35,7 @@
 use std::time::Duration;
 use version_polling::VersionPolling;
 
-/// A smaller quota of dependency calls counts as none.
+/// The least quota of dependency calls that the admission module is given, since it takes zero for no limit.
 const MIN_QUOTA: f64 = 1e-3;
 
 /// The settings that are in force, and this server's quota of dependency calls if the version gives one.
@@ -46,25 +46,25 @@
 
 /// The state of this server's part in the agreement.
 pub(super) struct ConfigAgreement {
-    /// Never restarted, unlike the server's own clock, which counts from its worker pool's start.
+    /// A clock that is never restarted, unlike the server's own, which counts from its worker pool's start.
     clock: Clock,
     timing: Timing,
-    /// Distinguishes the committee members that this server has been in turn.
+    /// The incarnation that this server will use when it next becomes a committee member.
     next_incarnation: u64,
     follower: Follower,
     member: Option<CommitteeMember>,
     context: PortContext,
-    /// Where versions give quotas of dependency calls.
+    /// Present once a version has given this server a quota of dependency calls.
     quotas: Option<QuotaHandover<f64>>,
     /// The version in force.
     in_force: Option<Rc<VersionedConfig>>,
     in_force_since: Duration,
-    /// The bounds that the core was given last.
+    /// The bounds that were last passed to the core.
     permission_bounds: PermissionBounds,
     permission: PermissionLevel,
-    /// Connections of the servers that renew their leases here, for notifications.
+    /// Connections from the servers that renew their leases here, over which they are notified.
     followers: BTreeMap<ServerName, ConnId>,
-    /// Where the service file asks for proposed versions to be read from the membership service.
+    /// Present if the service file asks to read proposed versions from the membership service.
     polling: Option<VersionPolling>,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl ConfigAgreement {
-    /// Starts with the stored version if there is one, else with that of the service file.
+    /// Starts with the stored version if there is one, otherwise with the one in the service file.
     pub(super) fn new(
         config: &Config,
         agreement: &AgreementConfig,
@@ -99,7 +99,7 @@
         peers.set_addresses(committee);
         let state_file = StateFile::open(agreement.state_dir.as_deref());
         let mut context = PortContext::new(server.clone(), config.settings.clone(), peers, state_file);
-        // Spreads the followers over the members.
+        // Distributes the followers over the members.
         let spread = own_index.map_or_else(|| aldercrank_pacing::digest(&config.name), |index| index as u64);
         let mut follower = Follower::new(server, member_names, spread, timing.clone());
         let stored = context.state_file.version();
@@ -110,7 +110,7 @@
         let mut created = ConfigAgreement {
             clock,
             timing,
-            // Only its difference from other incarnations matters, not that it is a time.
+            // The time only makes it differ from the incarnations of earlier processes.
             next_incarnation: Clock::unix_time().as_nanos() as u64,
             follower,
             member: None,
@@ -127,7 +127,7 @@
         created
     }
 
-    /// Becomes a committee member if `version` names this server as one and it is none yet.
+    /// Starts a committee member if `version` names this server as one and there is none yet.
     fn join_committee(&mut self, now: Duration, version: &ConfigVersion) {
         let Some(parsed) = self.context.parse(&version.version_id, &version.text) else { return };
         let is_named = parsed.committee().iter().any(|member| *member.name == *self.context.server.0);
@@ -183,10 +183,10 @@
         }
     }
 
-    /// Answers the follower's requests to the member in this server and reports requests that could not be sent, until
-    /// nothing more follows.
+    /// Answers the follower's requests to this server's own member, and reports requests that could not be sent, until
+    /// none are left.
     fn answer_local_requests(&mut self, now: Duration) {
-        // Ends, since the follower asks one member after another and then waits.
+        // Terminates, since the follower asks one member after another and then waits for a timer.
         loop {
             if let Some((correlation_id, request)) = self.context.local_requests.pop_front() {
                 let response = match &mut self.member {
@@ -212,7 +212,7 @@
         }
     }
 
-    /// When something is due next, on the agreement's clock.
+    /// When the next timer is due, on the agreement's clock.
     fn next_due(&mut self, now: Duration) -> Duration {
         let member = self.member.as_ref().map(CommitteeMember::next_timeout);
         let quota = self.quotas.as_mut().and_then(|quotas| quotas.available(now).grows_at);
@@ -221,13 +221,13 @@
         others.fold(self.follower.next_timeout(), Duration::min)
     }
 
-    /// The settings in force; none before a version is.
+    /// The settings in force; `None` before a version is in force.
     fn effective_settings(&mut self, now: Duration) -> Option<EffectiveSettings> {
         let version = self.in_force.as_ref()?;
         let mut settings = version.settings(&self.context.platform, &self.context.server.0);
         let quota = self.quotas.as_mut().map(|quotas| quotas.available(now).quota);
         if let Some(quota) = quota {
-            // The admission module takes zero for no limit; the core makes sure that no quota means no calls.
+            // For the admission module zero means no limit. With a quota of zero, the core itself prevents calls.
             settings.set("family_info.calls_out", aldercrank::Value::Number(quota.max(MIN_QUOTA)));
         }
         Some(EffectiveSettings { settings, quota })
--- a/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Consensus requests from other servers and operators, responses to this server's own, and notifications.
+//! Consensus requests from other servers and operators, responses to this server's own requests, and notifications.
 
 use super::ports::{FollowerPorts, MemberPorts};
 use super::ConfigAgreement;
@@ -10,7 +10,7 @@
 use aldercrank_pacing::SlowStartStatus;
 use std::time::Duration;
 
-/// Followers that are notified over their connections.
+/// The most followers that can renew their leases here; each is notified over its connection.
 const MAX_FOLLOWERS: usize = 4096;
 
 impl ConfigAgreement {
@@ -36,8 +36,8 @@
 }
 
 impl Server {
-    /// Answers a consensus request of another server or an operator. Returns false if there is no agreement here, or
-    /// the request can't be decoded.
+    /// Answers a consensus request of another server or an operator. Returns false if the request can't be decoded, or
+    /// this server has no versioned configuration.
     pub(in crate::net) fn consensus_request(&mut self, reply_to: ReplyTo, body: &[u8]) -> bool {
         let Ok(request) = rmp_serde::from_slice::<PeerRequest>(body) else { return false };
         let mut response = None;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Notifies the followers that renew their leases here of a proposed version, or that there is none.
+    /// Notifies the followers that renew their leases here of the proposed version, or that there is none.
     pub(super) fn notify_followers(&mut self, agreement: &mut ConfigAgreement, proposed: Option<VersionId>) {
         let Ok(body) = rmp_serde::to_vec(&proposed) else { return };
         let mut net = self.net();
--- a/crates/aldercrank-server/src/net/config_agreement/ports.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/ports.rs
@@ -1,4 +1,4 @@
-//! How the follower and the committee member act on this server.
+//! The environments of the follower and the committee member: how they send requests, store state and read versions.
 
 use super::version_id;
 use crate::net::peer_connections::{PeerConnections, RequestTag, Requester};
@@ -12,18 +12,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Parsed versions that are cached.
+/// How many parsed versions are cached.
 const MAX_PARSED_VERSIONS: usize = 4;
 
 /// A version that has come into force and has not been applied yet.
 pub(super) struct NewVersion {
     pub(super) version: ConfigVersion,
     pub(super) parsed: Rc<VersionedConfig>,
-    /// How long it has been committed at least.
+    /// The least time for which it has been committed.
     pub(super) committed_for: Duration,
 }
 
-/// What follower and member act on.
+/// State that the follower and the member share, and actions of theirs that have not been carried out yet.
 pub(super) struct PortContext {
     /// The name of this server.
     pub(super) server: ServerName,
@@ -31,18 +31,18 @@
     pub(super) platform: Settings,
     pub(super) peers: PeerConnections,
     pub(super) state_file: StateFile,
-    /// The follower's requests to the member in this server.
+    /// The follower's requests to this server's own member.
     pub(super) local_requests: VecDeque<(CorrelationId, PeerRequest)>,
     /// Requests that could not be sent.
     pub(super) lost_requests: Vec<RequestTag>,
-    /// A notification to send: the proposed version, or that there is none.
+    /// A notification to send: the proposed version, or `Some(None)` if there is none any more.
     pub(super) notification: Option<Option<VersionId>>,
     pub(super) new_version: Option<NewVersion>,
     parsed_versions: VecDeque<(VersionId, Rc<VersionedConfig>)>,
 }
 
 impl PortContext {
-    /// With nothing pending.
+    /// Creates the context with nothing pending.
     pub(super) fn new(
         server: ServerName,
         platform: Settings,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The parsed text of a version; `None` if it can't be parsed or does not match the version id.
+    /// Parses the text of a version, or takes it from the cache. `None` if it can't be parsed or doesn't match the id.
     pub(super) fn parse(&mut self, id: &VersionId, text: &str) -> Option<Rc<VersionedConfig>> {
         if let Some((_, parsed)) = self.parsed_versions.iter().find(|(known, _)| known == id) {
             return Some(parsed.clone());
@@ -102,10 +102,10 @@
     }
 }
 
-/// The ports of the follower.
+/// The environment of the follower.
 pub(super) struct FollowerPorts<'a>(pub(super) &'a mut PortContext);
 
-/// The ports of the committee member.
+/// The environment of the committee member.
 pub(super) struct MemberPorts<'a>(pub(super) &'a mut PortContext);
 
 impl follower::FollowerEnvironment for FollowerPorts<'_> {
--- a/crates/aldercrank-server/src/net/config_agreement/status.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/status.rs
@@ -1,4 +1,4 @@
-//! The status of the agreement as operators read it. The names in it are part of the operators' interface.
+//! The status of the agreement for operators. Its JSON keys are part of the operators' interface.
 
 use super::applying::permission_name;
 use super::ConfigAgreement;
--- a/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
@@ -17,24 +17,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the membership service holds back its answer while nothing changes.
+/// How long the membership service delays its answer while the version doesn't change.
 const POLL_WAIT: Duration = Duration::from_secs(5);
-/// An answer that comes after this share of [`POLL_WAIT`] was held back.
+/// An answer that takes at least this share of [`POLL_WAIT`] is taken as delayed by the service.
 const LONG_POLL_SHARE: f64 = 0.9;
-/// After a change the next poll follows after this share of [`POLL_WAIT`], so that a service whose answer differs each
-/// time is not polled more often than that.
+/// After a change the next poll starts after this share of [`POLL_WAIT`]. This limits the rate of polls to a service
+/// whose answer differs each time.
 const POLL_AGAIN_SHARE: f64 = 0.02;
-/// After an answer that is no valid version the next poll follows after this share of [`POLL_WAIT`]. It is the same each
-/// time: the service is well, and its next version may be valid.
+/// After an answer that is not a valid version the next poll starts after this share of [`POLL_WAIT`]. There is no
+/// backoff, since the service works and its next version may be valid.
 const POLL_AFTER_INVALID_SHARE: f64 = 0.1;
-/// How much longer than [`POLL_WAIT`] an answer is awaited.
+/// How much longer than [`POLL_WAIT`] a poll waits for its answer.
 const POLL_GRACE: Duration = Duration::from_secs(2);
 const STATUS_OK: u16 = 200;
 const STATUS_NO_CONTENT: u16 = 204;
 const STATUS_NOT_MODIFIED: u16 = 304;
 const STATUS_NOT_FOUND: u16 = 404;
 
-/// The poll under way.
+/// The outstanding poll.
 struct OutstandingPoll {
     number: u64,
     exchange: HttpExchange,
@@ -59,13 +59,13 @@
     pacer: RetryPacer,
     outstanding: Option<OutstandingPoll>,
     last_number: u64,
-    /// When the next poll starts, or the outstanding one is given up.
+    /// When the next poll starts, or the outstanding one times out.
     due: Duration,
     known: Option<KnownVersion>,
 }
 
 impl VersionPolling {
-    /// The first poll is due at once.
+    /// Creates the state before the first poll, which is due at once.
     pub(super) fn new(config: &Config, now: Duration) -> VersionPolling {
         let pacer_config = aldercrank_pacing::RetryPacerConfig {
             interval: POLL_WAIT,
@@ -82,13 +82,13 @@
         }
     }
 
-    /// When something is due, on the agreement's clock.
+    /// When the next poll starts or the outstanding one times out, on the agreement's clock.
     pub(super) fn due(&self) -> Duration {
         self.due
     }
 
-    /// The membership service has moved: nothing is known of what the new one has, and it is polled now.
-    fn service_moved(&mut self, now: Duration, event_loop: &EventLoopHandle) {
+    /// Starts anew at another membership service: forgets the version that was read last, and makes a poll due now.
+    fn membership_address_changed(&mut self, now: Duration, event_loop: &EventLoopHandle) {
         if let Some(poll) = self.outstanding.take() {
             poll.exchange.close(event_loop);
         }
@@ -96,8 +96,8 @@
         self.due = now;
     }
 
-    /// Without a digest there is no tag to poll against, so the service can't hold back its answer until there is a
-    /// valid version.
+    /// Schedules the next poll after an invalid answer. An invalid version has no digest and so no entity tag, by which
+    /// the service could delay its answer until there is a valid one.
     fn invalid_answer_received(&mut self, now: Duration) {
         self.due = now + POLL_WAIT.mul_f64(POLL_AFTER_INVALID_SHARE);
     }
@@ -109,15 +109,18 @@
 }
 
 impl Server {
-    /// Polls the membership service at its new address, where versions are polled.
-    pub(in crate::net) fn poll_moved_service(&mut self) {
+    /// Polls the membership service at its new address, if versions are polled.
+    pub(in crate::net) fn poll_new_membership_service(&mut self) {
         let event_loop = self.net().event_loop.clone();
         self.update_agreement(|agreement, now| {
-            agreement.polling.iter_mut().for_each(|polling| polling.service_moved(now, &event_loop));
+            agreement
+                .polling
+                .iter_mut()
+                .for_each(|polling| polling.membership_address_changed(now, &event_loop));
         });
     }
 
-    /// Starts the next poll if it is due, or gives up the outstanding one if its time is over.
+    /// Starts the next poll if it is due, or closes the outstanding one if it has timed out.
     pub(super) fn poll_versions(&mut self) {
         let event_loop = self.net().event_loop.clone();
         let address = self.config.members;
@@ -129,7 +132,9 @@
             return;
         };
         if let Some(poll) = polling.outstanding.take() {
-            tracing::warn!("membership service did not answer a poll for configuration versions; retrying");
+            tracing::warn!(
+                "membership service did not answer a poll for configuration versions in time; retrying"
+            );
             poll.exchange.close(&event_loop);
             polling.due = polling.pacer.failed(now);
         } else {
@@ -173,7 +178,7 @@
         if let Some(poll) = polling.outstanding.take() {
             poll.exchange.close(&event_loop);
         }
-        // A service that does not hold back its answers is polled once in the time that it should hold them back.
+        // A service that doesn't delay its answers is polled once per `POLL_WAIT`.
         let was_long_poll = now >= started_at + POLL_WAIT.mul_f64(LONG_POLL_SHARE);
         polling.due = if was_long_poll { now } else { started_at + POLL_WAIT };
         self.handle_poll_result(now, result);
@@ -190,14 +195,14 @@
                 STATUS_NOT_MODIFIED => {}
                 STATUS_NO_CONTENT | STATUS_NOT_FOUND => {
                     if let Some(known) = polling.known.take() {
-                        // The version that follows is awaited at once.
+                        // The next version may follow soon.
                         polling.due = now + POLL_WAIT.mul_f64(POLL_AGAIN_SHARE);
                         self.proposal_withdrawn(known.number);
                     }
                 }
                 _ => polling.due = polling.pacer.rejected(now, response.retry_after),
             },
-            // A text beyond the limits, or none that is HTTP.
+            // The version exceeds the limits of a response, or the answer is not HTTP.
             Err(ExchangeError::Unreadable(_)) => polling.invalid_answer_received(now),
             Err(ExchangeError::NotSent | ExchangeError::Closed) => polling.due = polling.pacer.failed(now),
         }
@@ -211,7 +216,7 @@
         });
     }
 
-    /// Handles the text of a version at the membership service.
+    /// Handles the text of a version that was read from the membership service.
     fn version_received(&mut self, text: &str) {
         let version = match VersionedConfig::parse(text) {
             Ok(version) => version,
--- a/crates/aldercrank-server/src/net/config_reload.rs
+++ b/crates/aldercrank-server/src/net/config_reload.rs
@@ -1,7 +1,7 @@
-//! Reloads the configuration at SIGHUP, in any phase.
+//! Reloads the configuration on SIGHUP, in any phase.
 //!
-//! The new file is read and checked completely. Then each link moves to its new address, and the other settings change
-//! in one step between two events. An invalid file changes nothing.
+//! The new file is read and checked completely before anything changes. Settings and addresses then change in one step
+//! between two events. An invalid file changes nothing.
 
 use super::socket_settings::SocketSettings;
 use super::Server;
@@ -14,7 +14,7 @@
         let new = match (self.read_config)() {
             Ok(new) => new,
             Err(error) => {
-                return tracing::error!(reason = %error, "the new configuration can't be served; keeping the present one");
+                return tracing::error!(reason = %error, "could not load the new configuration; keeping the present one");
             }
         };
         if let Some(reason) = self.config.foreign(&new) {
@@ -26,13 +26,13 @@
         let fixed = self.config.fixed(&new);
         if !fixed.is_empty() {
             let fields = fixed.join(", ");
-            tracing::warn!(fields, "changed configuration fields take effect after a restart only");
+            tracing::warn!(fields, "some changed configuration fields take effect only after a restart");
         }
         if let Some(settings) = self.config.settings_of(&new) {
             self.settings_changed(settings);
         }
         if !self.phase.is_draining() {
-            (self.time_to_stop, self.config.stop) = (new.stop, new.stop);
+            (self.stop_timeout, self.config.stop) = (new.stop, new.stop);
         }
         self.addresses_changed(&new);
     }
@@ -45,7 +45,7 @@
         (self.config.pool, self.config.index, self.config.members) = (pool, index, members);
         {
             let mut net = self.net();
-            // Outstanding calls end on their own connections; the next one is made to the new address.
+            // Outstanding calls continue on their connections; new calls go to the new address.
             (net.pool_address, net.dependency_address, net.membership_address) = (pool, index, members);
             if membership_moved {
                 net.close_reports();
@@ -55,20 +55,20 @@
             self.pool_address_changed();
         }
         if membership_moved {
-            self.poll_moved_service();
+            self.poll_new_membership_service();
         }
         if membership_moved && self.core.is_some() {
             self.report_soon();
         }
     }
 
-    /// Applies changed settings. Requests that were received before keep the settings that they were received with,
-    /// and the admission module keeps what it has learnt.
+    /// Applies changed settings. Requests that were received before keep the settings they were received with, and the
+    /// admission module keeps its learned state.
     fn settings_changed(&mut self, settings: Settings) {
         if let Some(reason) = self.config_version_incompatibility(&settings) {
             return tracing::error!(
                 reason,
-                "the new settings don't fit the configuration version in force; keeping the present ones"
+                "the new settings are incompatible with the configuration version in force; keeping the present settings"
             );
         }
         let present = &self.config.settings.0;
--- a/crates/aldercrank-server/src/net/connection.rs
+++ b/crates/aldercrank-server/src/net/connection.rs
@@ -78,7 +78,7 @@
         Ok(Connection::new(stream, false))
     }
 
-    /// Starts to connect. The first event for the socket tells the outcome, see [`Connection::finish_connecting`].
+    /// Starts to connect. The outcome is known at the first event of the socket, see [`Connection::finish_connecting`].
     pub(super) fn connect(address: SocketAddr) -> io::Result<Connection> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -91,18 +91,18 @@
         Ok(Connection::new(socket.into(), true))
     }
 
-    /// Adds the stream to the poller that serves the request path.
+    /// Registers the stream with the poller, which serves the request path.
     pub(super) fn register_with_poller(&self, poller: &Poller, owner: StreamOwner) -> io::Result<()> {
         poller.add(&*self.stream, owner)
     }
 
-    /// Adds the stream to the event loop; `on_event` is called when it can be read or written.
+    /// Registers the stream with the event loop; `on_event` is called when it can be read or written.
     pub(super) fn register_with_loop(
         &mut self,
         event_loop: &EventLoopHandle,
         mut on_event: impl FnMut(Readiness, &mut Server) + 'static,
     ) -> io::Result<()> {
-        // Edge-triggered: each event is followed until the socket would block, and interest never changes.
+        // Edge-triggered: each event is handled until the socket would block, so the interest never changes.
         let source = Generic::new(self.stream.clone(), Interest::BOTH, Mode::Edge);
         let callback = move |readiness: Readiness, _: &mut _, server: &mut Server| {
             on_event(readiness, server);
@@ -144,7 +144,8 @@
         self.output.written_bytes() > 0
     }
 
-    /// Writes as much as the socket takes. An error shows at the next read.
+    /// Writes as much as the socket accepts. After an error, reads return what was received and then
+    /// [`ReadOutcome::Broken`].
     pub(super) fn flush(&mut self) {
         while self.output.pending_bytes() > 0 && !self.connecting {
             match self.output.write_to(&*self.stream) {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Notes that the connection was reset. Data that can still be read is read before that shows.
+    /// Marks the connection as reset. Reads return the data that is left before they return [`ReadOutcome::Broken`].
     pub(super) fn mark_broken(&mut self) {
         self.broken = true;
     }
@@ -172,18 +173,18 @@
         }
     }
 
-    /// Reads once behind the partly read input, within its spare capacity.
+    /// Reads once and appends to the partly read input, within its spare capacity.
     pub(super) fn read_into_input(&mut self) -> ReadOutcome {
         let input = &mut self.input;
         retry_on_intr(|| rustix::io::read(&*self.stream, rustix::buffer::spare_capacity(input))).into()
     }
 
-    /// Shuts down the write side, so that the peer reads all that was written before it closes.
+    /// Shuts down the write side, so that the peer can read all that was written and then closes.
     pub(super) fn shut_down_writing(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Closes the connection; unsent bytes are written if the socket takes them.
+    /// Closes the connection. Unsent bytes are written first, as far as the socket accepts them.
     pub(super) fn close(mut self, event_loop: &EventLoopHandle) {
         self.flush();
         if let Some(token) = self.token {
--- a/crates/aldercrank-server/src/net/core_ports.rs
+++ b/crates/aldercrank-server/src/net/core_ports.rs
@@ -1,4 +1,4 @@
-//! How the core acts on the sockets.
+//! The core's ports: how it sends answers, commands to the worker pool and dependency calls.
 
 use super::{Net, TimerEvent};
 use crate::core::{Ports, ReplyTo, TimerId};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The core's ports, on the sockets of this server.
+/// Implements the core's ports on the sockets of this server.
 pub(super) struct SocketPorts(pub(super) Rc<RefCell<Net>>);
 
 impl Ports for SocketPorts {
--- a/crates/aldercrank-server/src/net/dependency_calls.rs
+++ b/crates/aldercrank-server/src/net/dependency_calls.rs
@@ -1,7 +1,8 @@
 //! Calls to the upstream dependency (the index), each on a connection of its own.
 //!
-//! On a reused connection a reset could mean that the dependency had dropped it, so that the call never ran, or that
-//! the call ran. On a fresh connection there is no such doubt, and nothing is left over from an earlier response.
+//! On a reused connection, a reset could mean either that the dependency had dropped the idle connection and the call
+//! never ran, or that the call ran. On a new connection this is not in doubt, and nothing is left over from an earlier
+//! response.
 
 use super::http_exchange::{ExchangeError, HttpExchange};
 use super::{Net, Server, TimerEvent};
@@ -32,13 +33,13 @@
 #[derive(Default)]
 pub(super) struct DependencyCalls {
     connections: Slots<CallConnection>,
-    /// The connection of each call; `None` if it could not be made.
+    /// The connection of each call; `None` if the call could not be made.
     outstanding: BTreeMap<RequestId, Option<CallConnectionId>>,
     max_connections: usize,
 }
 
 impl DependencyCalls {
-    /// Allows this many connections at once.
+    /// Allows this many concurrent calls, each on its connection.
     pub(super) fn with_limit(max_connections: usize) -> DependencyCalls {
         DependencyCalls { max_connections, ..DependencyCalls::default() }
     }
@@ -57,14 +58,15 @@
         let host = self.dependency_address.map(|address| address.to_string()).unwrap_or_default();
         let connection = self.open_call(request_id, &index::write_call(&host, attempt, timeout, body));
         self.calls.outstanding.insert(request_id, connection);
-        // Without a connection the call never ran. The core is notified at once, but only after it has returned.
+        // Without a connection the call never ran. The core learns of that from a timer that is due at once, since it
+        // is the core that is calling now.
         let due = if connection.is_some() { now + timeout } else { now };
         self.timers.set(TimerEvent::CallTimeout(request_id), due);
     }
 
     fn open_call(&mut self, request_id: RequestId, message: &[u8]) -> Option<CallConnectionId> {
         if self.calls.connections.len() >= self.calls.max_connections {
-            tracing::warn!("too many outstanding dependency calls; call not made");
+            tracing::warn!("limit of concurrent dependency calls reached; call not made");
             return None;
         }
         let address = self.dependency_address?;
@@ -104,7 +106,7 @@
                 tracing::info!("dependency closed the connection during a call; the call may have run");
                 (Outcome::ConnectionLost, Vec::new())
             }
-            // The response came from where the call ran, so it proves nothing.
+            // An unreadable response doesn't tell whether the call ran.
             Err(ExchangeError::Unreadable(error)) => {
                 tracing::warn!(reason = %error, "dependency sent an unreadable response; the call may have run");
                 (Outcome::ConnectionLost, Vec::new())
--- a/crates/aldercrank-server/src/net/edge_closing.rs
+++ b/crates/aldercrank-server/src/net/edge_closing.rs
@@ -1,44 +1,47 @@
-//! Closes connections from edge nodes: for broken protocol, for want of room, and after the peer was asked to close.
+//! Closes connections from edge nodes: after a protocol violation, to make room for others, and after the peer was
+//! asked to close.
 //!
-//! Each close takes the same steps: what is owed is answered and written, the write side is shut down, and input is
-//! read and discarded until the peer has closed or the time for that is over. A request that is read once the write
-//! side is shut down could not be answered, so it is never handed on.
+//! Each close takes the same steps: the answers that are owed are written, the write side is shut down, and input is
+//! read and discarded until the peer has closed or a timeout expires. A request that is read once the write side is
+//! shut down could not be answered, so it is discarded.
 
 use super::edge_requests::{DirectAnswer, ProtocolViolation};
 use super::Server;
 use crate::core::{ConnId, ReplyTo};
 use std::time::Duration;
 
-/// Idle connections that are read to find one that can make way for a new connection.
+/// How many idle connections are read in search of one that can be closed for a new connection.
 const MAX_IDLE_CHECKS: usize = 8;
 
-/// What the read of a connection without open calls, before it is closed, has found.
-enum FinalRead {
-    /// It has closed, or is closing already.
+/// What a read of an idle connection has found; decides whether the connection can be closed.
+enum ReadBeforeClose {
+    /// The connection is gone, or lingers already.
     Gone,
     /// A request was received.
-    Busy,
-    /// A part of a message was received, or more than one read takes.
+    Request,
+    /// A part of a message was received, or more input than fits into one read.
     PartialMessage,
-    /// Nothing was received.
-    Nothing,
+    /// No input is left.
+    Empty,
 }
 
 impl Server {
-    /// Reads what has been received on a connection before it is decided whether it closes.
-    fn final_read(&mut self, conn: ConnId) -> FinalRead {
+    /// Reads a connection to find out whether it can be closed.
+    fn read_before_close(&mut self, conn: ConnId) -> ReadBeforeClose {
         self.read_edge(conn);
         match self.net().edge.get(conn) {
-            Some(edge) if edge.is_lingering() => FinalRead::Gone,
-            Some(edge) if !edge.open_calls.is_empty() => FinalRead::Busy,
-            Some(edge) if edge.read_queued || !edge.connection.input.is_empty() => FinalRead::PartialMessage,
-            Some(_) => FinalRead::Nothing,
-            None => FinalRead::Gone,
+            Some(edge) if edge.is_lingering() => ReadBeforeClose::Gone,
+            Some(edge) if !edge.open_calls.is_empty() => ReadBeforeClose::Request,
+            Some(edge) if edge.read_queued || !edge.connection.input.is_empty() => {
+                ReadBeforeClose::PartialMessage
+            }
+            Some(_) => ReadBeforeClose::Empty,
+            None => ReadBeforeClose::Gone,
         }
     }
 
-    /// Makes room for a connection that waits to be accepted, so that idle connections don't keep others out. Returns
-    /// false if none can be closed.
+    /// Makes room for a connection that waits to be accepted, so that idle connections don't block new ones. Returns
+    /// false if the limit is reached and no connection can be dropped.
     pub(super) fn make_room(&mut self) -> bool {
         if self.net().edge.is_crowded() {
             self.close_longest_idle();
@@ -50,22 +53,22 @@
         true
     }
 
-    /// Closes the connection that has been idle for longest. One that has begun a message closes only if none of the
-    /// others that were read can.
+    /// Closes the connection that has been idle for longest. One with a partial message is closed only if none of the
+    /// others that were read can be.
     fn close_longest_idle(&mut self) {
         let mut with_partial_message = None;
         for _ in 0..MAX_IDLE_CHECKS {
             let now = self.now();
             let Some(conn) = self.net().edge.longest_idle(now) else { break };
-            match self.final_read(conn) {
-                FinalRead::Gone => return,
-                FinalRead::Busy => {}
-                FinalRead::PartialMessage => {
+            match self.read_before_close(conn) {
+                ReadBeforeClose::Gone => return,
+                ReadBeforeClose::Request => {}
+                ReadBeforeClose::PartialMessage => {
                     with_partial_message.get_or_insert(conn);
-                    // It is not idle: it moves to the end of its list.
+                    // It is receiving a message, so it moves to the end of its list.
                     self.net().mark_idle(conn);
                 }
-                FinalRead::Nothing => return self.linger_edge(conn),
+                ReadBeforeClose::Empty => return self.linger_edge(conn),
             }
         }
         if let Some(conn) = with_partial_message {
@@ -73,13 +76,13 @@
         }
     }
 
-    /// Handles input that breaks the protocol in any way: nothing of it runs, all open calls of the connection fail at
-    /// once, and the connection closes. Input behind it is ignored.
+    /// Handles a protocol violation: the message doesn't run, all open calls of the connection fail at once, and the
+    /// connection closes. Input after the message is ignored.
     pub(super) fn protocol_violated(&mut self, conn: ConnId, violation: ProtocolViolation) {
         tracing::warn!(
             connection = conn.0,
             reason = %violation,
-            "edge node broke the protocol; failing its open calls and closing the connection"
+            "edge node violated the protocol; failing the open calls of the connection and closing it"
         );
         let open_calls = self.net().edge.get(conn).map(|edge| edge.open_calls.clone()).unwrap_or_default();
         open_calls
@@ -88,7 +91,7 @@
         self.linger_edge(conn);
     }
 
-    /// The wait for a peer that was asked to close, or whose connection lingers, is over.
+    /// The peer of a closing or lingering connection has not closed it in time.
     pub(super) fn close_timed_out(&mut self, conn: ConnId) {
         let (is_lingering, no_open_calls) = match self.net().edge.get(conn) {
             Some(edge) => (edge.is_lingering(), edge.open_calls.is_empty()),
@@ -100,27 +103,27 @@
         if !no_open_calls {
             return;
         }
-        match self.final_read(conn) {
-            FinalRead::Gone | FinalRead::Busy => {}
-            // Either its message is completed, or the message timeout closes the connection.
-            FinalRead::PartialMessage => self.net().mark_idle(conn),
-            FinalRead::Nothing => self.linger_edge(conn),
+        match self.read_before_close(conn) {
+            ReadBeforeClose::Gone | ReadBeforeClose::Request => {}
+            // Either the message is completed, or the message timeout closes the connection.
+            ReadBeforeClose::PartialMessage => self.net().mark_idle(conn),
+            ReadBeforeClose::Empty => self.linger_edge(conn),
         }
     }
 
     fn linger_timed_out(&mut self, conn: ConnId) {
-        let (now, patience) = (self.now(), self.socket_settings.longest_deadline);
+        let (now, stall_timeout) = (self.now(), self.socket_settings.longest_deadline);
         let is_over = {
             let mut net = self.net();
             let net = &mut *net;
-            net.edge.linger_wait_over(conn, now, patience, &mut net.timers)
+            net.edge.linger_timed_out(conn, now, stall_timeout, &mut net.timers)
         };
         if is_over {
             self.drop_edge(conn);
         }
     }
 
-    /// Closes a connection on which nothing is owed but output that is still to be written.
+    /// Closes a connection whose calls are all answered. Output that is left is still written.
     fn linger_edge(&mut self, conn: ConnId) {
         let now = self.now();
         {
@@ -131,8 +134,8 @@
         self.connection_lost(now, conn);
     }
 
-    /// The peer has closed its write side, so its callers are gone. Answers are still written to a peer that reads
-    /// slowly, unless the connection turns out to be reset.
+    /// Handles a peer's close of its write side, after which its callers are gone. Unsent answers are still written,
+    /// since the peer may read slowly, unless the connection turns out to be reset.
     pub(super) fn edge_closed_by_peer(&mut self, conn: ConnId) {
         let has_unsent_answers = match self.net().edge.get(conn) {
             Some(edge) => {
@@ -148,7 +151,7 @@
         }
     }
 
-    /// Removes a connection that was lost, or that has to close at once.
+    /// Removes a connection that was lost, or that is to be closed without lingering.
     pub(super) fn drop_edge(&mut self, conn: ConnId) {
         let now = self.now();
         {
--- a/crates/aldercrank-server/src/net/edge_connections.rs
+++ b/crates/aldercrank-server/src/net/edge_connections.rs
@@ -1,11 +1,13 @@
-//! The table of connections from edge nodes: which are idle, which owe a complete message, and how each closes.
+//! The table of connections from edge nodes: which are idle, by when each has to send a complete message, and how each
+//! closes.
 //!
-//! The table bounds the number of connections; at the bound, connections without an open call make way for new ones.
+//! The number of connections is limited. Near the limit, connections without open calls are closed to make room for new
+//! ones.
 //!
 //! A connection passes through three states, in this order: open, closing (the peer was asked to send no new requests)
-//! and lingering (no request is accepted any more; what was answered is written, the write side is shut down, and input
-//! is read and discarded until the peer closes or the time for that is over). Closing a socket that has unread input
-//! would reset the connection, which discards answers that the kernel has not delivered yet.
+//! and lingering (no more requests are accepted; answers are written, the write side is shut down, and input is read
+//! and discarded until the peer closes or a timeout expires). Closing a socket that has unread input would reset the
+//! connection, which discards answers that the kernel has not delivered yet.
 
 use super::connection::{Connection, EventLoopHandle};
 use super::idle_list::{IdleLink, IdleList};
@@ -20,23 +22,23 @@
 
 /// How long the peer has to close after it was asked to, and again after the write side was shut down.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A peer that connects usually sends something soon: until then the connection doesn't count as idle.
-const NEW_CONNECTION_SPAN: Duration = Duration::from_millis(100);
-/// One in this many connections is reserved for lingering ones. From there on the longest idle are closed in order;
-/// only at the bound itself are lingering ones dropped before their time.
+/// For this long a new connection doesn't count as idle, since a peer that connects usually sends something soon.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(100);
+/// One in this many connections is reserved for lingering ones. When the others are in use, the longest idle one is
+/// closed in order; lingering ones are dropped before their timeout only at the limit itself.
 const LINGERING_RESERVE_DIVISOR: usize = 16;
 /// How long a connection may go without a complete message after it was made, or after a message's first byte. Edge
 /// nodes connect when they have something to send, and messages are small.
 pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// State of a connection, see the module.
+/// State of a connection, see the module's documentation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
     /// Requests are accepted.
     Open,
     /// The peer was asked to send no new requests.
     Closing,
-    /// No request is accepted; it closes once all is written and the peer has closed.
+    /// No request is accepted; the connection closes once all output is written and the peer has closed.
     Lingering,
 }
 
@@ -48,35 +50,35 @@
     /// The configuration versions by which open calls were decided; empty without a versioned configuration.
     decided_by: Vec<(MessageId, u64)>,
     pub(super) state: ConnectionState,
-    /// It waits for its turn to be read.
+    /// It is in the queue of connections to be read.
     pub(super) read_queued: bool,
-    /// The peer has closed its write side: the connection is read until that shows.
+    /// The peer has closed its write side; the connection is read until a read reports that.
     pub(super) peer_closed: bool,
-    /// It was not read when it had input, since too much output was unsent.
+    /// It has input that was not read because too much output was unsent.
     pub(super) read_skipped: bool,
-    /// Output was added in this turn.
+    /// It is in the queue of connections to be flushed, since output was added in this turn.
     flush_queued: bool,
     /// Its neighbours in the list of idle connections, while no call is open.
     idle_link: Option<IdleLink>,
     /// When its last call was answered.
     idle_since: Duration,
     /// Whether a complete message has ever been received.
-    has_spoken: bool,
-    /// Until when a complete message is owed.
+    has_sent_message: bool,
+    /// By when a complete message has to be received, if one is expected.
     pub(super) message_due: Option<Duration>,
     /// When it was last known to have no unread input.
-    pub(super) drained_at: Duration,
+    pub(super) input_empty_at: Duration,
     /// Bytes that had been written when progress was last checked.
     checked_written_bytes: u64,
-    /// The write side is shut down: all output had been written before.
+    /// The write side is shut down, which happens once all output is written.
     write_shut_down: bool,
-    /// While lingering: the last wait for the peer has begun.
-    in_last_wait: bool,
+    /// While lingering: all output is written, and the final wait for the peer to close has started.
+    final_wait_started: bool,
 }
 
 impl EdgeConnection {
-    /// A connection that was accepted now, and whose input has been read up to `drained_at`.
-    pub(super) fn new(connection: Connection, now: Duration, drained_at: Duration) -> EdgeConnection {
+    /// A connection that was accepted now, and whose input has been read up to `input_empty_at`.
+    pub(super) fn new(connection: Connection, now: Duration, input_empty_at: Duration) -> EdgeConnection {
         EdgeConnection {
             connection,
             open_calls: Vec::new(),
@@ -88,21 +90,22 @@
             flush_queued: false,
             idle_link: None,
             idle_since: now,
-            has_spoken: false,
+            has_sent_message: false,
             message_due: Some(now + MESSAGE_TIMEOUT),
-            drained_at,
+            input_empty_at,
             checked_written_bytes: 0,
             write_shut_down: false,
-            in_last_wait: false,
+            final_wait_started: false,
         }
     }
 
-    /// Whether it accepts no request any more.
+    /// Whether the connection is lingering and accepts no more requests.
     pub(super) fn is_lingering(&self) -> bool {
         self.state == ConnectionState::Lingering
     }
 
-    /// Writes what the socket takes. After the last byte of a lingering connection its write side is shut down, once.
+    /// Writes as much as the socket accepts. Once a lingering connection has written its last byte, its write side is
+    /// shut down.
     pub(super) fn flush(&mut self) {
         self.connection.flush();
         if self.is_lingering() && !self.write_shut_down && self.connection.unsent_bytes() == 0 {
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Whether anything has been written since the last check. If so, it counts as idle from now on.
+    /// Whether anything has been written since the last check. If so, its idle time starts anew.
     fn made_progress(&mut self, now: Duration) -> bool {
         let written = self.connection.written_bytes();
         let progressed = std::mem::replace(&mut self.checked_written_bytes, written) != written;
@@ -122,7 +125,7 @@
     }
 }
 
-/// A connection without open calls. The order is that in which such connections became idle.
+/// A connection without open calls. Ordered by when the connections became idle.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleConnection {
     since: Duration,
@@ -134,9 +137,9 @@
 pub(super) struct EdgeConnections {
     connections: Slots<EdgeConnection>,
     /// Connections without an open call that have never sent a complete message.
-    silent: IdleList,
+    idle_without_message: IdleList,
     /// Connections without an open call that have sent one.
-    spoken: IdleList,
+    idle_with_message: IdleList,
     max_connections: usize,
     /// Lingering connections, in the order in which they began to linger.
     lingering: VecDeque<ConnId>,
@@ -181,7 +184,8 @@
         self.load_hint = Some(value.to_string());
     }
 
-    /// Called after a read: tells whether complete messages were received, and restarts or clears the message timeout.
+    /// Called after a read; `received_message` tells whether a complete message was received. Restarts or clears the
+    /// message timeout accordingly.
     pub(super) fn input_handled(
         &mut self,
         conn: ConnId,
@@ -190,18 +194,18 @@
         timers: &mut Deadlines<TimerEvent>,
     ) {
         let Some(edge) = self.get(conn) else { return };
-        if received_message && !edge.has_spoken {
-            // It moves to the other idle list, and is idle from now on.
+        if received_message && !edge.has_sent_message {
+            // The connection moves to the other idle list, and its idle time starts anew.
             let was_idle = self.leave_idle_list(conn);
             let Some(edge) = self.get(conn) else { return };
-            (edge.has_spoken, edge.idle_since) = (true, now);
+            (edge.has_sent_message, edge.idle_since) = (true, now);
             if was_idle {
                 self.join_idle_list(conn);
             }
         }
         let Some(edge) = self.get(conn) else { return };
         let message_due = match edge.connection.input.is_empty() {
-            true if edge.has_spoken => None,
+            true if edge.has_sent_message => None,
             false if received_message || edge.message_due.is_none() => Some(now + MESSAGE_TIMEOUT),
             _ => edge.message_due,
         };
@@ -214,18 +218,19 @@
         }
     }
 
-    /// The connection that has been idle for longest; first those that have never sent a complete message, except
-    /// those that were only just made.
+    /// The connection that has been idle for longest. Connections that have never sent a complete message come first,
+    /// except new ones.
     pub(super) fn longest_idle(&self, now: Duration) -> Option<ConnId> {
         let idle_since =
             |conn: &ConnId| self.connections.get(Slot(conn.0)).map_or(now, |edge| edge.idle_since);
-        let silent = self.silent.first.filter(|conn| now >= idle_since(conn) + NEW_CONNECTION_SPAN);
-        silent.or(self.spoken.first)
+        let without_message =
+            self.idle_without_message.first.filter(|conn| now >= idle_since(conn) + NEW_CONNECTION_GRACE);
+        without_message.or(self.idle_with_message.first)
     }
 
-    /// The connection of both lists that has been idle for longest.
+    /// The connection that has been idle for longest in either list.
     fn first_to_time_out(&self) -> Option<IdleConnection> {
-        let firsts = [self.silent.first, self.spoken.first].into_iter().flatten();
+        let firsts = [self.idle_without_message.first, self.idle_with_message.first].into_iter().flatten();
         let idle = firsts.filter_map(|conn| {
             let edge = self.connections.get(Slot(conn.0))?;
             Some(IdleConnection { since: edge.idle_since, conn })
@@ -235,7 +240,8 @@
 
     fn join_idle_list(&mut self, conn: ConnId) {
         let Some(edge) = self.connections.get_mut(Slot(conn.0)) else { return };
-        let list = if edge.has_spoken { &mut self.spoken } else { &mut self.silent };
+        let list =
+            if edge.has_sent_message { &mut self.idle_with_message } else { &mut self.idle_without_message };
         let previous = list.last.replace(conn);
         edge.idle_link = Some(IdleLink { previous, next: None });
         match previous {
@@ -248,7 +254,8 @@
     fn leave_idle_list(&mut self, conn: ConnId) -> bool {
         let Some(edge) = self.connections.get_mut(Slot(conn.0)) else { return false };
         let Some(IdleLink { previous, next }) = edge.idle_link.take() else { return false };
-        let list = if edge.has_spoken { &mut self.spoken } else { &mut self.silent };
+        let list =
+            if edge.has_sent_message { &mut self.idle_with_message } else { &mut self.idle_without_message };
         if previous.is_none() {
             list.first = next;
         }
@@ -271,18 +278,18 @@
         self.connections.is_empty()
     }
 
-    /// Whether the bound is reached.
+    /// Whether the connection limit is reached.
     pub(super) fn is_full(&self) -> bool {
         self.connections.len() >= self.max_connections
     }
 
-    /// Whether the longest idle connection should be closed while there is time to do so in order.
+    /// Whether only the reserve for lingering connections is left, so that the longest idle one should start to close.
     pub(super) fn is_crowded(&self) -> bool {
         let reserve = self.max_connections / LINGERING_RESERVE_DIVISOR;
         self.connections.len() - self.lingering.len() >= self.max_connections - reserve
     }
 
-    /// Of the lingering connections with all output written, the one that has lingered for longest.
+    /// The connection that has lingered for longest among those with all output written.
     pub(super) fn longest_lingering(&self) -> Option<ConnId> {
         let is_written =
             |conn: &&ConnId| self.connections.get(Slot(conn.0)).is_some_and(|edge| edge.write_shut_down);
@@ -294,7 +301,7 @@
         self.connections.get_mut(Slot(conn.0))
     }
 
-    /// Notes a call as open. Returns false if its message id is open already.
+    /// Adds an open call. Returns false if an open call has the same message id, or the connection is gone.
     pub(super) fn open_call(&mut self, conn: ConnId, call: MessageId) -> bool {
         let Some(edge) = self.get(conn) else { return false };
         if edge.open_calls.contains(&call) {
@@ -324,7 +331,7 @@
         }
     }
 
-    /// Writes the output of this turn, as far as the sockets take it.
+    /// Writes the output that was added in this turn, as far as the sockets accept it.
     pub(super) fn flush(&mut self) {
         while let Some(conn) = self.flush_queue.pop() {
             if let Some(edge) = self.get(conn) {
@@ -334,7 +341,7 @@
         }
     }
 
-    /// Sends the answer to an open call; one that is not open any more gets none.
+    /// Sends the answer to an open call. A call that is no longer open gets none.
     pub(super) fn answer(
         &mut self,
         reply_to: ReplyTo,
@@ -349,7 +356,7 @@
         }
     }
 
-    /// Notes the configuration version by which an open call is decided.
+    /// Records the configuration version by which an open call is decided.
     pub(super) fn set_decided_by(&mut self, reply_to: ReplyTo, version: u64) {
         let open = |edge: &&mut EdgeConnection| edge.open_calls.contains(&reply_to.call);
         if let Some(edge) = self.get(reply_to.conn).filter(open) {
@@ -357,7 +364,7 @@
         }
     }
 
-    /// Called after an answer: a connection without open calls is idle from now on, and closes when its time comes.
+    /// Marks a connection as idle from now on if it has no open calls, and starts the timeout after which it closes.
     pub(super) fn mark_idle(&mut self, conn: ConnId, now: Duration, timers: &mut Deadlines<TimerEvent>) {
         let no_open_calls = |edge: &&mut EdgeConnection| edge.open_calls.is_empty() && !edge.is_lingering();
         let Some(edge) = self.get(conn).filter(no_open_calls) else { return };
@@ -390,8 +397,8 @@
         }
     }
 
-    /// Asks the peers of all connections that have been idle for the timeout to close.
-    pub(super) fn close_timed_out(&mut self, now: Duration, timers: &mut Deadlines<TimerEvent>) {
+    /// Asks the peers of all connections that have reached the idle timeout to close.
+    pub(super) fn ask_idle_to_close(&mut self, now: Duration, timers: &mut Deadlines<TimerEvent>) {
         let Some(timeout) = self.idle_timeout else { return };
         while let Some(IdleConnection { conn, .. }) =
             self.first_to_time_out().filter(|idle| idle.since + timeout <= now)
@@ -407,8 +414,8 @@
         self.schedule_idle_timeout(timers);
     }
 
-    /// Asks the peer to send no new requests; the connection closes once all calls are answered. Unlike a close by
-    /// this server, that can't cross a request.
+    /// Asks the peer to send no new requests; the connection closes once all calls are answered. If this server just
+    /// closed it, a request could be under way at that moment and be lost.
     fn ask_to_close(&mut self, conn: ConnId, now: Duration, timers: &mut Deadlines<TimerEvent>) {
         if let Some(edge) = self.get(conn).filter(|edge| edge.state == ConnectionState::Open) {
             edge.state = ConnectionState::Closing;
@@ -423,7 +430,7 @@
         all.into_iter().for_each(|conn| self.ask_to_close(conn, now, timers));
     }
 
-    /// Lets a connection linger: its output is written, then the write side is shut down, and input is discarded.
+    /// Makes a connection linger: its output is written, then the write side is shut down, and input is discarded.
     pub(super) fn linger(&mut self, conn: ConnId, now: Duration, timers: &mut Deadlines<TimerEvent>) {
         self.leave_idle_list(conn);
         let close_timeout = self.close_timeout;
@@ -435,27 +442,28 @@
         edge.idle_since = now;
         edge.flush();
         edge.checked_written_bytes = edge.connection.written_bytes();
-        edge.in_last_wait = edge.write_shut_down;
+        edge.final_wait_started = edge.write_shut_down;
         self.lingering.push_back(conn);
         timers.clear(TimerEvent::MessageTimeout(conn));
         timers.set(TimerEvent::CloseTimeout(conn), now + close_timeout);
     }
 
-    /// A wait for the peer of a lingering connection is over. Returns true if the connection has to be dropped now. One
-    /// whose peer reads slowly stays as long as some of its output is written, and for `patience` after that.
-    pub(super) fn linger_wait_over(
+    /// Called when the close timeout of a lingering connection expires. Returns true if the connection has to be
+    /// dropped now. One whose peer reads slowly stays as long as some of its output is written, and for `stall_timeout`
+    /// after that.
+    pub(super) fn linger_timed_out(
         &mut self,
         conn: ConnId,
         now: Duration,
-        patience: Duration,
+        stall_timeout: Duration,
         timers: &mut Deadlines<TimerEvent>,
     ) -> bool {
         let close_timeout = self.close_timeout;
         let Some(edge) = self.get(conn) else { return false };
         edge.flush();
         let is_over = match edge.write_shut_down {
-            true => std::mem::replace(&mut edge.in_last_wait, true),
-            false => !edge.made_progress(now) && now >= edge.idle_since + patience,
+            true => std::mem::replace(&mut edge.final_wait_started, true),
+            false => !edge.made_progress(now) && now >= edge.idle_since + stall_timeout,
         };
         if !is_over {
             timers.set(TimerEvent::CloseTimeout(conn), now + close_timeout);
--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -17,58 +17,59 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Calls that may be open on a connection.
+/// The most calls that may be open on a connection.
 const MAX_OPEN_CALLS: usize = 32;
-/// The memory that a request may need has to be below this, in KB.
+/// The memory that a request states as its need has to be below this, in KB.
 const MEMORY_LIMIT_KB: f64 = 2000.0;
-/// A connection with more output than this unsent, in bytes, is not read until its peer has caught up. Together with
-/// the answers to the calls that are open by then, that stays small compared with the memory.
+/// A connection with more unsent output than this, in bytes, is not read until its peer has read some of it. Together
+/// with the answers to the calls that are open by then, this is little compared with the memory limit.
 const MAX_UNSENT_BYTES: usize = 16 * 1024;
-/// How often the message timeout of a connection that is not read is checked again.
+/// How often the message timeout of a connection is checked again while it is not read.
 const SKIPPED_READ_RECHECK: Duration = Duration::from_secs(1);
-/// Size of a connection's kernel send buffer, in bytes. Less than two segments would wait for an acknowledgement each.
+/// Size of a connection's kernel send buffer, in bytes. With room for less than two segments, each one would wait for
+/// an acknowledgement.
 const SEND_BUFFER_BYTES: usize = 32 * 1024;
-/// Where results may be longer than usual, the send buffer takes one in this many bytes of the excess.
+/// If results may exceed the usual limit, the send buffer holds one in this many bytes of the excess.
 const SEND_BUFFER_DIVISOR: usize = 4;
 
-/// How an edge node broke the protocol. Its text is the reason in the log line.
+/// How an edge node violated the protocol. Its text is the reason in the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ProtocolViolation {
-    /// A message can't be read.
+    /// A message can't be decoded.
     #[error("{0}")]
     Unreadable(#[from] ProtocolError),
-    /// A request makes no sense.
+    /// A request is malformed.
     #[error("{0}")]
     InvalidRequest(#[from] InvalidRequest),
-    /// A notification is not known.
+    /// A notification is unknown.
     #[error("{0}")]
     UnknownNotification(#[from] UnknownNotification),
-    /// A request came on a connection that is not open any more.
-    #[error("no connection")]
+    /// A request was received on a connection that has been removed.
+    #[error("connection has been removed")]
     NoConnection,
     /// More calls are open than are allowed.
-    #[error("too many calls open")]
+    #[error("more than {MAX_OPEN_CALLS} calls open at once")]
     TooManyOpenCalls,
     /// A call with the same message id is open.
-    #[error("a call's id is open already")]
+    #[error("message id of a call that is still open was used again")]
     DuplicateMessageId,
     /// No complete message was received in time.
-    #[error("no whole message in its time")]
+    #[error("no complete message within {MESSAGE_TIMEOUT:?}")]
     MessageTimeout,
-    /// A field that is required is missing or unreadable; its name in the protocol.
-    #[error("a call without {0}, or with one that can't be read")]
+    /// A required field, given by its name in the protocol, is missing or can't be decoded.
+    #[error("request field {0} is missing or can't be decoded")]
     MissingField(&'static str),
-    /// A field is out of the protocol's range; its name there.
-    #[error("a call with {0} out of range")]
+    /// A field, given by its name in the protocol, is outside the range that the protocol allows.
+    #[error("request field {0} is out of range")]
     FieldOutOfRange(&'static str),
 }
 
 /// How a call that is not handed to the core is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DirectAnswer {
-    /// It did not run; the caller may retry it.
+    /// The call did not run; the caller may retry it.
     Rejected,
-    /// It failed.
+    /// The call failed.
     Failed,
 }
 
@@ -76,12 +77,12 @@
 struct EdgeMessageHandler<'a> {
     server: &'a mut Server,
     conn: ConnId,
-    /// Set once the peer has broken the protocol.
+    /// The violation, once the peer has violated the protocol.
     violation: Option<ProtocolViolation>,
 }
 
 impl EdgeMessageHandler<'_> {
-    /// Converts a request's fields; its times are converted to this server's clock.
+    /// Converts and checks a request's fields. Times are converted to this server's clock.
     fn received_request<'b>(
         &mut self,
         now: Duration,
@@ -96,14 +97,14 @@
         let budget = stated_budget
             .or_else(|| self.server.socket_settings.default_budget(method))
             .ok_or(MissingField("budget"))?;
-        // Not below zero, in case this server's clock was set back, and not more than the budget.
+        // Neither is negative if this server's clock was set back, and what remains is not more than the budget.
         let unread_time = unix_now.saturating_sub(sent_at);
         let unix_deadline = sent_at.checked_add(budget).ok_or(FieldOutOfRange("budget"))?;
         let remaining = unix_deadline.saturating_sub(unix_now).min(budget);
-        // The stated time unread is trusted only as far as this server's own reads allow: all input that came before
-        // the connection was last drained has been read then.
-        let drained_at = self.server.net().edge.get(self.conn).map_or(now, |edge| edge.drained_at);
-        let unread = now.saturating_sub(drained_at);
+        // The time that the request has waited unread by its own account is trusted only as far as this server's reads
+        // allow: input that had arrived when the connection was last known to be empty has been read by then.
+        let input_empty_at = self.server.net().edge.get(self.conn).map_or(now, |edge| edge.input_empty_at);
+        let unread = now.saturating_sub(input_empty_at);
         let dedup_key = match (fields.idempotency_key, fields.subject) {
             (Some(token), _) => Some(DedupKey::token(method, token, body)),
             (None, Some(subject)) => Some(DedupKey::subject(method, subject)),
@@ -143,7 +144,7 @@
         let now = self.server.now();
         match self.received_request(now, method, fields, body) {
             Ok(request) => self.server.request_received(now, reply_to, request),
-            // Requests between servers have a body, and no fields.
+            // Consensus requests between servers have a body and no fields.
             Err(_)
                 if method == msgpack_rpc::CONSENSUS_METHOD
                     && self.server.consensus_request(reply_to, body) => {}
@@ -160,7 +161,7 @@
     }
 
     fn cancel(&mut self, call: MessageId) {
-        // No answer is owed, but one does no harm, and the caller doesn't wait for nothing.
+        // No answer is required, but one does no harm, and the caller need not wait for its timeout.
         let reply_to = ReplyTo { conn: self.conn, call };
         if self.server.net().edge.get(self.conn).is_some_and(|edge| edge.open_calls.contains(&call)) {
             self.server.answer_directly(reply_to, DirectAnswer::Failed);
@@ -169,7 +170,7 @@
     }
 
     fn invalid_request(&mut self, call: MessageId, reason: InvalidRequest) {
-        // It counts as open, so that it gets an error together with all others.
+        // The call is counted as open so that it fails together with all others.
         let _ = self.server.open_call(self.conn, call);
         self.violation = Some(reason.into());
     }
@@ -180,16 +181,17 @@
 }
 
 impl Server {
-    /// Accepts the connections that wait. Returns false if there is no room for more; the others stay in the queue.
+    /// Accepts the connections in the accept queue. Returns false if it stops early, because there is no room for more
+    /// or accepting fails; the others stay in the queue.
     pub(super) fn accept(&mut self, listener: &TcpListener) -> bool {
-        let (started_at, drained_at) = (self.now(), self.accept_queue_empty_at);
+        let (started_at, input_empty_at) = (self.now(), self.accept_queue_empty_at);
         loop {
             if !self.make_room() {
                 tracing::warn!("connection limit reached; new connections wait in the accept queue");
                 return false;
             }
             match listener.accept() {
-                Ok((stream, _)) => self.add_edge_connection(stream, drained_at),
+                Ok((stream, _)) => self.add_edge_connection(stream, input_empty_at),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.accept_queue_empty_at = started_at;
                     return true;
@@ -204,7 +206,7 @@
         }
     }
 
-    fn add_edge_connection(&mut self, stream: TcpStream, drained_at: Duration) {
+    fn add_edge_connection(&mut self, stream: TcpStream, input_empty_at: Duration) {
         let now = self.now();
         let excess = self.config.result.saturating_sub(MAX_PAYLOAD_BYTES);
         let send_buffer = SEND_BUFFER_BYTES.max(excess / SEND_BUFFER_DIVISOR);
@@ -212,7 +214,7 @@
             tracing::debug!(reason = %e, "could not set the send buffer size; keeping the default");
         }
         let edge = match Connection::accepted(stream) {
-            Ok(connection) => EdgeConnection::new(connection, now, drained_at),
+            Ok(connection) => EdgeConnection::new(connection, now, input_empty_at),
             Err(e) => {
                 return tracing::error!(reason = %e, "could not set up an accepted connection; closing it")
             }
@@ -229,12 +231,14 @@
                 net.timers.set(TimerEvent::MessageTimeout(conn), now + MESSAGE_TIMEOUT);
             }
             Ok(None) => {}
-            Err(e) => tracing::error!(reason = %e, "could not watch an accepted connection; closing it"),
+            Err(e) => {
+                tracing::error!(reason = %e, "could not register an accepted connection with epoll; closing it");
+            }
         }
     }
 
-    /// Handles an event of a connection: writes what is unsent and reads at once, except after a long round of reads,
-    /// when the connection waits for its turn.
+    /// Handles an event of a connection: writes unsent output and reads input at once. If this turn's time slice for
+    /// reads is used up, the connection is queued to be read later.
     pub(super) fn edge_event(&mut self, conn: ConnId, event: StreamEvent) {
         let now = self.now();
         let read_skipped = {
@@ -249,7 +253,7 @@
             }
             edge.read_skipped
         };
-        // Input that was skipped has had its event.
+        // There is no further event for input that was skipped.
         if !event.readable && !read_skipped {
             return;
         }
@@ -261,20 +265,21 @@
         }
     }
 
-    /// Reads a connection once; one that may have more input waits for its next turn.
+    /// Reads a connection once, and queues it again if it may have more input.
     pub(super) fn read_edge(&mut self, conn: ConnId) {
         let mut buffer = self.take_read_buffer();
         let (mut is_lingering, mut peer_closed) = (false, false);
         let outcome = match self.net().edge.get(conn) {
             Some(edge) => {
-                // Output of this turn may not have been tried yet.
+                // Output that was added in this turn is written first, since it may fit into the socket.
                 if edge.connection.unsent_bytes() > MAX_UNSENT_BYTES {
                     edge.flush();
                 }
                 (is_lingering, peer_closed) = (edge.is_lingering(), edge.peer_closed);
-                // A peer that has closed never catches up: its end is what is left to be read.
-                let lags = edge.connection.unsent_bytes() > MAX_UNSENT_BYTES;
-                edge.read_skipped = lags && !peer_closed && !is_lingering;
+                // A peer that has closed may never read its answers; the connection is read until the close is
+                // reported.
+                let is_backlogged = edge.connection.unsent_bytes() > MAX_UNSENT_BYTES;
+                edge.read_skipped = is_backlogged && !peer_closed && !is_lingering;
                 (!edge.read_skipped).then(|| edge.connection.read(&mut buffer))
             }
             None => None,
@@ -282,19 +287,20 @@
         let now = self.now();
         match outcome {
             Some(ReadOutcome::Bytes(length)) => {
-                // A read that does not fill the buffer has read all there is, unless the peer has closed.
+                // A read that doesn't fill the buffer has emptied the socket. Once the peer has closed, a further read
+                // is needed to report the close.
                 let may_have_more = length == buffer.len() || peer_closed;
-                // Requests on a lingering connection could not be answered.
+                // Requests on a lingering connection could not be answered, so its input is discarded.
                 if !is_lingering {
                     self.handle_edge_input(conn, &buffer[..length]);
                 }
                 if may_have_more {
                     self.queue_edge_read(conn);
                 } else {
-                    self.mark_drained(conn, now);
+                    self.mark_input_empty(conn, now);
                 }
             }
-            Some(ReadOutcome::WouldBlock) => self.mark_drained(conn, now),
+            Some(ReadOutcome::WouldBlock) => self.mark_input_empty(conn, now),
             Some(ReadOutcome::Closed) => self.edge_closed_by_peer(conn),
             Some(ReadOutcome::Broken) => self.drop_edge(conn),
             None => {}
@@ -302,13 +308,13 @@
         self.read_buffer = buffer;
     }
 
-    fn mark_drained(&mut self, conn: ConnId, now: Duration) {
+    fn mark_input_empty(&mut self, conn: ConnId, now: Duration) {
         if let Some(edge) = self.net().edge.get(conn) {
-            edge.drained_at = now;
+            edge.input_empty_at = now;
         }
     }
 
-    /// Puts a connection at the end of the queue of those to be read.
+    /// Adds a connection to the queue of those to be read, unless it is in it.
     fn queue_edge_read(&mut self, conn: ConnId) {
         let mut net = self.net();
         let Some(edge) = net.edge.get(conn) else { return };
@@ -336,7 +342,7 @@
             Some(edge) => std::mem::take(&mut edge.connection.input),
             None => return,
         };
-        // Most messages come complete and are decoded in the read buffer.
+        // Most messages arrive complete and are decoded in the read buffer, without a copy.
         let has_earlier_input = !input.is_empty();
         if has_earlier_input {
             count_copied(bytes.len());
@@ -369,26 +375,27 @@
         net.edge.input_handled(conn, now, consumed > 0, &mut net.timers);
     }
 
-    /// The time by which a connection owed a complete message has come.
+    /// No complete message was received on a connection in time.
     pub(super) fn message_timed_out(&mut self, conn: ConnId) {
-        // Reads once more before the connection is closed. It stays while this server does not read it.
+        // Input that has arrived meanwhile is read before the connection is closed. While this server doesn't read the
+        // connection because its output is backlogged, it stays open.
         self.read_edge(conn);
         let now = self.now();
-        let (is_overdue, lags) = match self.net().edge.get(conn) {
+        let (is_overdue, is_backlogged) = match self.net().edge.get(conn) {
             Some(edge) => (
                 edge.message_due.is_some_and(|due| due <= now),
                 edge.connection.unsent_bytes() > MAX_UNSENT_BYTES,
             ),
             None => return,
         };
-        if lags {
+        if is_backlogged {
             self.net().timers.set(TimerEvent::MessageTimeout(conn), now + SKIPPED_READ_RECHECK);
         } else if is_overdue {
             self.protocol_violated(conn, ProtocolViolation::MessageTimeout);
         }
     }
 
-    /// Notes a call as open.
+    /// Adds an open call, unless that violates the protocol.
     fn open_call(&mut self, conn: ConnId, call: MessageId) -> Result<(), ProtocolViolation> {
         let mut net = self.net();
         let edge = net.edge.get(conn).ok_or(ProtocolViolation::NoConnection)?;
@@ -401,7 +408,7 @@
         }
     }
 
-    /// Answers a call without the core: one that makes no sense, or that came when nothing can run.
+    /// Answers a call without the core: one that is invalid or cancelled, or that was received before the core exists.
     pub(super) fn answer_directly(&mut self, reply_to: ReplyTo, answer: DirectAnswer) {
         self.net().answer(reply_to, |output, fields| {
             output.append_framing(|bytes| match answer {
--- a/crates/aldercrank-server/src/net/http_exchange.rs
+++ b/crates/aldercrank-server/src/net/http_exchange.rs
@@ -1,5 +1,5 @@
-//! One HTTP request and its response on a connection of its own, as calls to the upstream dependency and requests to
-//! the membership service use it.
+//! One HTTP request and its response on a connection of its own. Used for calls to the upstream dependency and for
+//! requests to the membership service.
 
 use super::connection::{Connection, EventLoopHandle, ReadOutcome};
 use super::Server;
@@ -18,20 +18,20 @@
     /// The connection was closed before the response was complete.
     #[error("connection closed before a complete response")]
     Closed,
-    /// The response is no valid HTTP.
+    /// The response is not valid HTTP.
     #[error("{0}")]
     Unreadable(#[from] HttpError),
 }
 
-/// A request under way.
+/// An outstanding HTTP request.
 pub(super) struct HttpExchange {
     connection: Connection,
     reader: ResponseReader,
 }
 
 impl HttpExchange {
-    /// Starts a request. `store` keeps the exchange and gives its id, or `None` if there is no room for it; `on_event`
-    /// is called with that id whenever [`HttpExchange::poll_response`] may make progress.
+    /// Starts a request. `store` stores the exchange and returns its id, or `None` if there is no room for it.
+    /// `on_event` is called with that id whenever [`HttpExchange::poll_response`] may make progress.
     pub(super) fn start<Id: Copy + 'static>(
         event_loop: &EventLoopHandle,
         address: SocketAddr,
@@ -39,7 +39,7 @@
         on_event: impl Fn(&mut Server, Id) + 'static,
         store: impl FnOnce(HttpExchange) -> Option<Id>,
     ) -> io::Result<Option<Id>> {
-        // The callback is registered before the id is known.
+        // The callback is registered before the id is known, so it reads the id from a shared cell.
         let id_cell = Rc::new(Cell::new(None));
         let callback_id = id_cell.clone();
         let mut connection = Connection::connect(address)?;
@@ -54,7 +54,8 @@
         Ok(id)
     }
 
-    /// Writes and reads what is possible now. Returns `None` until the response is complete or the exchange has failed.
+    /// Writes and reads as much as the socket allows now. Returns `None` until the response is complete or the exchange
+    /// has failed.
     pub(super) fn poll_response(&mut self, buffer: &mut [u8]) -> Option<Result<Response, ExchangeError>> {
         if self.connection.finish_connecting().is_err() {
             return Some(Err(ExchangeError::NotSent));
--- a/crates/aldercrank-server/src/net/idle_list.rs
+++ b/crates/aldercrank-server/src/net/idle_list.rs
@@ -1,6 +1,7 @@
-//! A doubly linked list through the table of connections, in the order in which they became idle.
+//! A doubly linked list of idle connections, in the order in which they became idle. Each connection in the table holds
+//! its own link.
 //!
-//! Connections join at the end, so adding and removing cost the same however many there are.
+//! Connections are appended at the end, so adding and removing take constant time.
 
 use crate::core::ConnId;
 
@@ -11,7 +12,7 @@
     pub(super) next: Option<ConnId>,
 }
 
-/// The ends of a list.
+/// The first and the last connection of a list.
 #[derive(Debug, Default)]
 pub(super) struct IdleList {
     pub(super) first: Option<ConnId>,
--- a/crates/aldercrank-server/src/net/membership_reports.rs
+++ b/crates/aldercrank-server/src/net/membership_reports.rs
@@ -1,9 +1,9 @@
 //! Reports of this server's health to the membership service.
 //!
 //! Reports are sent often enough that the server's entry never expires, and at once when the reported health changes.
-//! Each report has a connection of its own: one that stays unanswered, but may have been received, delays neither the
-//! next nor a change. `aldercrank-pacing` decides when the next report is due, so that a fleet that starts, or whose
-//! membership service comes back, neither reports in one burst nor stays in step.
+//! Each report has a connection of its own, so one that is not answered, but may have been received, delays neither the
+//! next one nor the report of a change. `aldercrank-pacing` decides when the next report is due, so that a fleet that
+//! starts, or whose membership service becomes available again, neither reports in one burst nor stays synchronized.
 
 use super::http_exchange::{ExchangeError, HttpExchange};
 use super::{Net, Server, TimerEvent};
@@ -12,9 +12,9 @@
 use aldercrank_pacing::RetryPacer;
 use std::time::Duration;
 
-/// Reports that may be outstanding: as many as are sent within an entry's TTL. The oldest is dropped beyond that.
+/// The most outstanding reports: as many as are sent within an entry's TTL. Beyond that, the oldest is closed.
 const MAX_OUTSTANDING: usize = ENTRY_TTL.as_secs().div_ceil(REPORT_INTERVAL.as_secs()) as usize;
-/// The status by which the membership service accepts a report.
+/// The HTTP status with which the membership service accepts a report.
 const STATUS_ACCEPTED: u16 = 204;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,14 +32,14 @@
     /// The health that the membership service accepted last.
     accepted: Option<bool>,
     pacer: RetryPacer,
-    /// The latest report, until its outcome is known.
+    /// The latest report, if its outcome is not known yet and decides when the next one is due.
     latest: Option<Slot>,
-    /// The report that this server shuts down has not been sent yet.
+    /// Whether the report that this server shuts down is still to be sent.
     shutdown_report_pending: bool,
 }
 
 impl MembershipReports {
-    /// Without reports yet.
+    /// Creates the state before the first report.
     pub(super) fn new(pacer: RetryPacer) -> MembershipReports {
         MembershipReports {
             outstanding: Slots::default(),
@@ -50,13 +50,14 @@
         }
     }
 
-    /// Whether a server that shuts down has to stay, since the membership service has not been notified.
+    /// Whether this server has to delay its exit, since the report that it shuts down has not been sent.
     pub(super) fn shutdown_report_pending(&self) -> bool {
         self.shutdown_report_pending
     }
 
-    /// What is to be reported has changed: when it is sent no longer depends on the outcome of an earlier report.
-    fn forget_latest(&mut self) {
+    /// Makes the time of the next report independent of the outcome of the latest one, since what is to be reported has
+    /// changed.
+    fn discard_latest(&mut self) {
         self.latest = None;
     }
 }
@@ -65,13 +66,13 @@
     /// Sends a report now.
     fn send_report(&mut self) {
         let (healthy, version) = (self.reports_healthy(), self.config_version_number());
-        let warming = self.core.as_ref().filter(|_| self.config.start.report_share);
-        let share = warming.and_then(|core| core.slow_start_status()).map(|status| status.share);
+        let slow_starting_core = self.core.as_ref().filter(|_| self.config.start.report_share);
+        let share = slow_starting_core.and_then(|core| core.slow_start_status()).map(|status| status.share);
         let mut net = self.net();
         let net = &mut *net;
         let now = net.clock.now();
-        net.drop_superseded_reports(healthy, now);
-        // By then this report is answered, or it counts as lost.
+        net.close_obsolete_reports(healthy, now);
+        // A report that is not answered by then counts as lost.
         net.timers.set(TimerEvent::Report, now + REPORT_INTERVAL);
         let host = net.membership_address.to_string();
         let message = membership::write_report(&host, &net.name, healthy, version, share);
@@ -141,7 +142,7 @@
         net.reports.log_outcome(response, healthy, next_at.saturating_sub(now));
     }
 
-    /// Sets the time of the first report, which is random for each server. Called when the worker pool is bound.
+    /// Schedules the first report at a random time. Called when the worker pool is bound for the first time.
     pub(super) fn schedule_first_report(&mut self) {
         let mut net = self.net();
         let now = net.clock.now();
@@ -150,22 +151,23 @@
     }
 
     /// Schedules the report that this server shuts down at a random time within `spread`, since servers are often
-    /// stopped together. Returns another random span within `spread`, by which connections are closed earlier.
+    /// stopped together. Returns another random duration within `spread`, by which peers are asked to close earlier.
     pub(super) fn schedule_shutdown_report(&mut self, spread: Duration) -> Duration {
         let mut net = self.net();
         let now = net.clock.now();
         let report_at = now + net.reports.pacer.random_time_within(spread);
         net.reports.shutdown_report_pending = true;
-        net.reports.forget_latest();
+        net.reports.discard_latest();
         net.timers.set(TimerEvent::Report, report_at);
         net.reports.pacer.random_time_within(spread)
     }
 
-    /// Reports in the current turn, since the health or the membership service's address has changed.
+    /// Schedules a report for this turn of the event loop. Called when the health or the membership service's address
+    /// has changed.
     pub(super) fn report_soon(&mut self) {
         let mut net = self.net();
         let now = net.clock.now();
-        net.reports.forget_latest();
+        net.reports.discard_latest();
         net.timers.set(TimerEvent::Report, now);
     }
 }
@@ -191,9 +193,9 @@
 }
 
 impl Net {
-    /// Closes reports of another health, which must not arrive after the new one, expired ones, and the oldest ones
-    /// where too many are outstanding.
-    fn drop_superseded_reports(&mut self, healthy: bool, now: Duration) {
+    /// Closes outstanding reports of another health, which must not arrive after the new one, reports that are older
+    /// than an entry's TTL, and the oldest ones if too many are outstanding.
+    fn close_obsolete_reports(&mut self, healthy: bool, now: Duration) {
         let mut outstanding: Vec<(Duration, Slot, bool)> = self
             .reports
             .outstanding
--- a/crates/aldercrank-server/src/net/mod.rs
+++ b/crates/aldercrank-server/src/net/mod.rs
@@ -1,7 +1,7 @@
-//! The sockets of a server: one event loop on one thread, and everything that it serves.
+//! The network side of a server: a single-threaded event loop with its sockets, timers and signals.
 //!
-//! This module holds no decisions: it turns input into calls of the core and of the agreement on the versioned
-//! configuration, and carries out what they ask for.
+//! This module makes no decisions about requests or versions. It turns input into calls of the core and of the
+//! agreement on the versioned configuration, and performs the I/O that they ask for.
 
 mod config_agreement;
 mod config_reload;
@@ -49,28 +49,28 @@
 use std::time::Duration;
 use worker_pool_link::WorkerPoolLink;
 
-/// How long accepting pauses after the connection limit was reached.
-const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest that the event loop sleeps.
+/// How long accepting pauses when there is no room for another connection, or accepting has failed.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// The longest that the event loop waits for events.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// What a timer is for. Each kind, with its id, is set at most once.
+/// What a timer is for. Each value has at most one timer; setting it again replaces its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum TimerEvent {
     /// A timer of the core.
     Core(TimerId),
-    /// Some connection may have been idle for the idle timeout.
+    /// A connection may have reached the idle timeout.
     IdleTimeout,
-    /// The wait for a peer that was asked to close, or whose connection lingers, is over.
+    /// The peer of a closing or lingering connection has not closed it in time.
     CloseTimeout(ConnId),
-    /// A connection owes a complete message.
+    /// A connection has not received a complete message in time.
     MessageTimeout(ConnId),
     /// A dependency call has timed out, or could not be made.
     CallTimeout(RequestId),
     /// An attempt to connect to the worker pool is due, or has taken too long.
     ConnectPool,
-    /// Connections may be accepted again.
-    Listen,
+    /// Accepting connections resumes after a pause.
+    ResumeAccepting,
     /// A report to the membership service is due.
     Report,
     /// A timer of the agreement on the versioned configuration.
@@ -81,7 +81,7 @@
     Exit,
 }
 
-/// What the sockets share.
+/// State that all sockets share, and that the core acts on through its ports.
 struct Net {
     event_loop: EventLoopHandle,
     poller: Poller,
@@ -96,23 +96,25 @@
     pool: WorkerPoolLink,
     calls: DependencyCalls,
     reports: MembershipReports,
-    /// Connections that may have more to read, in the order of their turns.
+    /// Connections that may have more to read, in the order in which they will be read.
     read_queue: VecDeque<ConnId>,
-    /// The link to the worker pool may have more to read.
+    /// Whether the link to the worker pool may have more to read.
     pool_read_pending: bool,
-    /// The health that the core reports.
+    /// Whether the core is healthy, as it last reported.
     core_healthy: bool,
+    /// Set when this server's health may have changed; handled and cleared at the end of the turn.
     health_changed: bool,
 }
 
 impl Net {
-    /// Sends the answer to an open call, with the load hint if there is one.
+    /// Writes the answer to an open call; `write` is given the load hint and version that accompany it.
     fn answer(&mut self, reply_to: ReplyTo, write: impl FnOnce(&mut OutputBuffer, ResponseFields)) {
         self.edge.answer(reply_to, write);
         self.mark_idle(reply_to.conn);
     }
 
-    /// Called when a call of a connection has ended, or when it has none: without open calls it is idle.
+    /// Marks a connection as idle from now on if it has no open calls. Called when a connection is added, and whenever
+    /// one of its calls has ended.
     fn mark_idle(&mut self, conn: ConnId) {
         self.edge.mark_idle(conn, self.clock.now(), &mut self.timers);
     }
@@ -121,12 +123,12 @@
 /// Reads the configuration again.
 type ReadConfig = Box<dyn Fn() -> Result<Config, Box<dyn Error>>>;
 
-/// A server: what the event loop hands to each of its sources.
+/// A server. The event loop passes it to the callbacks of all event sources.
 struct Server {
     net: Rc<RefCell<Net>>,
-    /// Exists once the worker pool has been bound.
+    /// Created when the worker pool is bound for the first time.
     core: Option<Core<SocketPorts>>,
-    /// Exists where the service file names a versioned configuration.
+    /// Present if the service file names a versioned configuration.
     agreement: Option<Box<ConfigAgreement>>,
     /// Whether the pool was cold when it was first bound.
     pool_was_cold: bool,
@@ -135,12 +137,12 @@
     read_config: ReadConfig,
     /// Memory for cached and queued results, in bytes.
     result_memory_bytes: usize,
-    /// From the request to stop until the process is killed.
-    time_to_stop: Duration,
+    /// How long after it was asked to stop the process is killed.
+    stop_timeout: Duration,
     socket_settings: SocketSettings,
-    /// The buffer that all reads use.
+    /// The buffer that all connections are read into.
     read_buffer: Vec<u8>,
-    /// When the reads of this turn began.
+    /// When reading began in this turn of the event loop.
     read_round_start: Option<Duration>,
     listener: Option<Rc<TcpListener>>,
     /// When the accept queue was last known to be empty.
@@ -179,11 +181,11 @@
         self.phase.is_serving() && (!core_counts || self.net().core_healthy) && !self.lacks_permission()
     }
 
-    /// Accepts connections again after a pause.
-    fn listen_again(&mut self) {
+    /// Resumes accepting connections after a pause.
+    fn resume_accepting(&mut self) {
         if let Some(token) = self.listener_token {
             if let Err(e) = self.net().event_loop.enable(&token) {
-                tracing::error!(reason = %e, "could not resume accepting connections; serving the present ones only");
+                tracing::error!(reason = %e, "could not resume accepting connections; serving the open ones only");
             }
         }
     }
@@ -199,13 +201,13 @@
             TimerEvent::IdleTimeout => {
                 let mut net = self.net();
                 let net = &mut *net;
-                net.edge.close_timed_out(now, &mut net.timers);
+                net.edge.ask_idle_to_close(now, &mut net.timers);
             }
             TimerEvent::CloseTimeout(conn) => self.close_timed_out(conn),
             TimerEvent::MessageTimeout(conn) => self.message_timed_out(conn),
             TimerEvent::CallTimeout(request_id) => self.call_timed_out(request_id),
             TimerEvent::ConnectPool => self.connect_pool(),
-            TimerEvent::Listen => self.listen_again(),
+            TimerEvent::ResumeAccepting => self.resume_accepting(),
             TimerEvent::Report => self.report_due(),
             TimerEvent::ConfigAgreement => self.agreement_due(),
             TimerEvent::StopListening => self.stop_listening(now),
@@ -215,7 +217,8 @@
         }
     }
 
-    /// What follows the events of each turn of the loop: pending reads, timers, changes of health, and writes.
+    /// Completes a turn of the event loop once its events are handled: queued reads, due timers, changes of health, and
+    /// writes.
     fn finish_turn(&mut self) {
         self.run_queued_reads();
         self.read_round_start = None;
@@ -227,7 +230,7 @@
         }
         if std::mem::take(&mut self.net().health_changed) {
             tracing::info!(healthy = self.is_healthy(), "health changed");
-            // A draining server has its report scheduled.
+            // A draining server has scheduled its last report already.
             if !self.phase.is_draining() {
                 self.report_soon();
             }
@@ -246,8 +249,8 @@
         net.timers.due(now)
     }
 
-    /// How long the event loop may sleep.
-    fn sleep_span(&self) -> Duration {
+    /// How long the event loop may wait for events: until the next timer, or not at all while reads are pending.
+    fn poll_timeout(&self) -> Duration {
         let net = self.net();
         if !net.read_queue.is_empty() || net.pool_read_pending {
             return Duration::ZERO;
--- a/crates/aldercrank-server/src/net/peer_connections.rs
+++ b/crates/aldercrank-server/src/net/peer_connections.rs
@@ -1,7 +1,7 @@
 //! Connections to other servers, on which this one sends consensus requests.
 //!
-//! There is at most one connection to each server. Requests are calls as edge nodes make them; besides the responses
-//! the other server sends notifications of its own accord.
+//! There is at most one connection to each server. Requests are calls in the protocol that edge nodes use. Besides
+//! responses, the other server sends unsolicited notifications.
 
 use super::connection::{Connection, EventLoopHandle, ReadOutcome};
 use super::Server;
@@ -14,17 +14,17 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The longest response, in bytes: a version's text and the fields that accompany it.
+/// The longest response, in bytes: the text of a version and the fields that accompany it.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// Requests that may be outstanding with one server; one that answers none of them is connected anew.
+/// The most outstanding requests to one server. With that many unanswered, the connection is closed and made anew.
 const MAX_OUTSTANDING: usize = 16;
 
 /// The part of this server that sent a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Requester {
-    /// The follower, which every server is.
+    /// The follower, which runs on every server.
     Follower,
-    /// The committee member in this server.
+    /// The committee member, if this server is one.
     CommitteeMember,
 }
 
@@ -44,28 +44,28 @@
     connection: Connection,
     last_message_id: u32,
     outstanding: BTreeMap<MessageId, RequestTag>,
-    /// The other server accepts no new requests on it.
+    /// The other server accepts no new requests on this connection.
     closing: bool,
 }
 
-/// Something that was received, or a request that was lost.
+/// An event on a connection to another server.
 pub(super) enum PeerEvent {
     /// A request was answered.
     Response(RequestTag, Box<PeerResponse>),
-    /// A request will not be answered.
+    /// A request was lost and will not be answered.
     Lost(RequestTag),
-    /// The other server has a new proposed version, or none any more.
+    /// The other server has a new proposed version, or `None` if it has none any more.
     Notification(Option<VersionId>),
 }
 
 /// Why a request could not be sent.
 #[derive(Debug, thiserror::Error)]
 enum ConnectError {
-    #[error("no known address")]
+    #[error("address of the server is unknown")]
     UnknownAddress,
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("the server is closing its connection")]
+    #[error("the other server is closing the connection")]
     Closing,
 }
 
@@ -74,16 +74,16 @@
     event_loop: EventLoopHandle,
     connections: BTreeMap<ServerName, PeerConnection>,
     last_number: u64,
-    /// Addresses of committee members, by the versions committed so far.
+    /// Addresses of committee members, from the versions that have been in force so far.
     addresses: BTreeMap<ServerName, SocketAddr>,
-    /// Addresses that the service file gives instead, where a server is reached differently from here.
+    /// Addresses from the service file, which take precedence, for servers that are reached differently from here.
     address_overrides: BTreeMap<ServerName, SocketAddr>,
 }
 
-/// Collects what is received while the input is borrowed.
+/// Collects decoded messages while the input buffer is borrowed.
 #[derive(Default)]
 struct ResponseCollector {
-    /// Answers by their call; `None` where the answer is an error or unreadable.
+    /// Responses by the id of their call; `None` if the response is an error or can't be decoded.
     responses: Vec<(MessageId, Option<PeerResponse>)>,
     notifications: Vec<Option<VersionId>>,
     closing: bool,
@@ -111,7 +111,7 @@
 }
 
 impl PeerConnection {
-    /// Reads what has been received. Returns whether the connection has ended.
+    /// Reads all available input. Returns whether the connection has ended.
     fn read(&mut self, buffer: &mut [u8]) -> bool {
         let mut has_ended = self.connection.finish_connecting().is_err();
         self.connection.flush();
@@ -125,7 +125,7 @@
         has_ended
     }
 
-    /// Decodes the complete messages of the input, up to the first that is invalid.
+    /// Decodes the complete messages in the input, up to the first invalid one.
     fn decode(&mut self, collector: &mut ResponseCollector) -> Result<(), ProtocolError> {
         let mut consumed = 0;
         let input = &mut self.connection.input;
@@ -142,7 +142,7 @@
 }
 
 impl PeerConnections {
-    /// Without connections yet.
+    /// Creates a set without connections.
     pub(super) fn new(
         event_loop: EventLoopHandle,
         address_overrides: &BTreeMap<String, SocketAddr>,
@@ -157,15 +157,15 @@
         }
     }
 
-    /// Notes the addresses of committee members, by the version in force.
+    /// Adds the addresses of the committee members that a version names.
     pub(super) fn set_addresses(&mut self, committee: Vec<MemberAddress>) {
         for member in committee {
             self.addresses.insert(ServerName::new(&member.name), member.address);
         }
     }
 
-    /// Sends a request, connecting if necessary. Requests that are lost by that are added to `lost`: this one if it
-    /// can't be sent, and all outstanding ones if the connection has to be made anew.
+    /// Sends a request, connecting if necessary. Adds lost requests to `lost`: this one if it can't be sent, and all
+    /// outstanding ones if the connection has to be made anew.
     pub(super) fn send_request(
         &mut self,
         to: &ServerName,
@@ -180,7 +180,7 @@
         let peer = match self.connect(to) {
             Ok(peer) => peer,
             Err(reason) => {
-                tracing::debug!(to = %to, %reason, "connection attempt to another server suppressed; request lost");
+                tracing::debug!(to = %to, %reason, "could not send a consensus request to another server; request lost");
                 return lost.push(tag);
             }
         };
@@ -194,7 +194,7 @@
         peer.connection.flush();
     }
 
-    /// The connection to a server, made if there is none.
+    /// Returns the connection to a server, connecting if there is none.
     fn connect(&mut self, to: &ServerName) -> Result<&mut PeerConnection, ConnectError> {
         if !self.connections.contains_key(to) {
             let address = self.address_overrides.get(to).or_else(|| self.addresses.get(to));
@@ -225,7 +225,7 @@
         peer.outstanding.into_values().collect()
     }
 
-    /// Closes all connections without outstanding requests, except that to `kept`. A server that is not on the
+    /// Closes all connections without outstanding requests, except the one to `kept`. A server that is not on the
     /// committee keeps a connection only to the member that it sends its requests to.
     pub(super) fn close_idle_except(&mut self, kept: &ServerName) {
         let idle = |(name, peer): (&ServerName, &PeerConnection)| {
@@ -246,7 +246,7 @@
         let mut has_ended = peer.read(buffer);
         let mut collector = ResponseCollector::default();
         if let Err(error) = peer.decode(&mut collector) {
-            tracing::warn!(from = %name, reason = %error, "another server sent an unreadable response; closing the connection");
+            tracing::warn!(from = %name, reason = %error, "another server sent a response that can't be decoded; closing the connection");
             has_ended = true;
         }
         peer.closing |= collector.closing;
--- a/crates/aldercrank-server/src/net/poller.rs
+++ b/crates/aldercrank-server/src/net/poller.rs
@@ -1,8 +1,8 @@
 //! The epoll instance that the server waits on.
 //!
-//! The streams that carry requests are registered here, edge-triggered, with a tag that names their owner. The calloop
-//! event loop, which serves everything that is rare, is one more descriptor in this set: its own wait sets a timer and
-//! renews two interests each time, five system calls where one suffices (docs/cost.md).
+//! The streams that carry requests are registered here, edge-triggered, with a tag that identifies their owner. The
+//! calloop event loop serves everything that is rare and is one more descriptor in this set. Waiting in calloop itself
+//! would set a timer and renew two interests each time: five system calls where one suffices (docs/cost.md).
 
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::event::Timespec;
@@ -10,7 +10,7 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::Duration;
 
-/// Events that one wait returns at most.
+/// The most events that one wait returns.
 const MAX_EVENTS: usize = 256;
 /// The longest single wait, in milliseconds.
 const MAX_WAIT_MS: u128 = 60_000;
@@ -50,10 +50,10 @@
     pub(super) owner: StreamOwner,
     pub(super) readable: bool,
     pub(super) writable: bool,
-    /// The peer has closed its write side, or the connection failed: what is left is to be read.
+    /// The peer has closed its write side, or the connection failed; input that was received before can still be read.
     pub(super) ended: bool,
-    /// Both directions are closed. A reset that follows the peer's close shows here alone, since a read reports the
-    /// close again.
+    /// Both directions are closed, or the connection failed. Only this reveals a reset that follows the peer's close: a
+    /// read would report the close again.
     pub(super) broken: bool,
 }
 
@@ -85,13 +85,13 @@
         Ok(Poller { epoll })
     }
 
-    /// Watches a stream until it is closed.
+    /// Watches a stream, edge-triggered, until it is closed.
     pub(super) fn add(&self, stream: impl AsFd, owner: StreamOwner) -> io::Result<()> {
         let flags = EventFlags::IN | EventFlags::OUT | EventFlags::RDHUP | EventFlags::ET;
         Ok(epoll::add(&self.epoll, stream, EventData::new_u64(owner.tag()), flags)?)
     }
 
-    /// Waits for events for at most this long, rounded up to whole milliseconds, which every kernel supports.
+    /// Waits for events for at most `timeout`, rounded up to whole milliseconds, which every kernel supports.
     pub(super) fn wait(&self, events: &mut Vec<epoll::Event>, timeout: Duration) -> io::Result<()> {
         let ms = timeout.as_micros().div_ceil(1000).min(MAX_WAIT_MS) as i64;
         let timeout = Timespec { tv_sec: ms / 1000, tv_nsec: ms % 1000 * 1_000_000 };
--- a/crates/aldercrank-server/src/net/socket_settings.rs
+++ b/crates/aldercrank-server/src/net/socket_settings.rs
@@ -1,11 +1,11 @@
-//! What the sockets themselves take from the platform's settings.
+//! The platform's settings that this module uses itself, apart from the core.
 
 use super::MAX_SLEEP;
 use aldercrank::Settings;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long connections are read in a row, as a share of the slack that answers have.
+/// How long connections are read in a row, as a share of the setting `rules.answer_slack`.
 const READ_SLICE_SHARE: f64 = 0.1;
 
 /// Deadline of a request class.
@@ -14,7 +14,7 @@
     deadline: Duration,
 }
 
-/// Settings of the sockets.
+/// Settings that the sockets use.
 pub(super) struct SocketSettings {
     /// How long connections are read before timers are served.
     pub(super) read_slice: Duration,
@@ -22,20 +22,20 @@
     pub(super) reports_health: bool,
     /// The longest deadline of any request class.
     pub(super) longest_deadline: Duration,
-    /// The deadlines of the request classes, where requests don't state their own; else empty.
+    /// The deadlines of the request classes if requests don't state budgets; otherwise empty.
     class_deadlines: Vec<ClassDeadline>,
 }
 
 impl SocketSettings {
-    /// Reads them from the platform's settings.
+    /// Extracts them from the platform's settings.
     pub(super) fn new(settings: &Settings) -> SocketSettings {
         let answer_slack = settings.span("rules.answer_slack").unwrap_or(MAX_SLEEP);
         let classes = aldercrank::parameters::request_classes(settings);
         let longest_deadline = classes.iter().map(|class| class.deadline).max().unwrap_or(MAX_SLEEP);
-        let requests_state_none = settings.flag("family_info.passes_deadline") == Some(false);
+        let uses_class_deadlines = settings.flag("family_info.passes_deadline") == Some(false);
         let class_deadlines = classes
             .into_iter()
-            .filter(|_| requests_state_none)
+            .filter(|_| uses_class_deadlines)
             .map(|class| ClassDeadline { class: class.name, deadline: class.deadline });
         SocketSettings {
             read_slice: answer_slack.mul_f64(READ_SLICE_SHARE),
@@ -45,11 +45,10 @@
         }
     }
 
-    /// The time that the caller of a request without a stated budget waits: the deadline of its class. `None` where
-    /// requests have to state theirs.
+    /// The budget of a request that states none: the deadline of its class. `None` if requests have to state a budget.
     pub(super) fn default_budget(&self, class: &str) -> Option<Duration> {
         let known = self.class_deadlines.iter().find(|known| *known.class == *class);
-        // The core rejects unknown classes, whatever their deadline.
+        // The core rejects requests of unknown classes, so their budget doesn't matter.
         let fallback = (!self.class_deadlines.is_empty()).then_some(self.longest_deadline);
         known.map(|known| known.deadline).or(fallback)
     }
--- a/crates/aldercrank-server/src/net/startup.rs
+++ b/crates/aldercrank-server/src/net/startup.rs
@@ -8,7 +8,7 @@
 use super::poller::{Poller, StreamEvent, StreamOwner};
 use super::socket_settings::SocketSettings;
 use super::worker_pool_link::WorkerPoolLink;
-use super::{Net, ReadConfig, Server, TimerEvent, LISTEN_RETRY_INTERVAL};
+use super::{Net, ReadConfig, Server, TimerEvent, ACCEPT_RETRY_INTERVAL};
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::core::{ConnId, CACHED_RESULTS_MEMORY_SHARE};
@@ -27,23 +27,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// File descriptors that are reserved for what the server opens itself, whatever its load: standard streams, the event
-/// loop's own, signals and listener, two links to the worker pool, reports, and a configuration that is read.
+/// File descriptors reserved for what the server opens regardless of its load: standard streams, the event loop's own,
+/// signals and listener, two links to the worker pool, reports, and the configuration file while it is read.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The share of the others that connections from edge nodes may have.
+/// The share of the remaining descriptors that connections from edge nodes may use.
 const EDGE_SHARE: f64 = 0.75;
-/// The share of the others that dependency calls may have.
+/// The share of the remaining descriptors that dependency calls may use.
 const CALLS_SHARE: f64 = 0.25;
-/// The longest interval between failing reports, as a share of an entry's TTL, where the service file sets none. A
-/// membership service that is back has to receive a report before the entry expires.
+/// The longest interval between reports that fail, as a share of an entry's TTL, unless the service file sets one. A
+/// membership service that is available again has to receive a report before the entry expires.
 const REPORT_BACKOFF_SHARE: f64 = 0.4;
 
-/// Serves until the process was asked to stop and has shut down. `read_config` reads the configuration again, at
-/// SIGHUP.
+/// Serves until the process has been asked to stop and has shut down. `read_config` is called on SIGHUP and reads the
+/// configuration again.
 ///
 /// # Errors
 ///
-/// If the address can't be listened on, or the kernel refuses an event loop.
+/// If the server can't listen on its address, or the event loop can't be set up or fails to wait for events.
 pub fn serve<E: Into<Box<dyn Error>> + 'static>(
     config: Config,
     read_config: impl Fn() -> Result<Config, E> + 'static,
@@ -62,8 +62,8 @@
     }
     let mut events = Vec::new();
     while !server.phase.is_stopped() {
-        let sleep_span = server.sleep_span();
-        server.net.borrow().poller.wait(&mut events, sleep_span)?;
+        let poll_timeout = server.poll_timeout();
+        server.net.borrow().poller.wait(&mut events, poll_timeout)?;
         for event in &events {
             let event = StreamEvent::from(event);
             match event.owner {
@@ -97,8 +97,8 @@
                 return Ok(PostAction::Continue);
             }
             let mut net = server.net();
-            let retry_at = net.clock.now() + LISTEN_RETRY_INTERVAL;
-            net.timers.set(TimerEvent::Listen, retry_at);
+            let retry_at = net.clock.now() + ACCEPT_RETRY_INTERVAL;
+            net.timers.set(TimerEvent::ResumeAccepting, retry_at);
             Ok(PostAction::Disable)
         })
         .map_err(|e| e.error)?;
@@ -128,15 +128,15 @@
     }
 }
 
-/// Paces reports by the TTL of an entry, and by the number of servers where the settings state it.
+/// Paces reports by the TTL of an entry, and by the number of servers if the settings give it.
 fn report_pacer(config: &Config) -> RetryPacer {
-    let terms = aldercrank_pacing::RetryPacerConfig {
+    let pacer_config = aldercrank_pacing::RetryPacerConfig {
         interval: REPORT_INTERVAL,
         entry_lifetime: ENTRY_TTL,
         max_backoff: config.reports_longest.unwrap_or(ENTRY_TTL.mul_f64(REPORT_BACKOFF_SHARE)),
         server_count: config.settings.number("peers_total"),
     };
-    RetryPacer::new(terms, &config.seed, &config.name, Clock::unix_time())
+    RetryPacer::new(pacer_config, &config.seed, &config.name, Clock::unix_time())
 }
 
 impl Server {
@@ -160,7 +160,7 @@
             phase: Phase::Starting,
             read_config,
             result_memory_bytes: (config.memory as f64 * CACHED_RESULTS_MEMORY_SHARE) as usize,
-            time_to_stop: config.stop,
+            stop_timeout: config.stop,
             config,
             socket_settings,
             read_buffer: Vec::new(),
--- a/crates/aldercrank-server/src/net/state_file.rs
+++ b/crates/aldercrank-server/src/net/state_file.rs
@@ -1,13 +1,13 @@
-//! The file that keeps what a server needs after a restart: the version of the configuration that it went by, and its
-//! acceptor state where it is on the committee.
+//! The file that stores what a server needs after a restart: the configuration version that was in force, and, if the
+//! server is a committee member, its acceptor state.
 //!
-//! A server uses it to start before it has asked others, and a committee member to go on voting. It never extends a
+//! With it a server can start before it has reached others, and a committee member can go on voting. It never extends a
 //! lease.
 //!
 //! The file has two slots, written alternately, each with a counter and a checksum, so that a write that was cut short
-//! leaves the other slot valid. The event loop doesn't wait for the disk: nothing is renamed, truncated or synced.
-//! What is written therefore survives the process, however it ends, but not certainly the machine, and the acceptor
-//! state is valid only until the machine reboots. After that a member recovers like one without any state.
+//! leaves the other slot valid. The event loop doesn't wait for the disk: nothing is renamed, truncated or synced. What
+//! is written therefore survives any end of the process, but not necessarily a crash of the machine, so the acceptor
+//! state is valid only until the machine reboots. After a reboot a member recovers like one without stored state.
 
 use aldercrank_consensus::{member::AcceptorState, CommittedState, ConfigVersion};
 use serde::{Deserialize, Serialize};
@@ -17,25 +17,25 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Name of the file in the member's directory.
+/// Name of the file in the state directory.
 const FILE_NAME: &str = "rules.memory";
-/// Version of the format; a file of another one is not read.
+/// Version of the format. Slots of another version are ignored.
 const FORMAT: u32 = 1;
-/// Where the kernel gives the id of the machine's present boot.
+/// Where the kernel exposes the id of the machine's present boot.
 const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
-/// Size of a slot: three texts at their longest and the fields that accompany them, in bytes.
+/// Size of a slot, in bytes: room for three version texts of the greatest length and the fields that accompany them.
 const SLOT_BYTES: u64 = 128 * 1024;
 /// Offsets of the two slots in the file.
 const SLOT_OFFSETS: [u64; 2] = [0, SLOT_BYTES];
 /// Size of a slot's header, in bytes: counter, length and checksum.
 const HEADER_BYTES: usize = 8 + 8 + 8;
 
-/// Content of a slot. The field names are part of the stored format.
+/// Content of a slot. The serialized names and the order of the fields are part of the stored format.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct StoredState {
     #[serde(rename = "form")]
     format: u32,
-    /// The boot during which it was written.
+    /// Id of the boot during which the slot was written.
     #[serde(rename = "boot")]
     boot_id: Option<String>,
     #[serde(rename = "standing")]
@@ -45,16 +45,16 @@
     acceptor_state: Option<AcceptorState>,
 }
 
-/// A slot that was read.
+/// A valid slot that was read.
 struct Slot {
     counter: u64,
     state: StoredState,
 }
 
-/// The version that a server went by, as the state file keeps it.
+/// The version that was in force on a server when it was stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredVersion {
-    /// The committed state of that time.
+    /// The committed state at that time.
     pub committed: CommittedState,
     /// The version with its text.
     pub version: ConfigVersion,
@@ -65,13 +65,13 @@
 enum WriteError {
     #[error("{0}")]
     Encode(#[from] rmp_serde::encode::Error),
-    #[error("more than its slot takes")]
+    #[error("state does not fit into a slot of {SLOT_BYTES} bytes")]
     TooLong,
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// The state file of a server. Without a directory it keeps the state in memory alone.
+/// The state file of a server. Without a directory, the state is held in memory only.
 pub struct StateFile {
     file: Option<File>,
     counter: u64,
@@ -79,8 +79,8 @@
 }
 
 impl StateFile {
-    /// Opens the file in `dir` and reads what an earlier incarnation left. If it can't be opened, that is logged and
-    /// nothing is kept.
+    /// Opens the file in `dir` and reads the state that an earlier process stored. If the file can't be opened, that is
+    /// logged and nothing is stored.
     pub fn open(dir: Option<&Path>) -> StateFile {
         let boot_id = fs::read_to_string(BOOT_ID_PATH).ok().map(|id| id.trim().to_string());
         StateFile::open_in_boot(dir, boot_id)
@@ -92,7 +92,7 @@
             let opened = open_file(dir);
             opened
                 .inspect_err(|e| {
-                    tracing::error!(reason = %e, "could not open the state file; going on without stored state");
+                    tracing::error!(reason = %e, "could not open the state file; continuing without stored state");
                 })
                 .ok()
         });
@@ -114,20 +114,20 @@
         self.state.acceptor_state.clone()
     }
 
-    /// The version that the server went by last.
+    /// The version that was stored last.
     pub fn version(&self) -> Option<StoredVersion> {
         let committed = self.state.committed?;
         let version = ConfigVersion { version_id: committed.version_id, text: self.state.text.clone()? };
         Some(StoredVersion { committed, version })
     }
 
-    /// Stores the acceptor state. Called before a member sends a response that depends on it.
+    /// Stores the acceptor state. Has to be called before a member sends a response that depends on it.
     pub fn store_acceptor_state(&mut self, acceptor_state: &AcceptorState) {
         self.state.acceptor_state = Some(acceptor_state.clone());
         self.write();
     }
 
-    /// Stores the version that the server goes by now.
+    /// Stores the version that is in force now.
     pub fn store_version(&mut self, committed: CommittedState, text: &Arc<str>) {
         (self.state.committed, self.state.text) = (Some(committed), Some(text.clone()));
         self.write();
@@ -138,15 +138,16 @@
         self.counter += 1;
         let offset = self.counter % 2 * SLOT_BYTES;
         if let Err(e) = write_slot(file, offset, self.counter, &self.state) {
-            // The member goes on voting in this incarnation. The next one must not take an older vote for the last.
-            tracing::error!(reason = %e, "could not write the state file; erasing it and going on without stored state");
+            // The member goes on voting in this process. The next process must not take an older vote for the last one,
+            // so both slots are erased.
+            tracing::error!(reason = %e, "could not write the state file; erasing it and continuing without stored state");
             let _ = SLOT_OFFSETS.map(|offset| file.write_all_at(&[0; HEADER_BYTES], offset));
             self.file = None;
         }
     }
 }
 
-/// FNV-1a; detects incomplete writes, and nothing else.
+/// FNV-1a. Only meant to detect incomplete writes.
 fn checksum(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |sum, b| (sum ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
 }
@@ -155,7 +156,7 @@
     bytes.get(at..at + 8).and_then(|b| b.try_into().ok()).map_or(0, u64::from_le_bytes)
 }
 
-/// The slot at this offset, if it is complete.
+/// Reads the slot at this offset; `None` if it is incomplete, damaged or of another format.
 fn read_slot(file: &File, offset: u64) -> Option<Slot> {
     let mut header = [0; HEADER_BYTES];
     file.read_exact_at(&mut header, offset).ok()?;
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -1,4 +1,4 @@
-//! The link to the worker pool: kept open, and bound anew after each loss.
+//! The link to the worker pool. It is kept open; after each loss it is connected and bound again.
 
 use super::connection::{discard_consumed, Connection, ReadOutcome};
 use super::poller::{StreamEvent, StreamOwner};
@@ -20,67 +20,69 @@
 const CONNECT_INTERVAL: Duration = Duration::from_millis(200);
 /// The longest wait between attempts, as a share of [`CONNECT_INTERVAL`].
 const MAX_INTERVAL_SHARE: f64 = 0.5;
-/// Reads in a row before other connections have their turn.
+/// The most reads in a row, after which other connections are served.
 const MAX_READS_PER_TURN: usize = 16;
-/// How long connecting may take. Where the first packet is dropped, the kernel sends the next one a second later, and
-/// goes on for two minutes.
+/// How long connecting may take. If the first packet is dropped, the kernel sends the next one a second later, and goes
+/// on trying for two minutes.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A worker pool that started later than the one before by more than this is another process.
+/// A worker pool whose start is later than the previous one's by more than this is another process.
 const RESTART_TOLERANCE: Duration = Duration::from_millis(500);
 
 /// Why the link was lost. Its text is the reason in the log line.
 #[derive(Debug, thiserror::Error)]
 enum LinkLoss {
-    #[error("no connection in its time")]
+    #[error("not connected within {CONNECT_TIMEOUT:?}")]
     ConnectTimeout,
     #[error("{0}")]
     ConnectFailed(#[from] io::Error),
-    #[error("it has closed")]
+    #[error("connection closed by the worker pool or reset")]
     Closed,
-    #[error("it has moved")]
+    #[error("address of the worker pool changed")]
     AddressChanged,
 }
 
-/// A run whose command waits to be written.
+/// A run whose start command has not been written yet.
 struct QueuedRun {
     /// Where the command starts in the output of the link, in bytes.
     start: u64,
     attempt: AttemptId,
 }
 
-/// The link to the worker pool and what outlives it.
+/// The link to the worker pool, and the state that outlives a connection.
 pub(super) struct WorkerPoolLink {
     connection: Option<Connection>,
-    /// Counts the connections; events of an earlier one are ignored.
+    /// Number of the present connection; events of earlier ones are ignored.
     number: u32,
     reader: worker_pool::EventReader,
-    /// The pool has closed the connection: it is read until that shows.
+    /// The pool has closed the connection, which is read until a read reports that.
     peer_closed: bool,
     /// The longest result, in bytes.
     max_payload_bytes: usize,
     /// Length of the large message that has been received in part, in bytes.
     awaited_length: Option<usize>,
-    /// Runs whose commands have not started to be written.
+    /// Runs of whose start commands no byte has been written.
     queued_runs: VecDeque<QueuedRun>,
-    /// The last notice that was handled.
+    /// The last notice from the pool that was handled.
     last_notice: NoticeNumber,
     is_bound: bool,
-    /// The connection to the previous address, until the new one is bound: output on it can still be read there.
+    /// The connection to the previous address. It is kept until the new one is bound, so that the pool can read the
+    /// output that was written to it.
     previous: Option<Connection>,
     /// When a bound connection was lost.
     lost_at: Option<Duration>,
-    /// When `bind` was sent on this connection; the age in the pool's answer was determined later.
+    /// When `bind` was sent on this connection. The age in the pool's answer was determined later than that.
     bind_sent_at: Duration,
-    /// When the worker pool started, at the latest; this server's clock counts from the first pool's start.
+    /// The latest time at which the worker pool can have started. This server's clock counts from the first pool's
+    /// start.
     pool_started_at: Duration,
     pacer: RetryPacer,
 }
 
 impl WorkerPoolLink {
-    /// A link that is not connected. `seed` and `name` determine the random times of attempts to connect.
+    /// A link that is not connected yet. `seed` and `name` determine the jitter between attempts to connect.
     pub(super) fn new(max_payload_bytes: usize, seed: &str, name: &str) -> WorkerPoolLink {
         let max_backoff = CONNECT_INTERVAL.mul_f64(MAX_INTERVAL_SHARE);
-        let terms = RetryPacerConfig {
+        let pacer_config = RetryPacerConfig {
             interval: CONNECT_INTERVAL,
             entry_lifetime: CONNECT_INTERVAL,
             max_backoff,
@@ -100,19 +102,19 @@
             lost_at: None,
             bind_sent_at: Duration::ZERO,
             pool_started_at: Duration::ZERO,
-            pacer: RetryPacer::new(terms, seed, name, Clock::unix_time()),
+            pacer: RetryPacer::new(pacer_config, seed, name, Clock::unix_time()),
         }
     }
 
-    /// Sends a command at the end of the turn. Without a bound link it is dropped; the core knows what it has to
-    /// send again.
+    /// Adds a command that is sent at the end of the turn. If the link is not bound, the command is dropped; the core
+    /// sends what is still needed once it is bound again.
     pub(super) fn send(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         if let Some(connection) = self.connection.as_mut().filter(|_| self.is_bound) {
             connection.output.append_framing(write);
         }
     }
 
-    /// Sends the command that starts a run, as [`WorkerPoolLink::send`] does.
+    /// Adds the command that starts a run, as [`WorkerPoolLink::send`] does.
     pub(super) fn start_run(&mut self, attempt: AttemptId, class: &str, body: &Rc<[u8]>) {
         let Some(connection) = self.connection.as_mut().filter(|_| self.is_bound) else { return };
         self.queued_runs.push_back(QueuedRun { start: connection.output.end_offset(), attempt });
@@ -123,7 +125,7 @@
         connection.output.append_framing(worker_pool::write_payload_end);
     }
 
-    /// Writes what the socket takes.
+    /// Writes as much as the socket accepts.
     pub(super) fn flush(&mut self) {
         let Some(connection) = self.connection.as_mut() else { return };
         connection.flush();
@@ -134,16 +136,16 @@
     }
 }
 
-/// Handles the pool's messages of one read.
+/// Handles the pool's messages received in one read.
 struct PoolEventHandler<'a> {
     server: &'a mut Server,
-    /// The buffer that a large message is read into; results can share it.
+    /// The buffer that a large message was read into, so that its result can be shared without a copy.
     shared_input: Option<&'a Bytes>,
 }
 
 impl PoolEventHandler<'_> {
-    /// Whether a notice has not been handled before: after a new link the pool repeats notices.
-    fn is_new(&mut self, notice: NoticeNumber) -> bool {
+    /// Records a notice as handled. Returns false if it was handled before: on a new link the pool repeats notices.
+    fn record_notice(&mut self, notice: NoticeNumber) -> bool {
         let mut net = self.server.net();
         let is_new = notice > net.pool.last_notice;
         net.pool.last_notice = net.pool.last_notice.max(notice);
@@ -174,7 +176,7 @@
         run_time: Duration,
         result: &[u8],
     ) {
-        if self.is_new(notice) {
+        if self.record_notice(notice) {
             let now = self.server.now();
             let is_large = result.len() >= BY_REFERENCE_BYTES;
             let shared = self.shared_input.filter(|_| is_large).map(|input| input.slice_ref(result));
@@ -186,7 +188,7 @@
     }
 
     fn run_blocked(&mut self, notice: NoticeNumber, attempt: AttemptId, body: &[u8]) {
-        if self.is_new(notice) {
+        if self.record_notice(notice) {
             let now = self.server.now();
             if let Some(core) = &mut self.server.core {
                 core.call_needed(now, attempt, notice, body);
@@ -195,7 +197,7 @@
     }
 
     fn other_notice(&mut self, notice: NoticeNumber) {
-        self.is_new(notice);
+        self.record_notice(notice);
     }
 
     fn metrics_reported(&mut self, tag: u64, load_metrics: &[f64]) {
@@ -206,7 +208,11 @@
     }
 
     fn unknown_attempt(&mut self, command: &str, id: &str) {
-        tracing::info!(id, command, "worker pool does not know the run that a command names; a run to be started counts as not started");
+        tracing::info!(
+            id,
+            command,
+            "worker pool does not know the run named in a command; a start command had no effect"
+        );
         let now = self.server.now();
         let attempt = AttemptId::new(id).filter(|_| command == worker_pool::START_RUN_COMMAND);
         if let (Some(core), Some(attempt)) = (&mut self.server.core, attempt) {
@@ -220,7 +226,7 @@
 }
 
 impl Server {
-    /// Connects to the worker pool if there is no connection, or ends an attempt that has taken too long.
+    /// Connects to the worker pool if there is no connection. An attempt that is still under way has timed out.
     pub(super) fn connect_pool(&mut self) {
         if self.phase.is_stopped() {
             return;
@@ -289,7 +295,7 @@
         }
     }
 
-    /// Reads the link until it would block, for a number of reads at most.
+    /// Reads the link until it would block, at most [`MAX_READS_PER_TURN`] times.
     pub(super) fn read_pool(&mut self) {
         let mut buffer = self.take_read_buffer();
         let mut reads = 0;
@@ -314,7 +320,7 @@
                 ReadOutcome::Bytes(length) => {
                     let is_in_place = self.net().pool.awaited_length.is_some();
                     self.handle_pool_input(if is_in_place { &[] } else { &buffer[..length] });
-                    // A short read has read all there is; a close that follows has an event of its own.
+                    // A short read has emptied the socket; a close after it has an event of its own.
                     if length < requested && !self.net().pool.peer_closed {
                         break false;
                     }
@@ -333,7 +339,7 @@
         }
     }
 
-    /// Handles input: `bytes`, or, for a large message, what was read behind the earlier input.
+    /// Handles input: `bytes`, or, for a large message, what was appended to the connection's input.
     fn handle_pool_input(&mut self, bytes: &[u8]) {
         let (mut input, mut reader) = {
             let mut net = self.net();
@@ -362,7 +368,7 @@
             consumed += length;
         }
         let rest = &received[consumed..];
-        // Room is made for a message of a stated length, within the limit, once it is known to be large.
+        // Once a message within the limit is known to be large, a buffer of its stated length is allocated for it.
         let awaited_length =
             reader.awaited_length(rest).filter(|length| *length > rest.len().max(BY_REFERENCE_BYTES));
         let mut net = self.net();
@@ -384,8 +390,8 @@
         };
     }
 
-    /// Moves the link to a new address. Input that came on the old link is handled first; the rest is repeated on the
-    /// new one, by notice number. Commands that the pool has not confirmed count as after a lost link.
+    /// Moves the link to a new address. Input that has arrived on the old link is handled first. The pool repeats later
+    /// notices on the new link, by their numbers. Commands that it has not confirmed are treated as after a lost link.
     pub(super) fn pool_address_changed(&mut self) {
         self.read_pool();
         {
@@ -436,7 +442,7 @@
             self.start_core(cold, age);
         }
         let now = self.now();
-        let was_restarted = self.net().pool.note_pool_age(now, age);
+        let was_restarted = self.net().pool.detect_restart(now, age);
         if let Some(core) = &mut self.core {
             if was_restarted {
                 core.pool_restarted(now, cold);
@@ -466,13 +472,13 @@
 }
 
 impl WorkerPoolLink {
-    /// Returns whether the pool is another process than the one before. Its start tells: it came after the link was
-    /// lost, or after the start of the one before, since a server that was suspended notices a lost link late.
-    fn note_pool_age(&mut self, now: Duration, age: Duration) -> bool {
+    /// Returns whether the pool is another process than before. That is so if it started after the link was lost, or
+    /// later than the previous pool: a server that was suspended notices the loss of the link late.
+    fn detect_restart(&mut self, now: Duration, age: Duration) -> bool {
         let started_later = self.bind_sent_at > self.pool_started_at + age + RESTART_TOLERANCE;
         let was_restarted = self.lost_at.take().is_some_and(|lost_at| lost_at + age < now || started_later);
         if was_restarted {
-            tracing::warn!("worker pool was restarted; failing the requests that it was running");
+            tracing::warn!("worker pool was restarted; failing the requests whose runs were in progress");
             (self.last_notice, self.pool_started_at) = (NoticeNumber(0), now.saturating_sub(age));
         }
         was_restarted
