--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -160,7 +160,7 @@
         let before = quotas(self);
         self.update_agreement(|agreement, now| agreement.timer_fired(now));
         if before != quotas(self) {
-            // A quota has grown since its time has come.
+            // A quota can grow by the passage of time alone; the core is then given the new one.
             if let Some(mut agreement) = self.agreement.take() {
                 let now = agreement.clock.now();
                 self.apply_settings(&mut agreement, now);
--- a/crates/aldercrank-server/src/net/dependency_calls.rs
+++ b/crates/aldercrank-server/src/net/dependency_calls.rs
@@ -39,7 +39,7 @@
 }
 
 impl DependencyCalls {
-    /// Allows this many concurrent calls, each on its connection.
+    /// Allows this many connections, and so concurrent calls.
     pub(super) fn with_limit(max_connections: usize) -> DependencyCalls {
         DependencyCalls { max_connections, ..DependencyCalls::default() }
     }
--- a/crates/aldercrank-server/src/net/mod.rs
+++ b/crates/aldercrank-server/src/net/mod.rs
@@ -175,7 +175,8 @@
         self.phase.is_serving() && self.net().core_healthy && !self.lacks_permission()
     }
 
-    /// The health that is reported to the membership service; the core's health counts only where the settings say so.
+    /// The health that is reported to the membership service. It includes the core's health only if the settings say
+    /// so.
     fn reports_healthy(&self) -> bool {
         let core_counts = self.socket_settings.reports_health;
         self.phase.is_serving() && (!core_counts || self.net().core_healthy) && !self.lacks_permission()
--- a/crates/aldercrank-server/src/net/socket_settings.rs
+++ b/crates/aldercrank-server/src/net/socket_settings.rs
@@ -18,7 +18,7 @@
 pub(super) struct SocketSettings {
     /// How long connections are read before timers are served.
     pub(super) read_slice: Duration,
-    /// Whether the report to the membership service depends on health.
+    /// Whether the health reported to the membership service includes the core's.
     pub(super) reports_health: bool,
     /// The longest deadline of any request class.
     pub(super) longest_deadline: Duration,
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Base interval between attempts to connect: about a quarter of it after the first failure, then longer, up to
-/// [`MAX_INTERVAL_SHARE`] of it. The pool is a process on the same machine, so longer waits would spare nobody.
+/// [`MAX_INTERVAL_SHARE`] of it. The pool is a process on the same machine, so longer waits would take load off nobody.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(200);
 /// The longest wait between attempts, as a share of [`CONNECT_INTERVAL`].
 const MAX_INTERVAL_SHARE: f64 = 0.5;
