--- a/crates/aldercrank-server/tests/suite/crossings.rs
+++ b/crates/aldercrank-server/tests/suite/crossings.rs
@@ -1,4 +1,4 @@
-//! Pairs of events that cross, each forced into its unfavourable order: the process is suspended while both are queued,
+//! Pairs of concurrent events, each forced into its unfavourable order: the process is suspended while both are queued,
 //! or a stub controls the other end. docs/concurrent-events.md has the table that these tests belong to.
 
 use crate::codecs::check;
@@ -13,8 +13,9 @@
 /// The length of a result, in bytes.
 const RESULT_BYTES: usize = 4096;
 
+/// Replaces the value at a JSON pointer.
 fn set(config: &mut serde_json::Value, path: &str, value: impl Into<serde_json::Value>) {
-    *config.pointer_mut(path).unwrap_or_else(|| panic!("no {path}")) = value.into();
+    *config.pointer_mut(path).unwrap_or_else(|| panic!("the configuration has no {path}")) = value.into();
 }
 
 /// Sends this many requests and completes them with results of [`RESULT_BYTES`].
@@ -26,16 +27,16 @@
     }
 }
 
-/// Reads until the server closes; a reset is a failure.
+/// Reads until the server closes the connection. Panics if it resets the connection.
 fn read_to_close(edge: &mut EdgeConnection) -> Vec<u8> {
     let mut all = Vec::new();
     edge.0.read_to_end(&mut all).expect("the connection was reset");
     all
 }
 
-/// Closing a socket with unread input would reset the connection and discard answers that were not delivered yet.
+/// Closing a socket with unread input would reset the connection and discard answers that have not been delivered yet.
 #[test]
-fn input_behind_a_protocol_violation_loses_no_answer() {
+fn input_after_a_protocol_violation_loses_no_answer() {
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect_slow();
@@ -46,13 +47,13 @@
     let flood = std::thread::spawn(move || writer.write_all(&[0xc1; 300 * 1024]));
     let received = read_to_close(&mut edge);
     flood.join().unwrap().unwrap();
-    // All eight results, and an error for what was open.
+    // All eight results, and an error for the open call.
     assert_eq!(count_responses(&received), 9);
     assert!(received.len() > 8 * RESULT_BYTES && received.windows(8).any(|w| w == b"Internal"));
 }
 
 #[test]
-fn an_idle_connection_with_a_slow_reader_closes_only_once_all_is_written() {
+fn an_idle_connection_with_a_slow_reader_closes_only_once_all_output_is_written() {
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect_slow();
@@ -80,7 +81,7 @@
     assert!(program.wait_for_exit().success());
 }
 
-/// A close is no reset: answers that the caller has not read yet are still written.
+/// A close of the write side is no reset: answers that the caller has not read yet are still written.
 #[test]
 fn a_caller_that_closes_its_write_side_gets_all_answers() {
     let mut program = Program::start(|_| None);
@@ -112,7 +113,7 @@
     edge.read_until(&[b"two"]);
 }
 
-/// A request that is read once the write side is shut down could not be answered, so it must not run.
+/// A request that is read after the server has shut down its write side could not be answered, so it must not run.
 #[test]
 fn a_request_after_the_close_of_its_connection_does_not_run_and_causes_no_reset() {
     let mut program = Program::start(|_| None);
@@ -129,7 +130,7 @@
     assert_eq!(edge.0.read(&mut [0; 16]).unwrap(), 0);
 }
 
-/// A connection does not close while a message is being received within the message timeout.
+/// A closing connection stays open while a message is being received within the message timeout.
 #[test]
 fn a_partial_request_on_a_closing_connection_is_awaited() {
     let mut program = Program::start(|_| None);
@@ -148,8 +149,8 @@
     edge.read_until(&[b"two"]);
 }
 
-/// Opens more connections than the limit, each with a repetition of one request that runs until the pool ends it: no
-/// accepted connection is idle, so the others wait in the accept queue.
+/// Opens more connections than the limit, each with a repetition of one request that runs until the test finishes it.
+/// No accepted connection is idle, so the others wait in the accept queue.
 fn exceed_connection_limit(program: &Program, pool: &mut PoolConnection) -> Vec<EdgeConnection> {
     let open = |n: u32| {
         let mut edge = program.connect();
@@ -162,7 +163,7 @@
     all
 }
 
-/// Closing the listener does not refuse the connections in the accept queue but resets them.
+/// If the listener were closed at the end of the grace period, the connections in the accept queue would be reset.
 #[test]
 fn connections_in_the_accept_queue_at_the_end_of_the_grace_period_are_answered() {
     let mut program = Program::start(|_| None);
@@ -211,7 +212,7 @@
 }
 
 #[test]
-fn an_invalid_configuration_twice_while_draining_changes_nothing() {
+fn two_reloads_of_an_invalid_configuration_while_draining_change_nothing() {
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
@@ -230,9 +231,9 @@
     assert!(program.wait_for_exit().success());
 }
 
-/// Its addresses are another customer's: none of its fields may take effect.
+/// The addresses in such a configuration may be those of another customer, so none of its fields may take effect.
 #[test]
-fn a_configuration_of_another_server_or_of_other_request_classes_moves_nothing() {
+fn a_configuration_of_another_server_or_of_other_request_classes_changes_no_address() {
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let (other, addr) = listen(&program.edge.ip().to_string());
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn all_invalid_settings_are_named_at_the_start() {
+fn check_config_names_all_invalid_settings_in_one_line() {
     let program = Program::start(|_| None);
     let mut configuration = program.configuration.clone();
     set(&mut configuration, "/settings/family_info/memory_kb", "lots");
@@ -270,8 +271,8 @@
     }
 }
 
-/// A suspended server notices the lost link only after the new pool has started, so the time of the loss proves nothing.
-/// The notices of the new pool would be taken for repeated ones.
+/// A suspended server notices the lost link only after the new pool has started, so the time of the loss doesn't show
+/// that the pool was restarted. Without that, notices of the new pool would be taken for repeated ones.
 #[test]
 fn a_pool_that_is_replaced_while_the_server_is_suspended_counts_as_restarted() {
     let mut program = Program::start(|_| None);
@@ -288,7 +289,7 @@
     program.resume();
     let mut pool = PoolConnection::accept(&program.pool);
     pool.bind("4", "400");
-    // Runs of the old pool have ended; notices of the new one count from its first one on.
+    // Runs of the old pool have failed; the numbers of the new pool's notices start at 1 again.
     edge.read_until(&[&[0x94, 1, 2, 0x92]]);
     edge.send_request(3, "map", &attempt(3), None, b"");
     pool.complete_next_run(1, 3, b"three");
@@ -296,7 +297,7 @@
 }
 
 #[test]
-fn a_server_killed_with_requests_in_flight_serves_again_at_its_old_place() {
+fn a_server_killed_with_requests_in_flight_serves_again_at_the_same_address() {
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
@@ -307,7 +308,7 @@
     let mut pool = PoolConnection::accept(&program.pool);
     assert_eq!(pool.next().0, ["bind", "0"]);
     pool.send("bound warm 2000\r\n");
-    // A result for a run of the process before is unknown, and harmless.
+    // The result of a run that the previous process started is ignored.
     pool.finish(1, &attempt(1), b"one");
     let mut edge = program.connect();
     edge.send_request(1, "buy", &attempt(2), Some("u"), b"");
@@ -316,13 +317,13 @@
 }
 
 #[test]
-fn restarts_with_the_membership_service_away_are_ready_in_their_time() {
+fn restarted_servers_are_ready_within_ten_seconds_while_the_membership_service_is_unavailable() {
     let mut program = Program::start_with_stubs(None::<fn(&str) -> Option<String>>);
     let mut pool = PoolConnection::accept(&program.pool);
     for _ in 0..10 {
         assert_eq!(pool.next().0, ["bind", "0"]);
         program.restart();
-        let began = Instant::now();
+        let started_at = Instant::now();
         pool = PoolConnection::accept(&program.pool);
         assert_eq!(pool.next().0, ["bind", "0"]);
         pool.send("bound cold 10\r\n");
@@ -330,14 +331,15 @@
         edge.send_request(1, "map", &attempt(1), None, b"");
         pool.complete_next_run(1, 1, b"one");
         edge.read_until(&[b"one"]);
-        assert!(began.elapsed() < Duration::from_secs(10));
-        // The next process takes over the address.
+        assert!(started_at.elapsed() < Duration::from_secs(10));
+        // The next process listens on the same address.
         program.restart();
         pool = PoolConnection::accept(&program.pool);
     }
 }
 
-/// The process's descriptor limit is that of the configuration, and idle clients use as many as they can.
+/// The process's descriptor limit is the one in its configuration, and idle clients open as many connections as they
+/// can.
 #[test]
 fn idle_clients_leave_descriptors_for_the_servers_own_connections() {
     let mut program = Program::limited(None::<fn(&str) -> Option<String>>, |_| (), 32);
@@ -349,7 +351,8 @@
         let _ = edge.0.write_all(&check(1));
         idle.push(edge);
     }
-    // The link to the pool is lost and bound again, the membership service returns, and a new client is served.
+    // The link to the pool is lost and bound again, the membership service becomes available, and a new client is
+    // served.
     drop(pool);
     let mut pool = PoolConnection::accept(&program.pool);
     pool.bind("0", "60000");
@@ -358,7 +361,7 @@
     assert!(program.reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"UP\"}"));
     let mut edge = program.connect();
     // The connection waits in the accept queue until idle ones have been closed. A request sent before that would reach
-    // the server late, and be rejected once its wait comes near the latency target.
+    // the server late, and would be rejected if it had waited for nearly the latency target.
     let _ = edge.0.write_all(&check(2));
     edge.read_until(&[&[0x94, 1, 2]]);
     edge.send_request(1, "map", &attempt(1), None, b"");
@@ -367,7 +370,7 @@
 }
 
 #[test]
-fn at_the_connection_limit_the_server_waits_without_spinning_and_accepts_again_later() {
+fn at_the_connection_limit_the_server_does_not_busy_wait_and_accepts_again_later() {
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut all = exceed_connection_limit(&program, &mut pool);
@@ -376,7 +379,7 @@
     let sleeps = program.sleeps() - before;
     assert!(sleeps < 400, "{sleeps}");
     pool.finish(1, &attempt(1), b"done");
-    // Answered connections close and make room for the others.
+    // Connections whose calls are answered close and make room for the others.
     for mut edge in all.drain(..) {
         edge.read_until(&[b"done"]);
     }
@@ -389,9 +392,12 @@
     let silent = listen_again(program.away.pop().unwrap().0);
     let mut pool = PoolConnection::accept(&program.pool);
     pool.bind("0", "3.5");
-    let _first = accept_within(&silent, TIMEOUT).expect("nothing was reported");
-    let began = Instant::now();
+    let _first = accept_within(&silent, TIMEOUT).expect("no report was sent");
+    let stop_requested_at = Instant::now();
     program.term();
     assert!(program.wait_for_exit().success());
-    assert!(began.elapsed() < Duration::from_millis(1500), "beyond the stop");
+    assert!(
+        stop_requested_at.elapsed() < Duration::from_millis(1500),
+        "the shutdown took longer than stop_ms"
+    );
 }
--- a/crates/aldercrank-server/tests/suite/edge_connections.rs
+++ b/crates/aldercrank-server/tests/suite/edge_connections.rs
@@ -1,4 +1,4 @@
-//! The program on loopback sockets: idle, silent, slow and vanishing connections from edge nodes.
+//! The program on loopback sockets: idle, silent and slow connections from edge nodes, and callers that disconnect.
 
 use crate::codecs::check;
 use crate::harness::{attempt, EdgeConnection, Program};
@@ -9,11 +9,11 @@
 fn silent_connections_and_partial_messages_time_out_and_make_room_at_the_limit() {
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
-    let (mut half, mut busy) = (program.connect(), program.connect());
-    half.0.write_all(&[0x94, 0, 1]).unwrap();
+    let (mut partial, mut busy) = (program.connect(), program.connect());
+    partial.0.write_all(&[0x94, 0, 1]).unwrap();
     busy.send_request(1, "map", &attempt(1), None, b"");
     assert_eq!(pool.next().0[1], attempt(1));
-    // More than the connection limit: silent connections make room, a busy one does not.
+    // More connections than the limit: silent ones are closed to make room, a busy one is not.
     let mut silent: Vec<EdgeConnection> = (0..100).map(|_| program.connect()).collect();
     let mut good = program.connect();
     good.0.write_all(&check(1)).unwrap();
@@ -22,10 +22,10 @@
     pool.finish(1, &attempt(1), b"done");
     busy.read_until(&[b"done"]);
     // All are closed well before a caller would time out.
-    let began = Instant::now();
-    half.read_to_end();
+    let started_at = Instant::now();
+    partial.read_to_end();
     silent.iter_mut().for_each(|edge| drop(edge.read_to_end()));
-    assert!(began.elapsed() < Duration::from_millis(2500));
+    assert!(started_at.elapsed() < Duration::from_millis(2500));
 }
 
 #[test]
@@ -36,14 +36,14 @@
     idle.0.write_all(&check(1)).unwrap();
     busy.send_request(1, "map", &attempt(1), None, b"");
     assert_eq!(pool.next().0[1], attempt(1));
-    // Health checks keep their connection from being idle.
+    // Health checks prevent the idle timeout of their connection.
     let mut checks = program.connect();
     for n in 1..=7 {
         checks.0.write_all(&check(n)).unwrap();
         assert!(!checks.read_until(&[&[0xc0, 0x92, 0xc3]]).windows(7).any(|w| w == b"closing"));
         std::thread::sleep(Duration::from_millis(100));
     }
-    // Only a connection that has sent a message is notified; this one has.
+    // Only connections that have sent a message are notified before they are closed, as this one has.
     let received = idle.read_to_end();
     assert!(received.ends_with(&[&[0x93, 2, 0xa7], b"closing".as_slice(), &[0x90]].concat()));
     pool.finish(1, &attempt(1), b"late");
@@ -51,16 +51,16 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_delays_no_other_and_gets_all_answers_later() {
+fn a_peer_that_does_not_read_delays_no_other_peer_and_gets_all_answers_later() {
     let mut program = Program::start(|_| None);
     let pool = program.wait_until_serving();
     std::thread::spawn(move || pool.serve(&[7; 4096]));
     let (mut stuck, mut good) = (program.connect(), program.connect());
     let mut writer = EdgeConnection(stuck.0.try_clone().unwrap());
     // As many calls as may be open at once.
-    let all = 32;
+    let calls = 32;
     let writing = std::thread::spawn(move || {
-        (1..=all).for_each(|n| writer.send_request(n, "map", &attempt(n), None, b""))
+        (1..=calls).for_each(|n| writer.send_request(n, "map", &attempt(n), None, b""))
     });
     for n in 1..=20 {
         good.send_request(n, "map", &attempt(1000 + n), None, b"");
@@ -68,7 +68,7 @@
     }
     let mut received = Vec::new();
     let count_responses = |bytes: &[u8]| bytes.windows(2).filter(|w| *w == [0x94, 1]).count();
-    while count_responses(&received) < all as usize {
+    while count_responses(&received) < calls as usize {
         let mut chunk = [0; 65536];
         let n = stuck.0.read(&mut chunk).unwrap();
         assert!(n > 0, "closed after {} answers", count_responses(&received));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn callers_that_leave_during_an_answer_leak_neither_memory_nor_descriptors() {
+fn callers_that_disconnect_during_an_answer_leak_neither_memory_nor_descriptors() {
     let mut program = Program::start(|_| None);
     let pool = program.wait_until_serving();
     std::thread::spawn(move || pool.serve(&[7; 200_000]));
@@ -93,15 +93,15 @@
             }
         }
     };
-    let half_read = |n: u32| {
+    let read_answer_in_part = |n: u32| {
         let mut edge = program.connect();
         edge.send_request(1, "map", &attempt(n), None, b"x");
         // The start of the answer has arrived; the rest does not fit into the socket buffers.
         edge.read_until(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc6]]);
     };
-    (1..=20).for_each(half_read);
+    (1..=20).for_each(read_answer_in_part);
     let before = ["descriptors", "memory"].map(|what| usage(what, &program));
-    (21..=220).for_each(half_read);
+    (21..=220).for_each(read_answer_in_part);
     let mut edge = program.connect();
     edge.send_request(1, "map", &attempt(1000), None, b"x");
     edge.read_until(&[&[7; 200_000]]);
@@ -109,6 +109,6 @@
     std::thread::sleep(Duration::from_millis(100));
     let after = ["descriptors", "memory"].map(|what| usage(what, &program));
     assert!(after[0] <= before[0] + 2, "{before:?} {after:?}");
-    // 40 MB were written in part; a tenth of that would be a leak.
+    // Answers of 40 MB in all were written in part; growth by a tenth of that would be a leak.
     assert!(after[1] <= before[1] + 4_000, "{before:?} {after:?}");
 }
--- a/crates/aldercrank-server/tests/suite/edge_protocol.rs
+++ b/crates/aldercrank-server/tests/suite/edge_protocol.rs
@@ -6,17 +6,17 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 #[test]
-fn a_protocol_violation_closes_its_connection_alone_and_fails_its_open_calls() {
+fn a_protocol_violation_closes_only_its_connection_and_fails_its_open_calls() {
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let (mut bad, mut crowd, mut good) = (program.connect(), program.connect(), program.connect());
     bad.send_request(1, "map", &attempt(1), None, b"");
     assert_eq!(pool.next().0[1], attempt(1));
     bad.0.write_all(&[0xc1, 0xc1]).unwrap();
-    // At once, though its request still runs: the later result is delivered to nobody.
+    // The open call fails at once although its run has not ended; the later result is discarded.
     assert!(bad.read_to_end().windows(8).any(|w| w == b"Internal"));
     pool.finish(1, &attempt(1), b"done");
-    // One call more than may be open: it does not run, and the open ones are answered.
+    // One call more than may be open at once: it doesn't run, and the open ones fail.
     (1..=33).for_each(|n| crowd.send_request(n, "map", &attempt(100 + n), None, b""));
     good.send_request(1, "map", &attempt(2), None, b"");
     good.send_request(2, "nothing", &attempt(3), None, b"");
@@ -26,7 +26,7 @@
     assert_eq!(count_responses, 32);
     good.0.write_all(&check(9)).unwrap();
     good.read_until(&[&[0x94, 1, 9, 0xc0, 0x92, 0xc3]]);
-    // Each kind gets an error or a close, and none of it reaches the pool.
+    // For each invalid input the connection is closed, and no request in it succeeds or reaches the pool.
     let time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string();
     let with = |name: &str, value: &str| {
         let (mut fields, attempt) =
@@ -63,7 +63,7 @@
     }
     good.send_request(10, "map", &attempt(10), None, b"");
     loop {
-        // Except the first of two with one message id, which was stopped.
+        // Of the invalid input only the first of two calls with the same message id may have run; it was stopped.
         let (command, _) = pool.next();
         if command[1] == attempt(10) {
             break;
@@ -81,12 +81,13 @@
     edge.send_request(2, "buy", &attempt(2), Some("t"), b"");
     assert_eq!([pool.next().0[1].clone(), pool.next().0[1].clone()], [attempt(1), attempt(2)]);
     (1..=2).for_each(|n| edge.0.write_all(&interrupt(n)).unwrap());
-    // An idempotent run is stopped; one that runs once goes on, and a repeated request gets its result.
+    // The run of an idempotent request is stopped. The run of a request that may run only once continues, and a
+    // repeated request gets its result.
     assert_eq!(pool.next().0, ["suspend".to_string(), attempt(1)]);
     pool.send(&format!("finished 1 {} halted 9 0\r\n\r\n", attempt(1)));
     edge.send_request(3, "buy", &attempt(3), Some("t"), b"");
     pool.finish(2, &attempt(2), b"two");
-    // A cancellation that crosses the answer changes nothing, nor does one for an unknown call.
+    // A cancellation that is sent at the same time as the answer changes nothing, nor does one for an unknown call.
     edge.0.write_all(&interrupt(3)).unwrap();
     edge.0.write_all(&interrupt(99)).unwrap();
     edge.0.write_all(&call(4, "map", &[("rid", &attempt(4)), ("t0", "soon"), ("budget", "9")], b"")).unwrap();
@@ -114,7 +115,7 @@
             pool.send(&format!("finished {} {} halted 1 0\r\n\r\n", stopped.len(), command[1]));
         }
     }
-    // As many calls may be open again, and each message id is free.
+    // Calls may be opened again, and the message ids may be used again.
     edge.send_request(1, "map", &attempt(100), None, b"x");
     let command = loop {
         let (command, _) = pool.next();
@@ -143,7 +144,7 @@
     assert!(all.windows(8).any(|w| w == b"Internal"));
 }
 
-/// On some platforms requests do not state how long their callers wait.
+/// On some platforms requests don't state how long their callers wait.
 #[test]
 fn a_request_without_a_budget_has_the_deadline_of_its_class_where_the_settings_allow_it() {
     let start = |passes: bool| {
@@ -164,10 +165,10 @@
     let mut edge = program.connect();
     edge.0.write_all(&message()).unwrap();
     assert_eq!(pool.next().0[1], "00000000000000a1");
-    // Its run does not end, yet the caller has an answer by the deadline.
+    // The run doesn't end, but the caller gets an answer by the deadline.
     edge.0.set_read_timeout(Some(Duration::from_millis(1200))).unwrap();
     edge.read_until(&[&[0x94, 1, 1, 0x92], b"Internal"]);
-    // Where requests have to state a budget, one without it breaks the protocol.
+    // If requests have to state a budget, one without it violates the protocol.
     let program = start(true);
     let mut edge = program.connect();
     edge.0.write_all(&message()).unwrap();
--- a/crates/aldercrank-server/tests/suite/golden_consensus/commands.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/commands.rs
@@ -1,10 +1,11 @@
-//! `aldercrank rules check`, `show` and `diff` on the golden rule books: what the built program prints, and its exit code.
+//! The `aldercrank rules` commands, mostly on the golden version files: what the built program prints, and its exit
+//! code.
 
 use super::{compare, golden};
 use std::fmt::Write;
 use std::process::{Command, Stdio};
 
-/// Runs the program in the directory of the golden rule books.
+/// Runs the program in the directory of the golden version files, and appends its output and exit code to `out`.
 fn run(out: &mut String, arguments: &[&str]) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_aldercrank"));
     command.args(arguments).current_dir(golden("rule-books")).stdin(Stdio::null()).env_clear();
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn help_and_wrong_use_output_is_as_recorded() {
+fn help_and_usage_error_output_is_as_recorded() {
     let mut out = String::new();
     run(&mut out, &["rules"]);
     run(&mut out, &["rules", "--help"]);
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -1,4 +1,4 @@
-//! Messages about the rule book inside MessagePack-RPC: what one server writes and the other reads.
+//! Consensus messages in MessagePack-RPC frames: the bytes that one server writes, and how the other decodes them.
 
 use super::{compare, hex};
 use aldercrank_consensus::{CommittedState, PeerRequest, PeerResponse, ServerName, VersionId};
@@ -10,14 +10,14 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// The longest answer that a server reads from another.
-const LONGEST_ANSWER: usize = 64 * 1024;
+/// The longest response that a server reads from another, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// Notes what either end reads, a line each.
+/// Records what either end decodes, one line per message.
 #[derive(Default)]
-struct Notes(Vec<String>);
+struct MessageRecorder(Vec<String>);
 
-impl RequestHandler for Notes {
+impl RequestHandler for MessageRecorder {
     fn request(&mut self, call: MessageId, method: &str, fields: &RequestFields, body: &[u8]) {
         assert_eq!(*fields, RequestFields::default());
         self.0.push(format!("call {} of {method:?}, no fields, body {}", call.0, hex(body)));
@@ -36,26 +36,26 @@
     }
 }
 
-/// What goes along with an answer.
-fn beside(with: ReceivedFields) -> String {
+/// The fields that accompany a response.
+fn described_fields(fields: ReceivedFields) -> String {
     format!(
         "hint {:?}, backoff {:?}, final {}, rules {:?}",
-        with.load_hint, with.retry_after, with.is_final, with.version
+        fields.load_hint, fields.retry_after, fields.is_final, fields.version
     )
 }
 
-impl ResponseHandler for Notes {
-    fn completed(&mut self, call: MessageId, result: &[u8], with: ReceivedFields) {
-        self.0.push(format!("call {} settled with {}; {}", call.0, hex(result), beside(with)));
+impl ResponseHandler for MessageRecorder {
+    fn completed(&mut self, call: MessageId, result: &[u8], fields: ReceivedFields) {
+        self.0.push(format!("call {} settled with {}; {}", call.0, hex(result), described_fields(fields)));
     }
-    fn rejected(&mut self, call: MessageId, with: ReceivedFields) {
-        self.0.push(format!("call {} Overloaded; {}", call.0, beside(with)));
+    fn rejected(&mut self, call: MessageId, fields: ReceivedFields) {
+        self.0.push(format!("call {} Overloaded; {}", call.0, described_fields(fields)));
     }
-    fn failed(&mut self, call: MessageId, why: &str, with: ReceivedFields) {
-        self.0.push(format!("call {} {why:?}; {}", call.0, beside(with)));
+    fn failed(&mut self, call: MessageId, reason: &str, fields: ReceivedFields) {
+        self.0.push(format!("call {} {reason:?}; {}", call.0, described_fields(fields)));
     }
-    fn health_reported(&mut self, call: MessageId, good: bool, with: ReceivedFields) {
-        self.0.push(format!("call {} checked {good}; {}", call.0, beside(with)));
+    fn health_reported(&mut self, call: MessageId, healthy: bool, fields: ReceivedFields) {
+        self.0.push(format!("call {} checked {healthy}; {}", call.0, described_fields(fields)));
     }
     fn closing(&mut self) {
         self.0.push("closing".to_string());
@@ -66,27 +66,27 @@
 }
 
 fn read_as_server(bytes: &[u8]) -> String {
-    let mut notes = Notes::default();
-    match msgpack_rpc::read_request(bytes, &mut notes) {
-        Ok(length) => format!("{length:?} bytes: {}", notes.0.join("; then ")),
+    let mut recorder = MessageRecorder::default();
+    match msgpack_rpc::read_request(bytes, &mut recorder) {
+        Ok(length) => format!("{length:?} bytes: {}", recorder.0.join("; then ")),
         Err(error) => format!("broken: {error}"),
     }
 }
 
 fn read_as_caller(bytes: &[u8]) -> String {
-    let mut notes = Notes::default();
-    match msgpack_rpc::read_response(bytes, LONGEST_ANSWER, &mut notes) {
-        Ok(length) => format!("{length:?} bytes: {}", notes.0.join("; then ")),
+    let mut recorder = MessageRecorder::default();
+    match msgpack_rpc::read_response(bytes, MAX_RESPONSE_BYTES, &mut recorder) {
+        Ok(length) => format!("{length:?} bytes: {}", recorder.0.join("; then ")),
         Err(error) => format!("broken: {error}"),
     }
 }
 
-fn pack(value: &impl Serialize) -> Vec<u8> {
+fn encoded(value: &impl Serialize) -> Vec<u8> {
     rmp_serde::to_vec(value).unwrap()
 }
 
 fn version(number: u64) -> VersionId {
-    VersionId { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
+    VersionId { number, digest: std::array::from_fn(|index| (number as u8).wrapping_add(index as u8)) }
 }
 
 fn request(call: u32, body: &[u8]) -> Vec<u8> {
@@ -101,35 +101,36 @@
     bytes
 }
 
-fn response(call: u32, body: &[u8], beside: ResponseFields) -> Vec<u8> {
+fn response(call: u32, body: &[u8], fields: ResponseFields) -> Vec<u8> {
     let mut bytes = Vec::new();
     msgpack_rpc::write_completed(&mut bytes, MessageId(call), body.len());
     bytes.extend_from_slice(body);
-    msgpack_rpc::write_completed_end(&mut bytes, beside);
+    msgpack_rpc::write_completed_end(&mut bytes, fields);
     bytes
 }
 
 fn notification(proposal: Option<VersionId>) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack_rpc::write_notification(&mut bytes, &pack(&proposal));
+    msgpack_rpc::write_notification(&mut bytes, &encoded(&proposal));
     bytes
 }
 
-/// Long bytes are cut in the middle.
-fn shortened(text: String) -> String {
+/// Replaces the middle of a long text by its length.
+fn abbreviated(text: String) -> String {
     match text.len() {
         0..=600 => text,
         length => format!("{} ... {} characters ... {}", &text[..200], length, &text[length - 40..]),
     }
 }
 
+/// Adds the bytes of a message, and how they are decoded.
 fn block(out: &mut String, title: &str, bytes: &[u8], read: fn(&[u8]) -> String) {
-    let shown = shortened(hex(bytes));
-    let _ = writeln!(out, "{title}\n  bytes {shown}\n  read  {}\n", shortened(read(bytes)));
+    let shown = abbreviated(hex(bytes));
+    let _ = writeln!(out, "{title}\n  bytes {shown}\n  read  {}\n", abbreviated(read(bytes)));
 }
 
-/// The same, and no part of it is read for the whole.
-fn whole(out: &mut String, title: &str, bytes: &[u8], read: fn(&[u8]) -> String) {
+/// Adds a block as [`block`] does, and checks that no truncated message is taken for a complete one.
+fn complete_block(out: &mut String, title: &str, bytes: &[u8], read: fn(&[u8]) -> String) {
     block(out, title, bytes, read);
     for length in 0..bytes.len() {
         assert_eq!(read(&bytes[..length]), "None bytes: ", "{title} cut to {length} bytes");
@@ -144,10 +145,10 @@
         last: 8,
         evaluation: Some((version(9), Ok(())).into()),
     };
-    whole(&mut out, "request Status", &request(1, &pack(&PeerRequest::Status)), read_as_server);
-    whole(&mut out, "request Renew", &request(128, &pack(&renew)), read_as_server);
-    let fetch = request(u32::MAX, &pack(&PeerRequest::Fetch { version_id: version(9) }));
-    whole(&mut out, "request Fetch", &fetch, read_as_server);
+    complete_block(&mut out, "request Status", &request(1, &encoded(&PeerRequest::Status)), read_as_server);
+    complete_block(&mut out, "request Renew", &request(128, &encoded(&renew)), read_as_server);
+    let fetch = request(u32::MAX, &encoded(&PeerRequest::Fetch { version_id: version(9) }));
+    complete_block(&mut out, "request Fetch", &fetch, read_as_server);
     let committed_state = CommittedState { last: 9, version_id: version(8) };
     let lease = PeerResponse::Lease {
         committed: committed_state,
@@ -157,23 +158,28 @@
     };
     let plain = ResponseFields::default();
     let full = ResponseFields { load_hint: Some("0.85"), version: Some(8) };
-    whole(&mut out, "response Fine", &response(1, &pack(&PeerResponse::Acknowledged), plain), read_as_caller);
-    whole(
+    complete_block(
+        &mut out,
+        "response Fine",
+        &response(1, &encoded(&PeerResponse::Acknowledged), plain),
+        read_as_caller,
+    );
+    complete_block(
         &mut out,
         "response Silent",
-        &response(300, &pack(&PeerResponse::Unavailable), full),
+        &response(300, &encoded(&PeerResponse::Unavailable), full),
         read_as_caller,
     );
-    whole(&mut out, "response Lease", &response(70_000, &pack(&lease), full), read_as_caller);
+    complete_block(&mut out, "response Lease", &response(70_000, &encoded(&lease), full), read_as_caller);
     let text = PeerResponse::Text { version_id: version(8), text: "rules 8 {\n}\n".repeat(1000) };
-    block(&mut out, "response Text, long", &response(2, &pack(&text), plain), read_as_caller);
-    whole(&mut out, "notification of no draft", &notification(None), read_as_caller);
-    whole(&mut out, "notification of a draft", &notification(Some(version(9))), read_as_caller);
+    block(&mut out, "response Text, long", &response(2, &encoded(&text), plain), read_as_caller);
+    complete_block(&mut out, "notification of no draft", &notification(None), read_as_caller);
+    complete_block(&mut out, "notification of a draft", &notification(Some(version(9))), read_as_caller);
     compare("consensus/framing.txt", &out);
 }
 
 #[test]
-fn odd_frames_are_read_as_recorded() {
+fn unusual_and_invalid_frames_are_read_as_recorded() {
     let mut out = String::new();
     let mut as_caller = |title: &str, bytes: &[u8]| block(&mut out, title, bytes, read_as_caller);
     let mut bytes = Vec::new();
@@ -195,17 +201,17 @@
     msgpack_rpc::write_closing(&mut bytes);
     as_caller("notification: closing", &bytes);
     let result = |length| response(4, &vec![7; length], ResponseFields::default());
-    as_caller("response at the limit", &result(LONGEST_ANSWER - 9));
-    as_caller("response over the limit", &result(LONGEST_ANSWER - 8));
+    as_caller("response at the limit", &result(MAX_RESPONSE_BYTES - 9));
+    as_caller("response over the limit", &result(MAX_RESPONSE_BYTES - 8));
     as_caller("response with no result", &result(0));
     as_caller("two responses, the first of which is read", &[result(1), result(2)].concat());
-    as_caller("a request where a response is due", &request(1, &pack(&PeerRequest::Status)));
-    let news = |tail: &[u8]| [&[0x93, 2, 0xa5][..], b"rules", tail].concat();
-    as_caller("notification with two bodies", &news(&[0x92, 0xc4, 1, 0xc0, 0xc4, 1, 0xc0]));
-    as_caller("notification without a body", &news(&[0x90]));
-    as_caller("notification whose body is nil", &news(&[0x91, 0xc0]));
-    as_caller("notification whose parameters are no list", &news(&[0x80]));
-    as_caller("notification with an empty body", &news(&[0x91, 0xc4, 0]));
+    as_caller("a request where a response is due", &request(1, &encoded(&PeerRequest::Status)));
+    let notification_with = |tail: &[u8]| [&[0x93, 2, 0xa5][..], b"rules", tail].concat();
+    as_caller("notification with two bodies", &notification_with(&[0x92, 0xc4, 1, 0xc0, 0xc4, 1, 0xc0]));
+    as_caller("notification without a body", &notification_with(&[0x90]));
+    as_caller("notification whose body is nil", &notification_with(&[0x91, 0xc0]));
+    as_caller("notification whose parameters are no list", &notification_with(&[0x80]));
+    as_caller("notification with an empty body", &notification_with(&[0x91, 0xc4, 0]));
     as_caller("notification of another name", &[&[0x93, 2, 0xa4][..], b"rule", &[0x91, 0xc0]].concat());
     as_caller("notification whose name is no text", &[0x93, 2, 0xc0, 0x91, 0xc0]);
     as_caller("reserved marker", &[0xc1]);
@@ -216,7 +222,7 @@
     as_server("notification where a request is due", &notification(None));
     as_server(
         "response where a request is due",
-        &response(1, &pack(&PeerResponse::Acknowledged), ResponseFields::default()),
+        &response(1, &encoded(&PeerResponse::Acknowledged), ResponseFields::default()),
     );
     compare("consensus/framing-odd.txt", &out);
 }
--- a/crates/aldercrank-server/tests/suite/golden_consensus/mod.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/mod.rs
@@ -1,5 +1,5 @@
-//! Golden files of what servers say to one another and store about the rule book, and of the commands on it. The files
-//! are written only where `RECORD_GOLDEN_FILES` is set.
+//! Golden tests of the versioned configuration: consensus messages between servers, the state file, the status document
+//! and the `rules` commands. The golden files are written only if `RECORD_GOLDEN_FILES` is set.
 
 mod commands;
 mod framing;
@@ -9,6 +9,7 @@
 use crate::compare;
 use std::path::PathBuf;
 
+/// The path of a golden file.
 fn golden(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../tests/golden").join(name)
 }
--- a/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
@@ -1,5 +1,5 @@
-//! The answer to a status request, from a server alone on its committee and from one that hears no other member: the
-//! fields in their order, with their values where those don't depend on time.
+//! The response to a status request, from a server that is the only committee member and from one that reaches no other
+//! member: the fields in their order, with their values unless these depend on time.
 
 use super::compare;
 use crate::harness::{http, listen, report_accepted, unused_address, TIMEOUT};
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The program with a rule book that names it as the only member; ended and its files removed at the end.
+/// The program with a versioned configuration. When dropped, the process is killed and its files are removed.
 struct Server {
     child: Child,
     address: SocketAddr,
@@ -35,10 +35,10 @@
     }
 }
 
-/// With a memory, the server has known the version in an earlier life.
-fn start(number: u32, committee: &str, memory: bool) -> Server {
+/// Starts a server. With `has_state_file` it finds the version stored, as by an earlier process.
+fn start(number: u32, committee: &str, has_state_file: bool) -> Server {
     let pid = std::process::id() % 60_000;
-    // Not among the addresses that the harness gives out.
+    // Outside the range of addresses that the harness uses.
     let ip = format!("127.{}.{}.{}", 16 + pid / 250, 1 + pid % 250, 250 + number);
     let (address, (pool, pool_address), (members, members_address)) =
         (unused_address(&ip), listen(&ip), listen(&ip));
@@ -67,7 +67,7 @@
     );
     let config_version = VersionedConfig::parse(&text).unwrap();
     let mut service = format!("rules {{\n    book {:?}\n", file("rules.kdl", text).to_str().unwrap());
-    if memory {
+    if has_state_file {
         let version = VersionId { number: 8, digest: config_version.digest().0 };
         let committed_state = CommittedState { last: 9, version_id: version };
         StateFile::open(Some(&directory)).store_version(committed_state, &Arc::from(config_version.text()));
@@ -75,8 +75,8 @@
     }
     let service = file("service.kdl", service + "}\n");
     let config = file("config.json", config.to_string());
-    let (described, _) = channel();
-    http(members, described, report_accepted);
+    let (report_sender, _) = channel();
+    http(members, report_sender, report_accepted);
     let mut command = Command::new(env!("CARGO_BIN_EXE_aldercrank"));
     command.arg("serve").arg("--service").arg(service).arg(config);
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
@@ -84,9 +84,9 @@
 }
 
 #[derive(Default)]
-struct Answer(Option<PeerResponse>);
+struct StatusReader(Option<PeerResponse>);
 
-impl ResponseHandler for Answer {
+impl ResponseHandler for StatusReader {
     fn completed(&mut self, _: MessageId, result: &[u8], _: ReceivedFields) {
         self.0 = rmp_serde::from_slice(result).ok();
     }
@@ -96,7 +96,7 @@
     fn closing(&mut self) {}
 }
 
-/// The status as the server writes it; nothing while it does not listen yet.
+/// The status as the server writes it; `None` if the server can't be reached or closes the connection.
 fn status(address: SocketAddr) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -110,12 +110,12 @@
         &body,
     );
     stream.write_all(&request).unwrap();
-    let (mut since_last_seen, mut chunk) = (Vec::new(), [0; 4096]);
+    let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
         let count = stream.read(&mut chunk).ok().filter(|count| *count > 0)?;
-        since_last_seen.extend_from_slice(&chunk[..count]);
-        let mut answer = Answer::default();
-        if msgpack_rpc::read_response(&since_last_seen, 1 << 20, &mut answer).unwrap().is_some() {
+        received.extend_from_slice(&chunk[..count]);
+        let mut answer = StatusReader::default();
+        if msgpack_rpc::read_response(&received, 1 << 20, &mut answer).unwrap().is_some() {
             return match answer.0 {
                 Some(PeerResponse::Status { text }) => Some(text),
                 _ => panic!("no status"),
@@ -124,38 +124,39 @@
     }
 }
 
-/// Asks until the answer is as wanted.
-fn completed(address: SocketAddr, wanted: fn(&Json) -> bool) -> String {
+/// Requests the status until it is as expected.
+fn wait_for_status(address: SocketAddr, is_expected: fn(&Json) -> bool) -> String {
     let until = Instant::now() + TIMEOUT;
     loop {
         if let Some(text) = status(address) {
-            if wanted(&serde_json::from_str(&text).unwrap()) {
+            if is_expected(&serde_json::from_str(&text).unwrap()) {
                 return text;
             }
         }
-        assert!(Instant::now() < until, "it never comes to that: {:?}", status(address));
+        assert!(Instant::now() < until, "the status was not as expected in time: {:?}", status(address));
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Fields whose values depend on when one asks.
-const OF_A_MOMENT: [&str; 4] = ["since_ms", "lease_ms", "heard_ms", "share"];
+/// Fields whose values depend on the time of the request.
+const TIME_DEPENDENT_FIELDS: [&str; 4] = ["since_ms", "lease_ms", "heard_ms", "share"];
 
-fn fields(out: &mut String, path: &str, value: &Json) {
+/// Writes all fields below `path`, one line per value.
+fn write_fields(out: &mut String, path: &str, value: &Json) {
     match value {
         Json::Object(all) => {
             for (name, value) in all {
                 let path = format!("{path}.{name}");
-                if OF_A_MOMENT.contains(&name.as_str()) {
+                if TIME_DEPENDENT_FIELDS.contains(&name.as_str()) {
                     let _ = writeln!(out, "{path} = a number: {}", value.is_number());
                 } else {
-                    fields(out, &path, value);
+                    write_fields(out, &path, value);
                 }
             }
         }
         Json::Array(all) if !all.is_empty() => {
-            for (place, value) in all.iter().enumerate() {
-                fields(out, &format!("{path}.{place}"), value);
+            for (index, value) in all.iter().enumerate() {
+                write_fields(out, &format!("{path}.{index}"), value);
             }
         }
         other => {
@@ -164,8 +165,8 @@
     }
 }
 
-/// With `#` for each span in seconds, and for addresses of this run.
-fn without_moments(text: &str, address: SocketAddr) -> String {
+/// Replaces durations in seconds by `#` and the server's address by `ADDRESS`.
+fn without_variable_parts(text: &str, address: SocketAddr) -> String {
     let text = text.replace(&address.to_string(), "ADDRESS");
     let words = text.split(' ').map(|word| match word.parse::<f64>() {
         Ok(_) if word.contains('.') => "#",
@@ -174,13 +175,14 @@
     words.collect::<Vec<_>>().join(" ")
 }
 
-fn command(out: &mut String, address: SocketAddr, arguments: &[&str]) {
+/// Runs a command against the server, and appends its output and exit code to `out`.
+fn run_command(out: &mut String, address: SocketAddr, arguments: &[&str]) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_aldercrank"));
     let at = address.to_string();
     let output = command.args(arguments).args(["--at", &at]).stdin(Stdio::null()).output().unwrap();
     let _ = writeln!(out, "\n$ {} --at ADDRESS\nexit code {:?}", arguments.join(" "), output.status.code());
     for (title, bytes) in [("standard output", &output.stdout), ("standard error", &output.stderr)] {
-        let text = without_moments(std::str::from_utf8(bytes).unwrap(), address);
+        let text = without_variable_parts(std::str::from_utf8(bytes).unwrap(), address);
         let _ = write!(out, "{title}\n{text}");
     }
 }
@@ -188,46 +190,46 @@
 #[test]
 fn a_status_answer_has_the_recorded_fields_and_is_shown_as_recorded() {
     let server = start(0, "n1 \"127.0.0.1:7001\"", false);
-    // The member vouches for what stands, and has given its own server a lease.
-    let text = completed(server.address, |json| {
+    // The member confirms the committed version and has granted its own server a lease.
+    let text = wait_for_status(server.address, |json| {
         let committee = &json["committee"];
         committee["vouches"] == true && json["level"] == "full" && committee["servers"][0]["last"] == 8
     });
     let json: Json = serde_json::from_str(&text).unwrap();
     assert_eq!(json.to_string(), text, "the fields are in the order of their names");
     let mut out = "the answer's fields\n".to_string();
-    fields(&mut out, "", &json);
-    command(&mut out, server.address, &["rules", "status"]);
-    command(&mut out, server.address, &["rules", "show"]);
+    write_fields(&mut out, "", &json);
+    run_command(&mut out, server.address, &["rules", "status"]);
+    run_command(&mut out, server.address, &["rules", "show"]);
     let mut shown = String::new();
-    command(&mut shown, server.address, &["rules", "status", "--json"]);
+    run_command(&mut shown, server.address, &["rules", "status", "--json"]);
     let line = shown.lines().find(|line| line.starts_with('[')).expect("one JSON document");
     out += "\n$ rules status --json --at ADDRESS\n";
-    fields(&mut out, "", &serde_json::from_str(line).unwrap());
+    write_fields(&mut out, "", &serde_json::from_str(line).unwrap());
     let address = server.address;
     drop(server);
-    command(&mut out, address, &["rules", "status"]);
-    command(&mut out, address, &["rules", "status", "--json"]);
-    command(&mut out, address, &["rules", "show"]);
+    run_command(&mut out, address, &["rules", "status"]);
+    run_command(&mut out, address, &["rules", "status", "--json"]);
+    run_command(&mut out, address, &["rules", "show"]);
     compare("consensus/status.txt", &out);
 }
 
 #[test]
-fn a_server_out_of_touch_answers_as_recorded() {
+fn the_status_of_a_server_that_reaches_no_other_member_is_as_recorded() {
     let mut out = String::new();
-    // Nobody listens at the other members' places.
+    // No server listens at the addresses of the other members.
     let committee = "n1 \"127.0.0.1:7001\"; n2 \"127.0.0.1:1\"; n3 \"127.0.0.1:1\"";
-    for (number, title, memory) in [(1, "without a memory", false), (2, "with a memory", true)] {
-        let server = start(number, committee, memory);
-        // It has asked its own member again, with what it had learned by then.
-        let text = completed(server.address, |json| {
-            let asked_with = &json["committee"]["servers"][0]["last"];
-            !asked_with.is_null() && *asked_with == json["standing"]["last"]
+    for (number, title, has_state_file) in [(1, "without a memory", false), (2, "with a memory", true)] {
+        let server = start(number, committee, has_state_file);
+        // Its follower has sent its own member another request, with the committed state known by then.
+        let text = wait_for_status(server.address, |json| {
+            let last_known = &json["committee"]["servers"][0]["last"];
+            !last_known.is_null() && *last_known == json["standing"]["last"]
         });
         let _ = writeln!(out, "{title}");
-        fields(&mut out, "", &serde_json::from_str(&text).unwrap());
-        command(&mut out, server.address, &["rules", "status"]);
-        command(&mut out, server.address, &["rules", "show"]);
+        write_fields(&mut out, "", &serde_json::from_str(&text).unwrap());
+        run_command(&mut out, server.address, &["rules", "status"]);
+        run_command(&mut out, server.address, &["rules", "show"]);
         out += "\n";
     }
     compare("consensus/status-out-of-touch.txt", &out);
--- a/crates/aldercrank-server/tests/suite/state_file.rs
+++ b/crates/aldercrank-server/tests/suite/state_file.rs
@@ -1,4 +1,4 @@
-//! The state file of a server: incomplete writes, and the boot that acceptor state belongs to.
+//! The state file of a server: incomplete writes, and acceptor state that was stored before a reboot.
 
 use aldercrank_consensus::member::AcceptorState;
 use aldercrank_consensus::{CommittedState, VersionId};
@@ -18,25 +18,26 @@
 
 #[test]
 fn an_incomplete_write_leaves_the_state_written_before() {
-    let dir = std::env::temp_dir().join(format!("aldercrank-memory-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("aldercrank-state-file-{}", std::process::id()));
     let mut state_file = StateFile::open(Some(&dir));
     assert!(state_file.version().is_none());
     for n in 1..=5 {
         state_file.store_version(committed(n), &Arc::from(format!("text {n}").repeat(900)));
     }
-    let known = |dir: &Path| StateFile::open(Some(dir)).version().map(|stored| stored.committed.last);
-    assert_eq!(known(&dir), Some(5));
+    let last_committed =
+        |dir: &Path| StateFile::open(Some(dir)).version().map(|stored| stored.committed.last);
+    assert_eq!(last_committed(&dir), Some(5));
     let file = OpenOptions::new().write(true).open(dir.join(FILE_NAME)).unwrap();
     file.write_all_at(&[7; 40], SLOT_BYTES + HEADER_BYTES + 100).unwrap();
-    assert_eq!(known(&dir), Some(4), "the fifth is damaged");
+    assert_eq!(last_committed(&dir), Some(4), "the slot of the fifth write is damaged");
     file.write_all_at(&[7; 4], 0).unwrap();
     file.write_all_at(&[255; 8], 8).unwrap();
-    assert_eq!(known(&dir), None, "no slot is intact, and nothing panics");
+    assert_eq!(last_committed(&dir), None, "both slots are damaged");
     fs::remove_dir_all(&dir).unwrap();
 }
 
 #[test]
-fn after_a_reboot_the_acceptor_state_is_not_trusted_and_the_version_is_known() {
+fn after_a_reboot_the_version_is_restored_and_the_acceptor_state_is_not() {
     let dir = std::env::temp_dir().join(format!("aldercrank-boot-{}", std::process::id()));
     let acceptor_state = AcceptorState {
         committed: committed(3),
--- a/crates/aldercrank-server/tests/suite/version_polling.rs
+++ b/crates/aldercrank-server/tests/suite/version_polling.rs
@@ -1,12 +1,13 @@
-//! Polls of the membership service for versions of the configuration.
+//! Polling of the membership service for proposed configuration versions.
 
 use crate::harness::{http, listen, report_accepted, PoolConnection, Program, TIMEOUT};
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// The longest until a poll that is due at once has come, far below the interval of polls.
+/// Within this time a poll that is due at once is received. Far below the interval between polls.
 const AT_ONCE: Duration = Duration::from_secs(2);
 
+/// The next request that reads the version, skipping reports. `None` if there is none within this time.
 fn next_poll(requests: &Receiver<String>, within: Duration) -> Option<String> {
     let until = Instant::now() + within;
     loop {
@@ -18,7 +19,7 @@
     }
 }
 
-/// Guards against versions that are read late, or never, since polls go on at the earlier address for a while.
+/// Guards against versions that are read late or never because polls continue at the previous address for a while.
 #[test]
 fn a_reload_that_moves_the_membership_service_moves_the_polls_at_once() {
     let directory = std::env::temp_dir().join(format!("aldercrank-version-polling-{}", std::process::id()));
@@ -38,6 +39,9 @@
     http(members, sender, report_accepted);
     program.reload(&[("members", members_address)]);
     let poll = next_poll(&requests, AT_ONCE).expect("no poll at the new address");
-    assert!(!poll.contains("If-None-Match"), "nothing is known of what the new one has: {poll}");
+    assert!(
+        !poll.contains("If-None-Match"),
+        "a poll at the new address must not name a version that was read at the previous one: {poll}"
+    );
     std::fs::remove_dir_all(directory).unwrap();
 }
--- a/crates/aldercrank-server/tests/suite/worker_pool_link.rs
+++ b/crates/aldercrank-server/tests/suite/worker_pool_link.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_lost_link_is_bound_from_the_last_notice_and_repeated_notices_count_once() {
+fn a_lost_link_is_bound_again_from_the_last_notice_and_repeated_notices_are_ignored() {
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
@@ -19,11 +19,11 @@
     pool.finish(1, &attempt(2), b"old");
     pool.finish(2, &attempt(9), b"for nobody");
     pool.send("gibberish\r\nunknown spawn 77\r\n");
-    // The last notice is visible, so all of them have been read when the link is lost.
+    // The last notice has a visible effect, so all of them have been read when the link is lost.
     pool.finish(3, &attempt(2), b"two");
     let received = edge.read_until(&[b"two"]);
     assert!(!received.windows(3).any(|w| w == b"old"));
-    // A pool that started after the link was lost has none of the earlier runs.
+    // A pool that started after the link was lost has none of the earlier runs, so their requests fail.
     drop(pool);
     let mut pool = PoolConnection::accept(&program.pool);
     pool.bind("3", "0.5");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_broken_dependency_call_is_not_repeated_for_a_request_that_runs_once_and_the_request_fails() {
+fn a_failed_dependency_call_of_a_request_that_runs_once_is_not_repeated_and_fails_the_request() {
     // The dependency answers the first call and closes the connection during the second.
     let mut program = Program::start(|call| if call.ends_with("good") { ok("fine") } else { None });
     let mut pool = program.wait_until_serving();
@@ -58,7 +58,7 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let (mut good, mut bad) = (program.connect(), program.connect());
-    // The forged request comes first; the genuine one runs, and its repetition gets the cached response.
+    // The forged request arrives first. The genuine one runs nevertheless, and its repetition gets the cached result.
     bad.send_request(1, "buy", &attempt(1), Some("t"), b"false");
     assert_eq!(pool.next().0[1], attempt(1));
     good.send_request(1, "buy", &attempt(2), Some("t"), b"true");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_large_result_in_pieces_and_the_message_behind_it_are_delivered_completely() {
+fn a_large_result_in_pieces_and_the_message_after_it_are_delivered_completely() {
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
@@ -86,7 +86,7 @@
     let mut message = format!("finished 1 {} ok 20.5 {}\r\n", attempt(1), large.len()).into_bytes();
     message.extend(&large);
     message.extend(format!("\r\nfinished 2 {} ok 20.5 5\r\nsmall\r\n", attempt(2)).bytes());
-    // Split within the first line, the result, its end and the second line.
+    // The parts end within the first line, the result, its end and the second line.
     let mut from = 0;
     for to in [9, 40, 100_000, message.len() - 66, message.len() - 30, message.len()] {
         pool.reader.get_mut().write_all(&message[from..to]).unwrap();
