--- a/src/admission/requests.rs
+++ b/src/admission/requests.rs
@@ -150,7 +150,7 @@
             .classes
             .iter()
             .enumerate()
-            .map(|(i, class)| if requires_call(class) { self.totals.of_class(i) } else { 0 })
+            .map(|(i, class)| if requires_call(class) { self.totals.count_of_class(i) } else { 0 })
             .sum();
         let slack =
             arrival.class.latency_target.as_secs_f64() - self.run_seconds_now(now, arrival.class_index);
--- a/src/dedup.rs
+++ b/src/dedup.rs
@@ -1,26 +1,26 @@
-//! The deduplication entries as admission control sees them: how long each lasts, and which repeat has replaced which
-//! queued request. The responses themselves are kept by the host.
+//! What admission control tracks about deduplication entries: when each of them ends, and which repeat has replaced
+//! which queued request. The responses themselves are stored by the host.
 
 use crate::types::{Effect, RequestClass, RequestId, RequestMap};
 use std::time::Duration;
 
 struct DedupEntry {
     ends_at: Duration,
-    /// Its window has not ended, so it counts for memory.
+    /// Its window has not ended, so it counts towards memory use.
     active: bool,
     class: usize,
-    /// The repeat that took its place in the queue.
+    /// The repeat that replaced its request in the queue.
     replaced_by: Option<RequestId>,
 }
 
-/// A deduplication entry that lasts longer than before.
+/// A deduplication entry whose end has been moved to a later time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ExtendedEntry {
     pub(crate) request_id: RequestId,
     pub(crate) ends_at: Duration,
 }
 
-/// All deduplication entries, by the request that they were made for.
+/// All deduplication entries, keyed by the request that they were created for.
 #[derive(Default)]
 pub(crate) struct DedupEntries {
     entries: RequestMap<DedupEntry>,
@@ -32,7 +32,8 @@
         self.entries.contains_key(&id)
     }
 
-    /// Follows the chain of replacements from this request to the one that now stands in its place.
+    /// Follows the chain of replacements from this request to the latest repeat; the request itself if it has not been
+    /// replaced.
     pub(crate) fn latest_replacement(&self, id: RequestId) -> RequestId {
         let mut latest = id;
         while let Some(replacement) = self.entries.get(&latest).and_then(|entry| entry.replaced_by) {
@@ -45,7 +46,7 @@
         self.entries.get(&id).is_some_and(|entry| entry.active)
     }
 
-    /// Number of entries that count for memory.
+    /// Number of entries that count towards memory use.
     pub(crate) fn active_count(&self) -> usize {
         self.active_count
     }
@@ -55,8 +56,8 @@
         self.entries.insert(id, DedupEntry { ends_at, active: true, class, replaced_by: None });
     }
 
-    /// Extends the active entries of keyed classes whose window has grown from `old` to `new`. Returns them in the
-    /// order of their ids.
+    /// Extends the active entries of those keyed classes whose window is longer in `new` than in `old`. Returns the
+    /// extended entries, ordered by id.
     pub(crate) fn extend_windows(
         &mut self,
         old: &[RequestClass],
@@ -76,8 +77,8 @@
         extended
     }
 
-    /// Records that a repeat has taken the place of this request in the queue. Until `ends_at` other repeats may
-    /// still name the replaced request.
+    /// Records that a repeat has replaced this request in the queue. Further repeats may refer to the replaced request
+    /// until `ends_at`.
     pub(crate) fn insert_replaced(
         &mut self,
         id: RequestId,
@@ -89,15 +90,16 @@
         self.entries.insert(id, DedupEntry { ends_at, active: false, class, replaced_by });
     }
 
-    /// Removes an entry. Returns whether there was one.
+    /// Removes the entry of this request. Returns whether there was one.
     pub(crate) fn remove(&mut self, id: RequestId) -> bool {
         let entry = self.entries.remove(&id);
         self.active_count -= usize::from(entry.as_ref().is_some_and(|entry| entry.active));
         entry.is_some()
     }
 
-    /// Handles the timer of an entry. An active entry becomes inactive and is kept for `inactive_span` more, because a
-    /// repeat may be read long after it arrived; returns the end of that. An inactive entry is removed.
+    /// Handles the timer of an entry. An active entry becomes inactive and is kept for another `inactive_span`, because
+    /// a repeat may be read long after it arrived; its new end is returned. An inactive entry is removed. A timer that
+    /// fires before the end of the entry, which may have been extended, has no effect.
     pub(crate) fn expire(
         &mut self,
         id: RequestId,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! Admission control for one server of a fleet: which requests it queues, runs and rejects.
+//! Admission control for one server of a fleet: decides which requests the server queues, runs and rejects.
 //!
-//! [`Admission`] is a state machine without I/O and without a clock: the server calls one method for each event, with
-//! the time since its start, and the state machine acts through the [`Host`] that it was given.
+//! [`Admission`] is a state machine without I/O and without a clock. The server calls one method per event and passes
+//! the time since it started; the state machine carries out its decisions through the [`Host`] that it was given.
 
 pub mod admission;
 mod dedup;
--- a/src/outstanding_calls.rs
+++ b/src/outstanding_calls.rs
@@ -1,5 +1,5 @@
-//! The upstream calls of the last seconds: when each was made, and until when it may occupy the dependency. Keeps
-//! running sums, because they are asked for at every event.
+//! Recent upstream calls: when each was made, and until when it may occupy the dependency. The totals are maintained
+//! incrementally, because they are needed at every event.
 
 use crate::range_summary_map::RangeSummaryMap;
 use crate::types::{RequestId, RequestMap};
@@ -11,27 +11,27 @@
     request_id: RequestId,
     started_at: Duration,
     ends_at: Duration,
-    /// It ended before the observed period and is no longer part of the sums.
+    /// It ended before the observed period and no longer counts towards the totals.
     expired: bool,
 }
 
-/// The end of an open call. Ordered by time, then by the number of the call.
+/// The end of an open call. Ordered by time, then by the sequence number of the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CallEnd {
     at: Duration,
     number: u64,
 }
 
-/// Upstream calls, numbered in the order in which they were made.
+/// Recent upstream calls, numbered in the order in which they were made.
 #[derive(Debug, Default)]
 pub struct OutstandingCalls {
-    /// In the order in which they were made; the first has the number `first_number`.
+    /// In the order in which they were made, numbered consecutively from `first_number` on.
     calls: VecDeque<Call>,
     first_number: u64,
     latest_of_request: RequestMap<u64>,
     open: RangeSummaryMap<CallEnd>,
-    /// Number of the calls that are not expired, and the time that they take in total.
-    counted: usize,
+    /// Number of calls that are not expired, and their total duration.
+    counted_calls: usize,
     total_time: Duration,
 }
 
@@ -42,11 +42,11 @@
         self.calls.push_back(Call { request_id, started_at: now, ends_at, expired: false });
         self.latest_of_request.insert(request_id, number);
         self.open.insert(CallEnd { at: ends_at, number }, ());
-        self.counted += 1;
+        self.counted_calls += 1;
         self.total_time += ends_at.saturating_sub(now);
     }
 
-    /// Moves the end of the latest call of this request to `ends_at`, unless it has ended already.
+    /// Changes the end of the latest call of this request to `ends_at`, unless the call has already ended.
     pub fn set_end(&mut self, request_id: RequestId, now: Duration, ends_at: Duration) {
         let Some(&number) = self.latest_of_request.get(&request_id) else { return };
         let Some(call) = self.calls.get_mut((number - self.first_number) as usize) else { return };
@@ -58,14 +58,14 @@
         }
     }
 
-    /// The total time that calls take after `since`, up to the end of each. Drops calls that ended before.
+    /// The total duration of all calls after `since`, each up to its own end. Calls that ended by then are dropped.
     pub fn time_since(&mut self, since: Duration) -> Duration {
         let mut time_before = Duration::ZERO;
-        // Only calls made before `since` can have ended before it or count in part.
+        // Only calls made before `since` can have ended by then, or count in part.
         for call in self.calls.iter_mut().take_while(|c| c.started_at < since).filter(|c| !c.expired) {
             if call.ends_at <= since {
                 call.expired = true;
-                self.counted -= 1;
+                self.counted_calls -= 1;
                 self.total_time =
                     self.total_time.saturating_sub(call.ends_at.saturating_sub(call.started_at));
             } else {
@@ -82,7 +82,7 @@
         self.total_time.saturating_sub(time_before)
     }
 
-    /// Number of calls that may still occupy the dependency.
+    /// Number of calls that may still occupy the dependency at `now`.
     pub fn open_count(&mut self, now: Duration) -> usize {
         while let Some((end, ())) = self.open.first().filter(|(end, ())| end.at <= now) {
             self.open.remove(&end);
@@ -90,13 +90,13 @@
         self.open.len()
     }
 
-    /// Whether no call is part of the sums.
+    /// Whether no call counts towards the totals.
     pub fn is_empty(&self) -> bool {
-        self.counted == 0
+        self.counted_calls == 0
     }
 
-    /// When the last call was made, if any call is part of the sums.
+    /// When the last call was made; `None` if no call counts towards the totals.
     pub fn last_start(&self) -> Option<Duration> {
-        self.calls.back().filter(|_| self.counted > 0).map(|call| call.started_at)
+        self.calls.back().filter(|_| self.counted_calls > 0).map(|call| call.started_at)
     }
 }
--- a/src/parameters.rs
+++ b/src/parameters.rs
@@ -1,4 +1,4 @@
-//! The parameters of admission control, read from the settings once, with the defaults of docs/design.md.
+//! The parameters of admission control, parsed from the settings once. docs/design.md lists the defaults.
 
 use crate::settings::Settings;
 use crate::types::{Effect, RequestClass};
@@ -10,76 +10,76 @@
 pub enum LoadHintForm {
     /// The admission threshold, from 0 to 1.
     Threshold,
-    /// The share of its usual load that this server takes, from 0 to 1.
+    /// The share of its usual load that this server accepts, from 0 to 1.
     ShareOfLoad,
-    /// Requests that a caller may have in flight with this server.
+    /// The number of requests that one caller may have in flight at this server.
     Window,
 }
 
-/// This server's part of the quota of a tenant.
+/// This server's share of a tenant's quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantQuota {
     /// The tenant's name.
     pub name: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
 /// The parameters of admission control.
 #[derive(Clone, Debug)]
 pub struct Parameters {
-    /// Cores of this server.
+    /// Number of cores of this server.
     pub cores: f64,
-    /// Interval of the timer, and the time that an answer takes to be sent.
+    /// Interval of the periodic timer; also the time allowed for sending an answer.
     pub tick: Duration,
-    /// Memory for requests and deduplication entries, in KB.
+    /// Memory available for requests and deduplication entries, in KB.
     pub memory_kb: f64,
-    /// Memory of a started request, as a multiple of what it took before.
+    /// Memory of a started request, as a multiple of its memory before the start.
     pub run_memory_factor: f64,
     /// Memory of a deduplication entry, in KB.
     pub dedup_entry_kb: f64,
-    /// Upstream calls that this server may have outstanding on average.
+    /// Average number of upstream calls that this server may have outstanding.
     pub call_quota: f64,
-    /// The period over which that average is taken.
+    /// The period over which `call_quota` is averaged.
     pub call_quota_period: Duration,
-    /// How long a call that this server has abandoned may still occupy the dependency.
+    /// How long an abandoned call may still occupy the upstream dependency.
     pub abandoned_call_time: Duration,
-    /// How long idempotent requests are remembered; zero for not at all.
+    /// How long idempotent requests are remembered; zero if they are not.
     pub idempotent_window: Duration,
-    /// How long callers keep idle connections.
+    /// How long callers keep idle connections open; `None` if idle connections are not to be closed.
     pub idle_timeout: Option<Duration>,
     /// Number of callers that send to this server.
     pub caller_count: f64,
-    /// Whether runs can be stopped.
+    /// Whether a run can be stopped once it has started.
     pub can_stop_runs: bool,
-    /// What the load hint expresses; none is sent without it.
+    /// What the load hint expresses; `None` if none is sent.
     pub load_hint_form: Option<LoadHintForm>,
-    /// Index of the number of runnable tasks among the load metrics.
+    /// Index of the metric "runnable", the number of runnable tasks, among the load metrics.
     pub runnable_metric: Option<usize>,
-    /// Started requests at which a warm server collapses, as a multiple of the cores.
+    /// Number of started requests at which a warm server collapses, as a multiple of the cores.
     pub collapse_multiple: f64,
-    /// Speed just after a cold start, as a share of the warm speed.
+    /// Speed immediately after a cold start, as a share of the warm speed.
     pub cold_speed: f64,
-    /// Time after a cold start until the server is warm; none after a warm start.
+    /// How long the server takes to warm up after a cold start; `None` after a warm start.
     pub warm_after: Option<Duration>,
-    /// After the notice to drain, callers stop sending within this time.
+    /// Callers stop sending within this time after the server has announced its drain.
     pub senders_stop_within: Duration,
-    /// Limit of the concurrency window a core, once warm.
+    /// Limit of the concurrency window per core on a warm server.
     pub window_per_core: Option<f64>,
-    /// The same just after a cold start.
+    /// Limit of the concurrency window per core immediately after a cold start.
     pub cold_window_per_core: Option<f64>,
-    /// The longest `Retry-After`; zero if callers do not heed it.
+    /// The longest `Retry-After` to send; zero if callers ignore it.
     pub max_retry_after: Duration,
     /// Tenants with a quota.
     pub tenants: Vec<TenantQuota>,
-    /// Factor of the priority of requests beyond their tenant's quota.
+    /// The priority of a request beyond its tenant's quota is multiplied by this factor.
     pub over_quota_factor: f64,
-    /// Callers whose requests are all rejected.
+    /// Callers all of whose requests are rejected.
     pub rejected_callers: BTreeSet<u64>,
 }
 
 impl Parameters {
-    /// Reads the parameters. Where a setting is missing or invalid its default holds.
+    /// Parses the parameters. A setting that is missing or invalid takes its default.
     pub fn from_settings(settings: &Settings) -> Parameters {
         let info = |name: &str| settings.number(&format!("family_info.{name}"));
         let answer_slack = settings.span("rules.answer_slack").unwrap_or(Duration::from_millis(20));
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,6 +1,7 @@
-//! The queue of requests that have been read and not started, in the order of their due times.
+//! The queue of requests that have been read but not started, ordered by due time.
 //!
-//! Summaries of ranges answer what the queue costs and which request cannot be in time without a pass over all entries.
+//! Range summaries give the total run time of the queue and find requests that can't be answered in time, without a
+//! scan of all entries.
 
 use crate::range_summary_map::{NodeView, RangeSummaryMap, Summary};
 use crate::types::RequestId;
@@ -9,13 +10,13 @@
 /// A position in the queue. Ordered by due time, then by id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition {
-    /// When the answer is due, since the start of the server.
+    /// When the answer is due, as time since the server started.
     pub due_at: Duration,
     /// The request.
     pub request_id: RequestId,
 }
 
-/// A position that a search has found.
+/// A request found by [`Queue::find_late`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FoundRequest {
     /// Its position.
@@ -44,7 +45,7 @@
     position: QueuePosition,
 }
 
-/// Of a range: count and earliest due time by class, and the request of the lowest priority.
+/// Summary of a range of the queue: count and earliest due time per class, and the request with the lowest priority.
 #[derive(Debug, Default)]
 struct RangeSummary {
     classes: Vec<ClassSummary>,
@@ -64,20 +65,20 @@
             children.iter().flatten().map(|child| child.classes.len()).fold(value.class + 1, usize::max);
         self.classes.resize(class_count, EMPTY_CLASS);
         for (class, summary) in self.classes.iter_mut().enumerate() {
-            let of = |child: Option<&Self>| {
+            let class_of = |child: Option<&Self>| {
                 child.and_then(|child| child.classes.get(class)).copied().unwrap_or(EMPTY_CLASS)
             };
-            let (left, right) = (of(left), of(right));
+            let (left, right) = (class_of(left), class_of(right));
             *summary = ClassSummary {
                 count: left.count + right.count,
                 earliest_due: left.earliest_due.min(right.earliest_due),
             };
         }
         self.lowest = None;
-        // In the order of the queue, so that the first of equal priorities stays.
-        self.lower_to(left.and_then(|child| child.lowest));
+        // Visited in queue order, so that among equal priorities the first request is kept.
+        self.update_lowest(left.and_then(|child| child.lowest));
         self.add(key, value);
-        self.lower_to(right.and_then(|child| child.lowest));
+        self.update_lowest(right.and_then(|child| child.lowest));
     }
 
     fn add(&mut self, key: &QueuePosition, value: &QueuedRequest) {
@@ -87,13 +88,13 @@
         let class = &mut self.classes[value.class];
         class.count += 1;
         class.earliest_due = class.earliest_due.min(key.due_at);
-        self.lower_to(Some(LowestPriority { priority: value.priority, position: *key }));
+        self.update_lowest(Some(LowestPriority { priority: value.priority, position: *key }));
     }
 }
 
 impl RangeSummary {
-    /// Takes the other for the lowest where its priority is lower, or equal with an earlier position.
-    fn lower_to(&mut self, other: Option<LowestPriority>) {
+    /// Replaces the lowest-priority request if `other` has a lower priority, or the same one and an earlier position.
+    fn update_lowest(&mut self, other: Option<LowestPriority>) {
         let Some(other) = other else { return };
         let is_lower = |lowest: LowestPriority| {
             other.priority.total_cmp(&lowest.priority).then(other.position.cmp(&lowest.position)).is_lt()
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Seconds that all requests of the range take.
+    /// Total run time of all requests of the range, in seconds.
     fn run_seconds(&self, run_seconds: &impl Fn(usize) -> f64) -> f64 {
         self.classes
             .iter()
@@ -115,7 +116,7 @@
 
 type Node<'a> = NodeView<'a, QueuePosition, QueuedRequest, RangeSummary>;
 
-/// Requests that have been read and not started.
+/// Requests that have been read but not started, ordered by due time and then by id.
 #[derive(Debug, Default)]
 pub struct Queue {
     requests: RangeSummaryMap<QueuePosition, QueuedRequest, RangeSummary>,
@@ -147,12 +148,12 @@
         self.requests.is_empty()
     }
 
-    /// Seconds that the runs of all queued requests take, by the seconds of a run of each class.
+    /// Total run time of all queued requests in seconds. `run_seconds` gives the run time of one request of a class.
     pub fn total_run_seconds(&self, run_seconds: impl Fn(usize) -> f64) -> f64 {
         self.requests.root().map_or(0.0, |node| node.summary().run_seconds(&run_seconds))
     }
 
-    /// The request of the lowest priority up to and including this position; the first of equal ones.
+    /// The request with the lowest priority up to and including `position`; among equal priorities the first.
     pub fn lowest_priority_until(&self, position: QueuePosition) -> Option<QueuePosition> {
         let (mut next, mut lowest): (Option<Node>, Option<LowestPriority>) = (self.requests.root(), None);
         while let Some(node) = next {
@@ -169,9 +170,9 @@
         lowest.map(|lowest| lowest.position)
     }
 
-    /// The first request behind `after` for which `is_late` holds. `is_late` is given the seconds that the requests
-    /// ahead take, the due time and the class. Where it holds it must also hold for more seconds ahead and for an
-    /// earlier due time: the search passes over ranges on that condition.
+    /// The first request after `after` for which `is_late` holds. The arguments of `is_late` are the total run time of
+    /// the requests ahead in seconds, the due time and the class. It must be monotonic: if it holds, it also holds for
+    /// more seconds ahead and for an earlier due time. The search relies on that to skip ranges.
     pub fn find_late(
         &self,
         after: Option<QueuePosition>,
@@ -185,7 +186,7 @@
 /// A search for a late request, in the order of the queue.
 struct Search<R, L> {
     after: Option<QueuePosition>,
-    /// Seconds that the requests passed over so far take.
+    /// Total run time of the requests visited or skipped so far.
     seconds_ahead: f64,
     run_seconds: R,
     is_late: L,
@@ -201,7 +202,7 @@
                     + (self.run_seconds)(class);
             return self.find_in(node.right());
         }
-        if self.passes_over(node) {
+        if self.try_skip(node) {
             return None;
         }
         if let Some(found) = self.find_in(node.left()) {
@@ -214,8 +215,9 @@
         self.find_in(node.right())
     }
 
-    /// Passes over a subtree where even the earliest request of each class is in time behind all others of it.
-    fn passes_over(&mut self, node: Node) -> bool {
+    /// Skips a subtree if, in each class, even the request with the earliest due time would be in time behind all other
+    /// requests of the subtree. Returns whether it was skipped.
+    fn try_skip(&mut self, node: Node) -> bool {
         let seconds_after = self.seconds_ahead + node.summary().run_seconds(&self.run_seconds);
         let mut classes = node.summary().classes.iter().enumerate().filter(|(_, class)| class.count > 0);
         if classes.any(|(class, summary)| (self.is_late)(seconds_after, summary.earliest_due, class)) {
--- a/src/range_summary_map.rs
+++ b/src/range_summary_map.rs
@@ -1,20 +1,21 @@
-//! An ordered map that keeps a summary of each range of its entries.
+//! An ordered map that maintains summaries over ranges of its entries.
 //!
-//! A treap in one arena: no operation costs more than the logarithm of the number of entries (on average), and nothing
-//! is allocated once the map has held as many entries before. Each subtree carries a [`Summary`], so that a search can
-//! pass over ranges that cannot matter. Priorities come from a counter, so the same operations give the same tree.
+//! Implemented as a treap in an arena. Lookups, insertions and removals take logarithmic time on average, and don't
+//! allocate as long as the map holds no more entries than it has held before. Each subtree carries a [`Summary`], so
+//! that a search can skip ranges that can't contain a match. Node priorities are derived from a counter, so the same
+//! sequence of operations always builds the same tree.
 
 use std::cmp::Ordering;
 use std::ops::Bound;
 
-/// Marks a missing child.
+/// Index of a missing child.
 const NIL: u32 = u32::MAX;
 
-/// A summary of the entries of a subtree.
+/// A summary of all entries of a subtree.
 pub trait Summary<K, V>: Default {
     /// Recomputes the summary of a node from its own entry and the summaries of its children.
     fn recompute(&mut self, key: &K, value: &V, left: Option<&Self>, right: Option<&Self>);
-    /// Adds one entry to the subtree.
+    /// Updates the summary for an entry that is added to the subtree.
     fn add(&mut self, key: &K, value: &V);
 }
 
@@ -28,7 +29,7 @@
     key: K,
     value: V,
     summary: S,
-    /// A node's priority is never below those of its children.
+    /// Heap order: never lower than the priorities of the children.
     priority: u32,
     left: u32,
     right: u32,
@@ -72,12 +73,12 @@
         &self.map.nodes[self.index as usize]
     }
 
-    /// The child with the smaller keys.
+    /// The subtree with the smaller keys.
     pub fn left(self) -> Option<Self> {
         self.at(self.node().left)
     }
 
-    /// The child with the larger keys.
+    /// The subtree with the larger keys.
     pub fn right(self) -> Option<Self> {
         self.at(self.node().right)
     }
@@ -114,7 +115,7 @@
         NodeView { map: self, index: self.root }.at(self.root)
     }
 
-    /// Inserts an entry and returns the value that it replaces.
+    /// Inserts an entry and returns the value that it replaces, if any.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         let replaced = self.remove(&key);
         let priority = self.next_priority();
@@ -132,11 +133,11 @@
             }
         };
         self.update_summary(new);
-        self.root = self.insert_under(self.root, new);
+        self.root = self.insert_into(self.root, new);
         replaced
     }
 
-    /// The finaliser of splitmix64 over a counter.
+    /// Generates pseudo-random priorities by a shortened splitmix64.
     fn next_priority(&mut self) -> u32 {
         self.priority_counter = self.priority_counter.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let counter = self.priority_counter;
@@ -144,14 +145,14 @@
         ((mixed ^ (mixed >> 27)) >> 16) as u32
     }
 
-    /// Removes an entry and returns its value.
+    /// Removes an entry and returns its value, if the key is present.
     pub fn remove(&mut self, key: &K) -> Option<V> {
         let value = self.get(key)?;
-        self.root = self.remove_under(self.root, key);
+        self.root = self.remove_from(self.root, key);
         Some(value)
     }
 
-    /// The value of this key.
+    /// The value stored for this key.
     pub fn get(&self, key: &K) -> Option<V> {
         let mut index = self.root;
         while index != NIL {
@@ -170,7 +171,7 @@
         self.next(Bound::Unbounded)
     }
 
-    /// The entry with the smallest key from this bound on.
+    /// The entry with the smallest key at or after the lower bound `from`.
     pub fn next(&self, from: Bound<&K>) -> Option<(K, V)> {
         let (mut index, mut next) = (self.root, None);
         while index != NIL {
@@ -188,7 +189,7 @@
         next
     }
 
-    /// All entries in the order of their keys. Each step is a search from the root.
+    /// Iterates over all entries in key order. Each step searches from the root, in logarithmic time on average.
     pub fn iter(&self) -> impl Iterator<Item = (K, V)> + '_ {
         let mut last: Option<K> = None;
         std::iter::from_fn(move || {
@@ -199,7 +200,7 @@
     }
 
     fn update_summary(&mut self, index: u32) {
-        // The summary is taken out and put back, so that its buffers are used again.
+        // Moved out and back, so that the buffers of the summary are reused.
         let mut summary = std::mem::take(&mut self.nodes[index as usize].summary);
         let node = &self.nodes[index as usize];
         let child = |index: u32| (index != NIL).then(|| &self.nodes[index as usize].summary);
@@ -207,8 +208,8 @@
         self.nodes[index as usize].summary = summary;
     }
 
-    /// Inserts a new node under this subtree and returns the subtree's root.
-    fn insert_under(&mut self, index: u32, new: u32) -> u32 {
+    /// Inserts the node `new` into the subtree at `index` and returns the new root of the subtree.
+    fn insert_into(&mut self, index: u32, new: u32) -> u32 {
         if index == NIL {
             return new;
         }
@@ -222,17 +223,17 @@
             return new;
         }
         if key < node.key {
-            let child = self.insert_under(node.left, new);
+            let child = self.insert_into(node.left, new);
             self.nodes[index as usize].left = child;
         } else {
-            let child = self.insert_under(node.right, new);
+            let child = self.insert_into(node.right, new);
             self.nodes[index as usize].right = child;
         }
         self.nodes[index as usize].summary.add(&key, &value);
         index
     }
 
-    /// Splits a subtree into the nodes below the key and the rest.
+    /// Splits a subtree into the nodes with smaller keys than `key` and the rest. Returns both roots.
     fn split(&mut self, index: u32, key: &K) -> (u32, u32) {
         if index == NIL {
             return (NIL, NIL);
@@ -251,8 +252,8 @@
         }
     }
 
-    /// Removes the node of this key from a subtree and returns the subtree's root.
-    fn remove_under(&mut self, index: u32, key: &K) -> u32 {
+    /// Removes the node of this key, which must be present, and returns the new root of the subtree.
+    fn remove_from(&mut self, index: u32, key: &K) -> u32 {
         let node = &self.nodes[index as usize];
         match key.cmp(&node.key) {
             Ordering::Equal => {
@@ -260,11 +261,11 @@
                 return self.merge(node.left, node.right);
             }
             Ordering::Less => {
-                let child = self.remove_under(node.left, key);
+                let child = self.remove_from(node.left, key);
                 self.nodes[index as usize].left = child;
             }
             Ordering::Greater => {
-                let child = self.remove_under(node.right, key);
+                let child = self.remove_from(node.right, key);
                 self.nodes[index as usize].right = child;
             }
         }
@@ -272,7 +273,7 @@
         index
     }
 
-    /// Joins two subtrees, all keys of `left` below those of `right`, and returns the root.
+    /// Merges two subtrees, where all keys of `left` are smaller than those of `right`, and returns the root.
     fn merge(&mut self, left: u32, right: u32) -> u32 {
         if left == NIL || right == NIL {
             return if left == NIL { right } else { left };
--- a/src/recent_callers.rs
+++ b/src/recent_callers.rs
@@ -1,17 +1,18 @@
-//! The callers of the last requests and how long each of them would still wait for an answer.
+//! The most recent requests: who sent each of them and how long its caller would still wait for an answer. A remaining
+//! wait that is unusually short indicates a later attempt.
 
 use crate::types::CallerId;
 use std::collections::VecDeque;
 
-/// Requests that a new one is compared with.
+/// Number of recent requests that a new request is compared with.
 pub(crate) const COMPARED_REQUESTS: usize = 100;
 
-/// How the remaining wait of a request compares with those of the requests before it.
+/// How the remaining wait of a request compares with that of the requests before it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitComparison {
-    /// Share of the earlier requests whose remaining wait is about the same; 1 if there are none.
+    /// Share of the recent requests whose remaining wait is at most one bucket away; 1 if there are none.
     pub(crate) similar_share: f64,
-    /// The same caller has sent a request with this remaining wait before.
+    /// Whether the same caller has recently sent a request with the same remaining wait.
     pub(crate) seen_from_caller: bool,
 }
 
@@ -21,7 +22,7 @@
     wait_bucket: usize,
 }
 
-/// The last requests, the newest first.
+/// The last [`COMPARED_REQUESTS`] requests, newest first.
 #[derive(Debug, Default)]
 pub(crate) struct RecentCallers {
     requests: VecDeque<RecentRequest>,
@@ -29,12 +30,12 @@
 }
 
 impl RecentCallers {
-    /// Smoothed probability that two of the recent requests came from one caller.
+    /// Smoothed probability that two recent requests came from the same caller.
     pub(crate) fn same_caller_share(&self) -> f64 {
         self.same_caller_share
     }
 
-    /// Records a request whose remaining wait falls into this bucket, and compares it with the ones before.
+    /// Records a request whose remaining wait falls into `wait_bucket`, and compares it with the requests before it.
     pub(crate) fn record(&mut self, caller: CallerId, wait_bucket: usize) -> WaitComparison {
         let count = self.requests.len() as f64;
         let similar =
--- a/src/recent_runs.rs
+++ b/src/recent_runs.rs
@@ -1,4 +1,4 @@
-//! The runs of the last seconds, each as the ratio of its run time to the latency target of its class.
+//! Recently completed runs, each with the ratio of its run time to the latency target of its class.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
     latency_ratio: f64,
 }
 
-/// Completed runs within the sampled time span.
+/// Completed runs, kept until they are older than the span passed to [`RecentRuns::p99`].
 #[derive(Debug, Default)]
 pub(crate) struct RecentRuns {
     runs: Vec<RecentRun>,
-    /// Buffer of `p99`, kept so that it is not allocated at each call.
+    /// Scratch buffer of `p99`, kept to avoid an allocation per call.
     ratios: Vec<f64>,
 }
 
@@ -22,8 +22,8 @@
         self.runs.push(RecentRun { ended_at: now, class, latency_ratio });
     }
 
-    /// The 99th percentile of the latency ratios within `span` before `now`; 0 if there were no runs. Drops older
-    /// runs.
+    /// The 99th percentile of the latency ratios of runs that ended within `span` before `now`; 0 if there were none.
+    /// Drops older runs.
     pub(crate) fn p99(&mut self, now: Duration, span: Duration) -> f64 {
         self.runs.retain(|run| run.ended_at + span >= now);
         self.ratios.clear();
@@ -35,7 +35,7 @@
         *self.ratios.select_nth_unstable_by(index, f64::total_cmp).1
     }
 
-    /// Whether a run of this class has ended after `since`.
+    /// Whether a run of this class has completed after `since`.
     pub(crate) fn has_ended_since(&self, class: usize, since: Duration) -> bool {
         self.runs.iter().any(|run| run.class == class && run.ended_at > since)
     }
--- a/src/request_totals.rs
+++ b/src/request_totals.rs
@@ -1,8 +1,9 @@
-//! Running totals over the requests in flight: their number by class and by stage, and their memory.
+//! Totals over the requests in flight, updated incrementally: their number per class and per stage, and their memory.
 
 use crate::request::Stage;
 
-/// Memory is summed in whole units of 1/65536 KB, so that totals return exactly to their earlier values.
+/// Memory is summed in integer units of 1/65536 KB, so that adding a request and removing it later restores the sum
+/// exactly, without rounding errors.
 const UNITS_PER_KB: f64 = 65536.0;
 /// A request counts for at most this many KB, so that the sum cannot overflow.
 const MAX_REQUEST_KB: f64 = 1e9;
@@ -11,12 +12,12 @@
     (kb.min(MAX_REQUEST_KB) * UNITS_PER_KB).round() as u64
 }
 
-/// Memory of the requests in flight as read, in KB.
+/// Memory of the requests in flight in KB, each counted at its size before it runs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MemoryTotals {
-    /// Of queued and joined requests.
+    /// Memory of queued and joined requests.
     pub(crate) not_started_kb: f64,
-    /// Of requests whose run has started.
+    /// Memory of requests whose run has started.
     pub(crate) started_kb: f64,
 }
 
@@ -53,7 +54,7 @@
         *self.memory(stage) -= memory_units(memory_kb);
     }
 
-    pub(crate) fn of_class(&self, class: usize) -> usize {
+    pub(crate) fn count_of_class(&self, class: usize) -> usize {
         self.by_class[class]
     }
 
@@ -61,7 +62,7 @@
         self.by_stage[Stage::Running as usize]
     }
 
-    /// Requests whose run has started, those at upstream calls included.
+    /// Number of requests whose run has started, including those that wait for an upstream call.
     pub(crate) fn started(&self) -> usize {
         self.by_stage.iter().sum::<usize>()
             - self.by_stage[Stage::Queued as usize]
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as a plain map of dotted names to values.
+//! Settings as a flat map from dotted names to values.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 pub enum Value {
     /// A number.
     Number(f64),
-    /// A text.
+    /// A string.
     Text(String),
-    /// True or false.
+    /// A boolean.
     Flag(bool),
 }
 
-/// Settings that admission control reads and has a default for, by kind.
+/// Numeric settings that admission control reads and has defaults for.
 const NUMBERS: [&str; 15] = [
     "family_info.cores",
     "family_info.memory_kb",
@@ -32,22 +32,24 @@
     "rules.stop_sending_within",
     "limits.max_retry_after",
 ];
+/// String settings with defaults.
 const TEXTS: [&str; 3] = ["family_info.halt", "family_info.advert", "family_info.meters.0"];
+/// Boolean settings with defaults.
 const FLAGS: [&str; 2] = ["family_info.cold", "limits.retry_after"];
-/// Numbers of each request class.
+/// Numeric settings of each request class, with defaults.
 const CLASS_NUMBERS: [&str; 4] = ["give_up", "goal_time", "points", "window"];
 
-/// Settings by dotted name. List items are numbered in the name: `profiles.0.name`, `profiles.1.name`.
+/// Settings by dotted name. List items have their index in the name: `profiles.0.name`, `profiles.1.name`.
 #[derive(Clone, Debug, Default)]
 pub struct Settings(pub BTreeMap<String, Value>);
 
 impl Settings {
-    /// Sets a value, in place of an earlier one.
+    /// Sets a value, replacing any earlier one of the same name.
     pub fn set(&mut self, name: &str, value: Value) {
         self.0.insert(name.to_string(), value);
     }
 
-    /// The names of settings that are missing or invalid, so that a default holds.
+    /// The names of settings that are missing or invalid, for which a default is used.
     pub fn missing(&self) -> Vec<String> {
         let mut names: Vec<String> = Vec::new();
         names.extend(NUMBERS.iter().filter(|name| self.number(name).is_none()).map(ToString::to_string));
@@ -60,7 +62,7 @@
         names
     }
 
-    /// One sentence for each setting that is present and invalid, with what it has to be.
+    /// One message for each setting that is present but invalid, stating the requirement that it violates.
     pub fn invalid(&self) -> Vec<String> {
         let classes = 0..self.class_count();
         let numbers = NUMBERS.iter().map(ToString::to_string).chain(classes.clone().flat_map(class_numbers));
@@ -82,7 +84,7 @@
         (0..).take_while(|i| self.text(&format!("profiles.{i}.name")).is_some()).count()
     }
 
-    /// Classes of one name cannot be distinguished in a request.
+    /// Requests name their class, so class names must be unique.
     fn duplicate_class_names(&self) -> Vec<String> {
         let mut first_index = BTreeMap::new();
         let names = (0..).map_while(|i| self.text(&format!("profiles.{i}.name")).map(|name| (i, name)));
@@ -93,7 +95,7 @@
         duplicates.collect()
     }
 
-    /// A number, if it is finite and not negative.
+    /// The numeric setting of this name, if it is finite and not negative.
     pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
             Some(Value::Number(number)) if number.is_finite() && *number >= 0.0 => Some(*number),
@@ -101,12 +103,13 @@
         }
     }
 
-    /// A time span, written in microseconds; at most 10^15, which no clock overflows at.
+    /// The duration setting of this name, stored in microseconds. Capped at 10^15 µs so that adding it to a time can't
+    /// overflow.
     pub fn span(&self, name: &str) -> Option<Duration> {
         self.number(name).map(|micros| Duration::from_micros(micros.min(1e15) as u64))
     }
 
-    /// A text.
+    /// The string setting of this name.
     pub fn text(&self, name: &str) -> Option<&str> {
         match self.0.get(name) {
             Some(Value::Text(text)) => Some(text),
@@ -114,7 +117,7 @@
         }
     }
 
-    /// True or false.
+    /// The boolean setting of this name.
     pub fn flag(&self, name: &str) -> Option<bool> {
         match self.0.get(name) {
             Some(Value::Flag(flag)) => Some(*flag),
--- a/src/tenant_quotas.rs
+++ b/src/tenant_quotas.rs
@@ -1,4 +1,4 @@
-//! This server's part of each tenant's quota, as one token bucket a tenant.
+//! Enforces this server's share of each tenant's quota with one token bucket per tenant.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,13 +9,13 @@
     refilled_at: Duration,
 }
 
-/// Token buckets by the index of the tenant.
+/// Token buckets, keyed by the index of the tenant.
 #[derive(Debug, Default)]
 pub(crate) struct TenantQuotas(BTreeMap<usize, TokenBucket>);
 
 impl TenantQuotas {
-    /// Takes one token from a bucket that gains `rate` tokens a second and holds those of one second. Returns
-    /// whether there was one.
+    /// Takes one token from the tenant's bucket, which is refilled at `rate` tokens per second and has a capacity of
+    /// `rate` tokens, or one if that is more. Returns whether a token was available.
     pub(crate) fn take(&mut self, tenant: usize, rate: f64, now: Duration) -> bool {
         let bucket = self.0.entry(tenant).or_insert(TokenBucket { tokens: rate, refilled_at: now });
         let elapsed = now.saturating_sub(bucket.refilled_at).as_secs_f64();
--- a/src/types.rs
+++ b/src/types.rs
@@ -5,34 +5,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Identifies a request within one server from its arrival until its last trace is gone.
+/// Identifies a request within one server. An id may be used again once the request has ended and its deduplication
+/// entry, if it had one, has been removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// A hash map without a random seed: its iteration order is the same at each start. It allocates nothing once it has
-/// held as many entries before.
+/// A hash map without a random seed, so its iteration order is the same at each start. It doesn't allocate as long as
+/// it holds no more entries than it has held before.
 pub type DeterministicMap<K, V> = HashMap<K, V, BuildHasherDefault<DefaultHasher>>;
-/// A deterministic map by request.
+/// A [`DeterministicMap`] keyed by request.
 pub type RequestMap<V> = DeterministicMap<RequestId, V>;
 
-/// Identifies the sender of a request.
+/// Identifies the caller that sent a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
-/// Whether a request may run more than once.
+/// Whether running a request more than once is safe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// It may run again.
+    /// It may run any number of times.
     #[default]
     Idempotent,
     /// It carries an idempotency key and runs once within the deduplication window.
     Keyed,
-    /// It must not run again.
+    /// It must not run more than once, and no deduplication entry is kept for it.
     Unsafe,
 }
 
 impl Effect {
-    /// Maps the name in the settings. An unknown name is taken for [`Effect::Unsafe`].
+    /// Parses the name used in the settings. Any unknown name yields [`Effect::Unsafe`].
     pub fn named(name: &str) -> Effect {
         match name {
             "retryable" => Effect::Idempotent,
@@ -42,32 +43,32 @@
     }
 }
 
-/// A request class as the settings describe it.
+/// A request class, as described by the settings.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Its name, as requests carry it.
+    /// The name by which requests refer to the class.
     pub name: Rc<str>,
-    /// Whether its requests may run more than once.
+    /// Whether running its requests more than once is safe.
     pub effect: Effect,
-    /// An answer within this time earns the full weight.
+    /// An answer within this time earns the full `priority_weight`.
     pub latency_target: Duration,
-    /// How long a caller waits over all its attempts.
+    /// How long a caller waits for an answer, over all its attempts.
     pub deadline: Duration,
-    /// Weight of an answer in time, relative to other classes.
+    /// Weight of an answer within the latency target, relative to other classes.
     pub priority_weight: f64,
     /// Share of the weight that an answer after the latency target earns.
     pub late_share: f64,
-    /// How long after the first attempt a repeat may arrive.
+    /// Deduplication window: how long after the first attempt a repeat may arrive.
     pub window: Duration,
-    /// Share of the weight that an answer without the upstream call earns; 0 if the call is required.
+    /// Share of the weight that an answer earns if its upstream call was skipped; 0 if the call is required.
     pub share_without_call: f64,
     /// Whether its requests make upstream calls.
     pub makes_calls: bool,
-    /// Whether this server offers it at present.
+    /// Whether this server currently accepts requests of this class.
     pub offered: bool,
 }
 
-/// What a server is allowed to run, by what it knows of the configuration in force.
+/// Which requests a server may run, given what it knows about the versioned configuration in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Permission {
     /// All requests.
@@ -80,7 +81,7 @@
 }
 
 impl Permission {
-    /// Whether a request with this effect may be run.
+    /// Whether a request with this effect may run.
     pub fn permits(self, effect: Effect) -> bool {
         match self {
             Permission::Everything => true,
@@ -99,50 +100,50 @@
     Failed,
     /// Rejected before it started.
     Rejected,
-    /// No answer in time; it may have had its effect.
+    /// No answer before the timeout; it may have taken effect.
     TimedOut,
-    /// The connection could not be made.
+    /// The connection could not be established.
     Unreachable,
-    /// The connection was lost before the answer; it may have had its effect.
+    /// The connection was lost before the answer; it may have taken effect.
     ConnectionLost,
-    /// The run was stopped, or its caller had gone.
+    /// The run was stopped, or its caller had disconnected.
     Cancelled,
-    /// Nothing was started, because the request was already over.
+    /// Nothing was started, because the request had already ended.
     NeverStarted,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that nothing ran.
+    /// Whether this outcome proves that nothing ran, so that a retry can't duplicate an effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverStarted)
     }
 }
 
-/// What is known of a request when it has been read.
+/// What is known about a request once it has been read.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IncomingRequest<'a> {
     /// Name of its class.
     pub class: &'a str,
     /// Name of its tenant.
     pub tenant: Option<&'a str>,
-    /// What it is about, such as a user or an account.
+    /// The entity that the request concerns, such as a user or an account.
     pub subject: Option<&'a str>,
-    /// When its caller gives up, since the start of the server.
+    /// When its caller stops waiting, as time since the server started.
     pub deadline: Option<Duration>,
     /// Estimated run time on a core of standard speed.
     pub work: Option<Duration>,
-    /// Memory that it takes before it runs, in KB.
+    /// Memory that it occupies before it runs, in KB.
     pub memory_kb: f64,
-    /// Its priority from 0 up to 1: one band a class, users spread within the band.
+    /// Its priority from 0 up to 1. Each class has a band of equal width, and users are spread over the band.
     pub rank: f64,
-    /// It is not the first attempt.
+    /// Whether it is a later attempt, not the first.
     pub retry: bool,
-    /// It changes stored data.
+    /// Whether it changes stored data.
     pub write: bool,
-    /// Its sender.
+    /// The caller that sent it.
     pub caller: CallerId,
     /// How long it waited in the socket buffer before it was read.
     pub unread_time: Duration,
-    /// The remembered request that it repeats.
+    /// The earlier request that it repeats, if the host still remembers that one.
     pub repeats: Option<RequestId>,
 }
