--- a/src/settings.rs
+++ b/src/settings.rs
@@ -73,9 +73,9 @@
         let texts = texts.filter(|name| present(name) && self.text(name).is_none());
         let flags = flags.filter(|name| present(name) && self.flag(name).is_none());
         let mut invalid: Vec<String> =
-            numbers.map(|name| format!("{name} is no number of 0 or more")).collect();
-        invalid.extend(texts.map(|name| format!("{name} is no text")));
-        invalid.extend(flags.map(|name| format!("{name} is neither true nor false")));
+            numbers.map(|name| format!("{name} must be a non-negative number")).collect();
+        invalid.extend(texts.map(|name| format!("{name} must be a string")));
+        invalid.extend(flags.map(|name| format!("{name} must be true or false")));
         invalid.extend(self.duplicate_class_names());
         invalid
     }
@@ -90,7 +90,7 @@
         let names = (0..).map_while(|i| self.text(&format!("profiles.{i}.name")).map(|name| (i, name)));
         let duplicates = names.filter_map(|(i, name): (usize, &str)| {
             let first = *first_index.entry(name).or_insert(i);
-            (first != i).then(|| format!("profiles.{i}.name is that of profiles.{first}: {name}"))
+            (first != i).then(|| format!("profiles.{i}.name is already the name of profiles.{first}: {name}"))
         });
         duplicates.collect()
     }
