--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,14 +1,14 @@
 //! The admission decisions of one server: which requests it queues, runs and rejects.
 //!
-//! [`Admission::new`] takes the settings, the time and a [`Host`]. Afterwards the server calls one method for each
-//! event, with the time since its start: [`Admission::request_received`], [`Admission::timer_fired`],
+//! [`Admission::new`] takes the settings, the time and a [`Host`]. Afterwards the server calls one method per event and
+//! passes the time since it started: [`Admission::request_received`], [`Admission::timer_fired`],
 //! [`Admission::call_requested`], [`Admission::call_ended`], [`Admission::run_ended`], [`Admission::caller_gone`],
 //! [`Admission::drain`], [`Admission::set_permission`] and [`Admission::apply_settings`]. Decisions are carried out
-//! through the host at once. No state outlives the process.
+//! through the host immediately. No state outlives the process.
 //!
-//! On the ordinary path requests wait in a queue ordered by due time and start while a concurrency window has room. The
-//! window grows on demand while the p99 of run time over latency target has headroom, and is cut otherwise (additive
-//! increase, multiplicative decrease; docs/design.md).
+//! Admitted requests wait in a queue ordered by due time and start while the concurrency window has room. The window
+//! grows on demand while the p99 of run time divided by latency target has headroom, and is cut when that p99 exceeds 1
+//! (additive increase, multiplicative decrease; see docs/design.md).
 
 mod calls;
 mod constants;
@@ -50,41 +50,42 @@
     requests: RequestMap<Request>,
     totals: RequestTotals,
     queue: Queue,
-    /// Requests whose upstream call has been requested and not made.
+    /// Requests whose upstream call has been requested but not made yet.
     awaiting_call: RangeSummaryMap<RequestId>,
-    /// Buffer for ranking them, kept so that it is not allocated at each event.
+    /// Scratch buffer for ranking the requested calls, kept to avoid an allocation per event.
     ranked_calls: Vec<RankedCall>,
     dedup: DedupEntries,
     timers: RangeSummaryMap<Timer>,
-    /// Requests that may run at once.
+    /// Concurrency window: the number of requests that may run at once.
     window: f64,
     recent_runs: RecentRuns,
-    /// A request has had to wait for the window since the last evaluation.
+    /// Whether a queued request could not be started since the last evaluation.
     window_was_full: bool,
     evaluated_at: Duration,
-    /// Smoothed seconds that a run of each class takes on a warm server.
+    /// Smoothed run time of each class on a warm server, in seconds.
     run_seconds: Vec<f64>,
-    /// Decaying number of arrivals of each class.
+    /// Exponentially decaying number of arrivals of each class.
     arrivals: Vec<f64>,
     recent_callers: RecentCallers,
-    /// Smoothed number of tasks that want a core and are no runs: reading, accepting connections.
+    /// Smoothed number of runnable tasks other than runs, such as reading requests and accepting connections.
     read_load: f64,
-    /// Connections idle for this long are closed.
+    /// Connections that have been idle for this long are closed.
     idle_timeout: Duration,
-    /// Smoothed seconds that requests wait before they are read.
+    /// Smoothed time that requests wait before they are read, in seconds.
     unread_seconds: f64,
-    /// Smoothed share of the requests read that are rejected.
+    /// Smoothed share of the read requests that are rejected.
     rejected_share: f64,
-    /// Smoothed share of running requests that are on a core and not at a disk. The limit of the window is for those.
+    /// Smoothed share of running requests that use a core rather than a disk. The limit of the window applies to those.
     on_core_share: f64,
     healthy: bool,
-    /// Requests of a lower priority are rejected; 0 to 2.
+    /// Admission threshold: requests with a lower priority are rejected. From 0 to 2.
     threshold: f64,
     calls: OutstandingCalls,
-    /// Upstream calls that may be outstanding at once; below 1 the share of the time in which one may be.
+    /// Number of upstream calls that may be outstanding at once. A window below 1 is the share of the time during which
+    /// one call may be outstanding.
     call_window: f64,
     call_times: CallTimes,
-    /// The dependency has rejected a call since the last evaluation.
+    /// Whether the dependency has rejected a call since the last evaluation.
     call_rejected: bool,
     tenant_quotas: TenantQuotas,
     draining: Option<Drain>,
@@ -94,7 +95,8 @@
 }
 
 impl<H: Host> Admission<H> {
-    /// Starts with an empty queue, healthy, and asks the host for the first timer.
+    /// Creates the state of a healthy server with an empty queue, sets its health at the host and schedules the first
+    /// timer. Logs each setting for which a default is used.
     pub fn new(settings: &Settings, now: Duration, mut host: H) -> Self {
         for name in settings.missing() {
             host.log(&format!("setting {name} is missing or makes no sense: a cautious default holds"));
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Writes a log line, unless one on this topic was written a moment ago.
+    /// Writes a log line, unless a line on the same topic was written within [`LOG_INTERVAL`].
     fn log(&mut self, now: Duration, topic: LogTopic, line: impl FnOnce() -> String) {
         if self.logged_at.get(&topic).is_none_or(|at| now.saturating_sub(*at) >= LOG_INTERVAL) {
             self.logged_at.insert(topic, now);
--- a/src/admission/calls.rs
+++ b/src/admission/calls.rs
@@ -1,4 +1,4 @@
-//! Upstream calls of single requests: which are made, with which timeout, which are skipped, and how they end.
+//! Upstream calls of individual requests: which are made, with which timeout, which are skipped, and how they end.
 
 use super::constants::{
     ABANDONED_CALL_RATIO, BEST_CALL_DRIFT, MAX_CALL_ATTEMPTS, MAX_CALL_WAIT_SHARE, MIN_CALLS_FOR_BEST,
@@ -11,19 +11,19 @@
 use crate::types::{Effect, Outcome, RequestId};
 use std::time::Duration;
 
-/// What the calls decided in one pass share.
+/// State shared by the decisions of one pass over the requested calls.
 struct CallPass {
-    /// The longest timeout that the quota of this server still allows.
+    /// The longest timeout that this server's call quota still allows.
     longest_timeout: Duration,
-    /// Calls passed over so far.
+    /// Number of calls that have to wait, of those decided so far.
     calls_ahead: f64,
-    /// Calls that may occupy the dependency.
+    /// Number of calls that may occupy the dependency.
     open_calls: f64,
-    /// The largest loss without its call of any class, in millionths of a weight.
+    /// The largest loss of any class if its call is not made, in millionths of a priority weight.
     largest_loss: Option<i64>,
 }
 
-/// What is to be done about one requested call.
+/// The decision on one requested call.
 enum CallDecision {
     Make { timeout: Duration },
     Skip,
@@ -31,7 +31,7 @@
 }
 
 impl<H: Host> Admission<H> {
-    /// A running request asks for its upstream call.
+    /// Handles a running request that needs its upstream call.
     pub fn call_requested(&mut self, now: Duration, id: RequestId) {
         self.run_due_timers(now);
         let running = |request: &&mut Request| request.stage == Stage::Running && !request.answered;
@@ -42,7 +42,8 @@
         }
     }
 
-    /// An upstream call has ended. Its request goes on, calls again, goes on without the call, or fails.
+    /// Handles the end of an upstream call. The request continues with the result, retries the call, continues without
+    /// it, or fails.
     pub fn call_ended(&mut self, now: Duration, id: RequestId, outcome: Outcome, took: Duration) {
         self.run_due_timers(now);
         if !self.requests.get(&id).is_some_and(|request| request.stage == Stage::Calling && !request.answered)
@@ -71,7 +72,7 @@
         times.count += 1.0;
         let (smoothed, took) = (times.smoothed, took.as_secs_f64());
         times.last = took;
-        // A call without an answer says little of the others, so only many of them raise the smoothed time much.
+        // An unanswered call says little about other calls, so only many of them raise the smoothed time significantly.
         let counted = if outcome == Outcome::Completed {
             took
         } else {
@@ -83,7 +84,9 @@
         }
     }
 
-    /// Retries a call that has failed where it provably did not run, or may run twice and there is time.
+    /// Handles a failed call. It is retried if it provably did not run, or if running it again is safe and there is
+    /// time. Otherwise it is skipped if it is optional, or else the request fails. An optional call is retried at most
+    /// once.
     fn call_failed(&mut self, now: Duration, id: RequestId, outcome: Outcome, took: Duration) {
         let request = &self.requests[&id];
         let attempts = request.call_attempts;
@@ -101,8 +104,8 @@
         }
     }
 
-    /// Makes the calls that the call window has room for, those with the largest loss without them first, and skips
-    /// those that would wait too long where their answer can do without. Then starts queued requests.
+    /// Makes requested calls while the call window has room, in descending order of the loss if they are not made, and
+    /// skips optional calls that would wait too long. Then starts queued requests.
     pub(super) fn start_calls(&mut self, now: Duration) {
         if self.awaiting_call.is_empty() {
             return self.start_queued(now);
@@ -131,7 +134,8 @@
         self.start_queued(now);
     }
 
-    /// A request that cannot be in time any more has only the weight of a late answer to lose.
+    /// Ranks a requested call. A request that can't be answered in time any more has only the weight of a late answer
+    /// to lose.
     fn rank_call(&self, now: Duration, id: RequestId) -> RankedCall {
         let request = &self.requests[&id];
         let usual_seconds =
@@ -152,9 +156,10 @@
         let until_deadline = request.deadline.saturating_sub(now + run_after + self.parameters.tick);
         let in_time = until_due > self.parameters.tick;
         let time_left = if can_skip && in_time { until_due } else { until_deadline };
-        // A call that takes many times the usual will not be answered and must not keep others out.
+        // A call that takes many times the usual time is unlikely to be answered and must not block others.
         let time_left = time_left.min(self.multiple_of_call_time(ABANDONED_CALL_RATIO));
-        // A timeout shortened by the quota would leave the effect of the call unknown.
+        // Unless no call counts against the quota, a call waits while the quota would cut its timeout below the
+        // sufficient one: if such a timeout expired, it would be unknown whether the call took effect.
         let sufficient =
             time_left.min(class.latency_target / 2).min(self.multiple_of_call_time(SUFFICIENT_TIMEOUT_RATIO));
         let fits_quota = pass.longest_timeout >= sufficient || self.calls.is_empty();
@@ -179,8 +184,9 @@
         }
     }
 
-    /// With a call window below 1, calls are made one at a time, at intervals that keep to their share of the time. The
-    /// last call counts on its own too, since the smoothed time lags behind a dependency that has become slow.
+    /// With a call window below 1, calls are made one at a time, at intervals that keep them within their share of the
+    /// time. The interval also allows for the time of the last call by itself, since the smoothed time lags behind a
+    /// dependency that has become slow.
     fn is_next_call_due(&self, now: Duration, pass: &CallPass, interval: f64) -> bool {
         let since_last =
             self.calls.last_start().map_or(f64::MAX, |started| now.saturating_sub(started).as_secs_f64());
@@ -196,7 +202,7 @@
         self.host.start_call(id, timeout);
     }
 
-    /// The run goes on after its call, or without it.
+    /// Continues a run after its upstream call, or without it.
     fn resume_run(&mut self, now: Duration, id: RequestId) {
         self.set_stage(id, Stage::Running);
         self.requests
--- a/src/admission/dependency.rs
+++ b/src/admission/dependency.rs
@@ -1,4 +1,4 @@
-//! The upstream dependency as a whole: the window of outstanding calls, this server's quota, and usual call times.
+//! The state of the upstream dependency: the call window, this server's call quota, and usual call times.
 
 use super::constants::{
     CALL_BOUND, CALL_WINDOW_STEP_SHARE, MAX_CALL_WINDOW_SHARE, MIN_CALL_WINDOW_SHARE, REJECTED_CALL_FACTOR,
@@ -11,7 +11,8 @@
 use std::time::Duration;
 
 impl<H: Host> Admission<H> {
-    /// Ends a call in the sums. An abandoned call may still occupy the dependency for a while.
+    /// Records the end of a call. An abandoned call counts as outstanding for a while, since it may still occupy the
+    /// dependency.
     pub(super) fn end_call(&mut self, now: Duration, id: RequestId, ending: CallEnding) {
         let remaining = match ending {
             CallEnding::Ended => Duration::ZERO,
@@ -20,8 +21,8 @@
         self.calls.set_end(id, now, now + remaining);
     }
 
-    /// Halves the call window at the first call that the dependency rejects within an evaluation interval: it rejects
-    /// those of other servers too.
+    /// Halves the call window at the first rejected call of an evaluation interval only, since the dependency rejects
+    /// calls of other servers too.
     pub(super) fn call_was_rejected(&mut self) {
         if !std::mem::replace(&mut self.call_rejected, true) {
             let smallest = self.parameters.call_quota * MIN_CALL_WINDOW_SHARE;
@@ -29,8 +30,8 @@
         }
     }
 
-    /// Cuts the call window where calls are much slower than at best, since the calls of all servers together slow each
-    /// other down; grows it otherwise, unless a call has been rejected.
+    /// Cuts the call window if calls are much slower than at best, which is a sign that the calls of all servers
+    /// overload the dependency. Grows it otherwise, unless a call has been rejected.
     pub(super) fn evaluate_call_window(&mut self, now: Duration) {
         let (quota, rejected) = (self.parameters.call_quota, std::mem::take(&mut self.call_rejected));
         if self.call_times.smoothed > SLOW_CALL_RATIO * self.call_times.best {
@@ -45,8 +46,8 @@
         }
     }
 
-    /// The longest timeout of one more call: the calls of the quota period, each counted up to its timeout, stay within
-    /// this server's quota however slow the dependency becomes.
+    /// The longest timeout that another call may have. The calls of the quota period, each counted up to its timeout,
+    /// then stay within this server's quota however slow the dependency becomes.
     pub(super) fn longest_timeout(&mut self, now: Duration) -> Duration {
         let period = self.parameters.call_quota_period;
         let used = self.calls.time_since(now.saturating_sub(period));
@@ -61,7 +62,7 @@
         Duration::from_secs_f64(if usual > 0.0 { (usual * multiple).min(CALL_BOUND) } else { CALL_BOUND })
     }
 
-    /// Whether calls take much longer than at best, and long enough to matter for the latency targets.
+    /// Whether calls take much longer than at best, and long enough to affect the latency targets.
     pub(super) fn calls_are_slow(&self) -> bool {
         self.call_times.smoothed
             > (SLOW_CALL_RATIO * self.call_times.best)
@@ -73,7 +74,7 @@
         self.classes.iter().map(|class| class.latency_target.as_secs_f64()).fold(f64::MAX, f64::min)
     }
 
-    /// What an answer without its call loses, in millionths of a weight.
+    /// What an answer loses if its call is skipped, in millionths of a priority weight.
     pub(super) fn loss_without_call(&self, class: usize) -> i64 {
         (self.classes[class].priority_weight * (1.0 - self.classes[class].share_without_call) * 1e6) as i64
     }
--- a/src/admission/lifecycle.rs
+++ b/src/admission/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Changes in service: other settings, other permissions, and the graceful shutdown.
+//! Changes at runtime: new settings, new permissions, and graceful shutdown.
 
 use super::constants::MAX_CALL_WINDOW_SHARE;
 use super::state::{Drain, LogTopic, OtherServers};
@@ -11,13 +11,14 @@
 use std::time::Duration;
 
 impl<H: Host> Admission<H> {
-    /// Puts other settings into force. Requests read before keep their effect and deadline; a deduplication entry keeps
-    /// its window where that is longer than the new one. Settings with other request classes are rejected.
+    /// Applies new settings. Requests that have been read keep their effect and deadline, and a deduplication entry
+    /// keeps its window if that is longer than the new one. Settings whose request classes have other names, or the
+    /// same names in another order, are rejected.
     pub fn apply_settings(&mut self, now: Duration, settings: &Settings) {
         let classes = parameters::request_classes(settings);
         if !classes.iter().map(|class| &class.name).eq(self.classes.iter().map(|class| &class.name)) {
             return self.log(now, LogTopic::Settings, || {
-                "new settings rejected: their request classes are not those in force, which stay".to_string()
+                "new settings rejected, the old ones stay in force: request classes differ".to_string()
             });
         }
         let extended = self.dedup.extend_windows(&self.classes, &classes);
@@ -30,7 +31,7 @@
         self.start_calls(now);
     }
 
-    /// Sets which requests may run from now on. Queued requests that may not are rejected at once.
+    /// Sets which requests may run from now on. Queued requests that are no longer permitted are rejected immediately.
     pub fn set_permission(&mut self, now: Duration, permission: Permission) {
         self.permission = permission;
         let barred =
@@ -38,12 +39,12 @@
         let mut ids: Vec<RequestId> =
             self.requests.iter().filter(|(_, request)| barred(request)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
-        ids.into_iter().for_each(|id| self.refuse(id, OtherServers::MayBeTried));
+        ids.into_iter().for_each(|id| self.reject_by_policy(id, OtherServers::MayBeTried));
         self.start_queued(now);
     }
 
-    /// Begins a graceful shutdown. Requests that arrive after callers should have stopped sending are rejected, and all
-    /// requests are answered before the process is stopped at `stop`.
+    /// Begins a graceful shutdown. Requests that arrive after their callers should have stopped sending are rejected,
+    /// and all requests are answered before the process is stopped at `stop`.
     pub fn drain(&mut self, now: Duration, stop: Duration) {
         self.draining = Some(Drain { notified_at: now, stops_at: stop });
         self.host.set_health(false, true);
@@ -55,7 +56,7 @@
         }
         let in_flight = self.requests.len();
         self.log(now, LogTopic::Drain, || {
-            format!("draining: {in_flight} requests in flight, all are answered before the stop at {stop:?}")
+            format!("draining: {in_flight} requests in flight, all to be answered before {stop:?} of uptime")
         });
         self.run_due_timers(now);
     }
--- a/src/admission/priority.rs
+++ b/src/admission/priority.rs
@@ -1,4 +1,4 @@
-//! The priority of a request against the admission threshold, and its age at arrival.
+//! The priority that is compared with the admission threshold, and the age of a request at its arrival.
 
 use super::constants::{USUAL_WAIT_SHARE, WAIT_BUCKETS};
 use super::Admission;
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 impl<H: Host> Admission<H> {
-    /// Time since the first attempt, where it can be derived. Most callers still wait a usual part of the deadline of the
-    /// class, or as long as they did before; one that waits less has spent the difference on earlier attempts.
+    /// Estimates the time since the first attempt from the remaining wait. A first attempt has a remaining wait that
+    /// many recent requests share, or that the same caller has had before. A caller that waits less is assumed to have
+    /// spent the rest of the class deadline on earlier attempts.
     pub(super) fn age_at_arrival(
         &mut self,
         incoming: &IncomingRequest,
@@ -21,7 +22,8 @@
         let comparison = self.recent_callers.record(incoming.caller, (left * WAIT_BUCKETS) as usize);
         let is_usual = comparison.similar_share >= USUAL_WAIT_SHARE || comparison.seen_from_caller;
         let age = if is_usual { Duration::ZERO } else { class.deadline.mul_f64(1.0 - left) };
-        // A late request counts as new where its late answer still earns as much as the cheapest in time.
+        // A request that is already late counts as new if a late answer still earns at least as much as an answer in
+        // time of the class with the lowest weight.
         let cheapest = self.classes.iter().map(|class| class.priority_weight).fold(f64::MAX, f64::min);
         if age > class.latency_target && class.priority_weight * class.late_share >= cheapest {
             Duration::ZERO
@@ -30,8 +32,10 @@
         }
     }
 
-    /// The priority, compared with the admission threshold: below 1 for classes that are shed first, 1 and above for
-    /// the others, by the user's rank within the class, so that a threshold cuts the same users on all servers.
+    /// The priority of a request, to be compared with the admission threshold. It is below 1 for classes that are shed
+    /// first, whose weight relative to their run time is below the mean, and from 1 to below 2 for the others. Within a
+    /// class users are ordered by rank, so that equal thresholds reject the same users on all servers. Beyond the quota of
+    /// its tenant a request has a reduced priority.
     pub(super) fn priority(&mut self, now: Duration, class: usize, incoming: &IncomingRequest) -> f64 {
         let rank_in_class = (incoming.rank.clamp(0.0, 1.0) * self.classes.len() as f64).fract();
         let weight_for_time = self.classes[class].priority_weight
@@ -50,7 +54,7 @@
         priority
     }
 
-    /// The mean of a figure over the classes, weighted by their arrivals.
+    /// The mean of a value over the classes, weighted by their recent arrivals.
     pub(super) fn mean_over_arrivals(&self, figure: impl Fn(usize) -> f64) -> f64 {
         let sum: f64 = self.arrivals.iter().enumerate().map(|(class, count)| count * figure(class)).sum();
         sum / self.arrivals.iter().sum::<f64>().max(1e-9)
--- a/src/admission/rejection.rs
+++ b/src/admission/rejection.rs
@@ -1,4 +1,5 @@
-//! Load shedding: the admission threshold, requests that cannot be in time, and final answers without a run.
+//! Load shedding: the admission threshold, the rejection of requests that can't be answered in time, and final answers
+//! to requests that don't complete.
 
 use super::constants::{
     EXTRA_RUN_TIMES, LAST_ATTEMPT_REJECTED_SHARE, MAX_THRESHOLD, SMOOTHING, THRESHOLD_FULL_LOAD,
@@ -13,18 +14,18 @@
 use std::time::Duration;
 
 impl<H: Host> Admission<H> {
-    /// Whether a request came so late in a drain that its caller should have stopped sending.
-    pub(super) fn arrived_after_drain(&self, arrived_at: Duration) -> bool {
+    /// Whether a request arrived so late in a drain that its caller should have stopped sending to this server.
+    pub(super) fn arrived_after_drain_grace(&self, arrived_at: Duration) -> bool {
         self.draining
             .is_some_and(|drain| arrived_at > drain.notified_at + self.parameters.senders_stop_within)
     }
 
-    /// Seconds until the queue has drained.
+    /// Estimated time to work off the queue, in seconds.
     pub(super) fn queue_seconds(&self, now: Duration) -> f64 {
         self.queue.total_run_seconds(|class| self.run_seconds_now(now, class)) / self.window
     }
 
-    /// Sets the admission threshold by the time that requests wait over the slack that they have.
+    /// Sets the admission threshold according to the time that requests wait divided by the slack that they have.
     pub(super) fn update_threshold(&mut self, now: Duration) {
         let slack = self.mean_over_arrivals(|i| {
             (self.classes[i].latency_target.as_secs_f64() - self.run_seconds_now(now, i)).max(0.0)
@@ -34,8 +35,8 @@
             .clamp(0.0, MAX_THRESHOLD);
     }
 
-    /// Rejects requests that cannot be in time. Where one is late because of those ahead of it, the request of the
-    /// lowest priority up to it is rejected in its place.
+    /// Rejects requests so that the remaining ones can be answered in time. If a request is late only because of those
+    /// ahead of it, the request with the lowest priority up to and including it is rejected instead.
     pub(super) fn reject_late(&mut self, now: Duration) {
         let run_times = 1.0 + EXTRA_RUN_TIMES * self.threshold.min(1.0);
         let speed = self.speed(now);
@@ -45,7 +46,7 @@
             let slack = |due_at: Duration, class: usize| {
                 due_at.saturating_sub(now).as_secs_f64() - run_seconds(class) * run_times
             };
-            // A negative slack is found too, since the time ahead is never negative.
+            // Also holds for any negative slack, since the time ahead is never negative.
             let is_late = |seconds_ahead: f64, due_at: Duration, class: usize| {
                 seconds_ahead / self.window > slack(due_at, class)
             };
@@ -57,21 +58,24 @@
         }
     }
 
-    /// Rejects a request that has not run, because of load or a drain.
+    /// Rejects a request that has not run, for a reason such as load, a drain, its deadline or a repeat that replaces
+    /// it.
     pub(super) fn reject(&mut self, now: Duration, id: RequestId) {
         let is_past_due = self.requests.get(&id).is_some_and(|request| request.due_at <= now);
         self.remove_unstarted(id);
         let longest = self.parameters.max_retry_after;
         let queue_seconds = self.queue_seconds(now);
-        let is_warm = self.warmth(now) >= 1.0;
+        let is_warm = self.warm_up_progress(now) >= 1.0;
         let out_of_service = self.draining.is_some() || (!self.healthy && is_warm);
         let retry_after =
             if out_of_service { longest } else { longest.min(Duration::from_secs_f64(queue_seconds)) };
         let threshold = self.threshold;
         self.log(now, LogTopic::Rejection, || {
-            format!("rejecting requests: admission threshold {threshold:.2}, queue of {queue_seconds:.2} s")
+            format!(
+                "rejecting requests: admission threshold {threshold:.2}, queue delay {queue_seconds:.2} s"
+            )
         });
-        // Where a warm server rejects most requests the others do so too, and one more attempt would be in vain.
+        // If a warm server rejects most requests, other servers do so too, and another attempt would be futile.
         self.rejected_share += SMOOTHING;
         let all_overloaded =
             self.rejected_share > LAST_ATTEMPT_REJECTED_SHARE && self.draining.is_none() && is_warm;
@@ -79,21 +83,22 @@
         self.host.reject(id, retry_after, all_overloaded || is_past_due);
     }
 
-    /// Rejects a request that this server may not run, whatever its load.
-    pub(super) fn refuse(&mut self, id: RequestId, other_servers: OtherServers) {
+    /// Rejects a request that this server may not run regardless of load, because of its class, its caller or the
+    /// permission.
+    pub(super) fn reject_by_policy(&mut self, id: RequestId, other_servers: OtherServers) {
         self.remove_unstarted(id);
         let retry_after = Some(self.parameters.max_retry_after).filter(|span| !span.is_zero());
         self.host.reject(id, retry_after, other_servers == OtherServers::WouldRejectToo);
     }
 
-    /// Fails a request that has run or repeats one that has: the answer leaves open whether it took effect.
+    /// Fails a request that has started or repeats an earlier one: the answer leaves open whether it took effect.
     pub(super) fn fail(&mut self, id: RequestId) {
         self.host.fail(id);
         self.abandon(id);
     }
 
-    /// Nobody waits for this request any more. An unstarted one is removed; a run is stopped where that is possible and
-    /// it may run again elsewhere.
+    /// Handles a request for which no caller waits any more. A request that has not started is removed; a run is
+    /// stopped if runs can be stopped and the request is idempotent.
     pub(super) fn abandon(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if matches!(request.stage, Stage::Queued | Stage::Joined) {
--- a/src/admission/requests.rs
+++ b/src/admission/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to the queue or a rejection, and those whose caller has gone.
+//! Handling of new requests up to their admission or rejection, and of requests whose caller has disconnected.
 
 use super::constants::{ARRIVAL_DECAY, MAX_MEMORY_SHARE, SMOOTHING};
 use super::state::{Original, OtherServers};
@@ -22,8 +22,8 @@
 }
 
 impl<H: Host> Admission<H> {
-    /// A request has been read. It is queued, started, joined to the one that it repeats, or answered at once. An id
-    /// that is in use is ignored.
+    /// Handles a request that has been read: it is queued, started, joined to the request that it repeats, or answered
+    /// immediately. A request whose id is in use is ignored.
     pub fn request_received(&mut self, now: Duration, id: RequestId, incoming: &IncomingRequest) {
         self.run_due_timers(now);
         if self.requests.contains_key(&id) || self.dedup.contains(id) {
@@ -56,14 +56,14 @@
         self.admit_or_reject(now, &arrival, original);
     }
 
-    /// The caller of a request has gone and waits for no answer.
+    /// Handles the disconnection of the caller of a request: no answer is needed any more.
     pub fn caller_gone(&mut self, now: Duration, id: RequestId) {
         self.run_due_timers(now);
         self.abandon(id);
         self.start_queued(now);
     }
 
-    /// Determines due time, deadline and priority, and counts the arrival.
+    /// Determines the due time, deadline and priority of a new request, and counts its arrival.
     fn arrival(
         &mut self,
         now: Duration,
@@ -83,15 +83,15 @@
         Arrival { id, class_index, class, caller: incoming.caller, arrived_at, due_at, deadline, priority }
     }
 
-    /// The request that this one repeats, by way of those that have replaced it. None if it is not known here: it may
-    /// be from before this server's table, or has not been read yet.
+    /// The request that this one repeats, or the latest repeat that has replaced that one. `None` if it is unknown: it
+    /// may predate this server's tables, or may not have been read yet.
     fn find_original(&self, incoming: &IncomingRequest, effect: Effect) -> Option<Original> {
         let original = self.dedup.latest_replacement(incoming.repeats?);
         let request = self.requests.get(&original);
         if request.is_none() && !self.dedup.contains(original) {
             return None;
         }
-        // Only a keyed repeat replaces its original: the two never run side by side.
+        // Only a keyed repeat replaces its queued original, so that the two never run concurrently.
         let replaceable = |request: &Request| request.stage == Stage::Queued && effect == Effect::Keyed;
         Some(if request.is_some_and(replaceable) { Original::Queued(original) } else { Original::Started })
     }
@@ -112,8 +112,8 @@
         self.timers.insert(timer, ());
     }
 
-    /// Rejects a queued request in favour of its repeat. Repeats read later may still name the replaced one, so its
-    /// entry stays for a window.
+    /// Rejects a queued request in favour of its repeat. Repeats that are read later may still refer to the replaced
+    /// request, so an entry for it is kept for the length of the deduplication window.
     fn replace_queued(&mut self, now: Duration, original: RequestId, repeat: &Arrival) {
         self.reject(now, original);
         let ends_at = now + repeat.class.window;
@@ -125,14 +125,17 @@
         let starved = self.is_starved_of_calls(now, arrival);
         let served = arrival.class.offered && !self.parameters.rejected_callers.contains(&arrival.caller.0);
         if !served {
-            return self.refuse(arrival.id, OtherServers::WouldRejectToo);
+            return self.reject_by_policy(arrival.id, OtherServers::WouldRejectToo);
         }
         if !self.permission.permits(arrival.class.effect) {
-            return self.refuse(arrival.id, OtherServers::MayBeTried);
+            return self.reject_by_policy(arrival.id, OtherServers::MayBeTried);
         }
-        // A repeat takes the place of a request that has been admitted.
+        // A repeat that replaces a queued request isn't shed, because that request had been admitted.
         let shed = original.is_none() && (arrival.priority < self.threshold || starved);
-        if shed || self.arrived_after_drain(arrival.arrived_at) || self.memory_share(0.0) > MAX_MEMORY_SHARE {
+        if shed
+            || self.arrived_after_drain_grace(arrival.arrived_at)
+            || self.memory_share(0.0) > MAX_MEMORY_SHARE
+        {
             return self.reject(now, arrival.id);
         }
         self.remember(now, arrival);
@@ -140,7 +143,8 @@
         self.start_queued(now);
     }
 
-    /// Whether the upstream calls of the requests in flight take too long for one more that requires its call.
+    /// Whether the calls required by the requests in flight take so long that one more request with a required call
+    /// would be late.
     fn is_starved_of_calls(&self, now: Duration, arrival: &Arrival) -> bool {
         let requires_call = |class: &RequestClass| class.makes_calls && class.share_without_call <= 0.0;
         if !requires_call(&arrival.class) {
@@ -157,7 +161,7 @@
         calls_ahead as f64 * self.call_times.smoothed / self.call_window > slack
     }
 
-    /// Makes the deduplication entry of an admitted request, for its window counted from its arrival.
+    /// Creates the deduplication entry of an admitted request. Its window is counted from the arrival of the request.
     fn remember(&mut self, now: Duration, arrival: &Arrival) {
         let window = match arrival.class.effect {
             Effect::Keyed => arrival.class.window,
@@ -172,7 +176,7 @@
         }
     }
 
-    /// The one place where the stage of a request changes.
+    /// Changes the stage of a request. All changes of stage go through here, so that the totals stay consistent.
     pub(super) fn set_stage(&mut self, id: RequestId, stage: Stage) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         self.totals.remove(request.class, request.stage, request.memory_kb);
@@ -184,7 +188,7 @@
         };
     }
 
-    /// Removes a request from all tables but the queue and the deduplication entries.
+    /// Removes a request from all tables except the queue and the deduplication entries.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.totals.remove(request.class, request.stage, request.memory_kb);
--- a/src/admission/runs.rs
+++ b/src/admission/runs.rs
@@ -1,4 +1,4 @@
-//! The start and the end of runs, with the limits that a start must keep.
+//! The start and the end of runs, and the limits that are checked at a start.
 
 use super::constants::{
     BREAKER_RUN_RATIO, MAX_MEMORY_SHARE, MAX_STARTED_SHARE, SMOOTHING, WINDOW_CUT_FACTOR,
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 impl<H: Host> Admission<H> {
-    /// A run has ended, or a joined request has got its response. `took`: time since the start of the run, upstream
-    /// calls included.
+    /// Handles the end of a run, or the response to a joined request. `took` is the time since the start of the run,
+    /// including upstream calls.
     pub fn run_ended(&mut self, now: Duration, id: RequestId, outcome: Outcome, took: Duration) {
         if self.requests.get(&id).is_some_and(|request| request.stage == Stage::Calling) {
             self.end_call(now, id, CallEnding::Abandoned);
@@ -27,7 +27,7 @@
         self.start_calls(now);
     }
 
-    /// Learns from a completed run; a very slow one cuts the window at once.
+    /// Updates the run time statistics with a completed run. A very slow run cuts the window immediately.
     fn record_run(&mut self, now: Duration, request: &Request, took: Duration) {
         let ran = took.saturating_sub(request.call_time).as_secs_f64();
         let latency_target = self.classes[request.class].latency_target.as_secs_f64();
@@ -39,12 +39,14 @@
             self.window = (self.window * WINDOW_CUT_FACTOR).max(self.parameters.cores);
             let window = self.window;
             self.log(now, LogTopic::Breaker, || {
-                format!("a run took {ratio:.1} latency targets: concurrency window cut to {window:.1}")
+                format!(
+                    "a run took {ratio:.1} times its latency target: concurrency window cut to {window:.1}"
+                )
             });
         }
     }
 
-    /// Starts queued requests by due time while the window and the limits have room.
+    /// Starts queued requests in the order of their due times while the window and the limits allow it.
     pub(super) fn start_queued(&mut self, now: Duration) {
         while let Some(position) = self.queue.first() {
             let running = self.totals.running() as f64;
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Starts a queued request, or rejects it where it may not run any more. False where a limit leaves no room for
+    /// Starts a queued request, or rejects it if it may not run any more. Returns false if a limit leaves no room for
     /// it. This is the only place where a run starts, so all limits are checked here.
     fn start_or_reject(&mut self, now: Duration, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id).filter(|request| request.stage == Stage::Queued) else {
@@ -63,11 +65,11 @@
         };
         let lacks_entry = request.effect == Effect::Keyed && !self.dedup.is_active(id);
         let is_late = now + self.parameters.tick >= request.deadline;
-        if lacks_entry || self.arrived_after_drain(request.arrived_at) || is_late {
+        if lacks_entry || self.arrived_after_drain_grace(request.arrived_at) || is_late {
             self.reject(now, id);
             return true;
         }
-        // Requests at upstream calls count too: they return to the cores whenever their answers come.
+        // Requests that wait for an upstream call count too: they need a core again as soon as the call is answered.
         let started = self.totals.started() as f64 + 1.0;
         let memory_share = self.memory_share(request.memory_kb);
         let collapse_at =
@@ -83,7 +85,7 @@
         true
     }
 
-    /// Share of the memory in use once a queued request of this size has been started.
+    /// Share of the available memory that would be in use after starting a queued request of `starting_kb`.
     pub(super) fn memory_share(&self, starting_kb: f64) -> f64 {
         let (factor, memory) = (self.parameters.run_memory_factor, self.totals.memory_totals());
         let entries_kb = self.dedup.active_count() as f64 * self.parameters.dedup_entry_kb;
--- a/src/admission/state.rs
+++ b/src/admission/state.rs
@@ -1,4 +1,4 @@
-//! Parts of the state of admission control.
+//! Supporting types of the state of admission control.
 
 use crate::types::RequestId;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
     pub(super) notified_at: Duration,
-    /// The process is stopped at this time.
+    /// When the process is stopped.
     pub(super) stops_at: Duration,
 }
 
-/// A requested upstream call, as it is ranked against others. Ordered by what is lost without it, the most first, then
-/// by due time and id.
+/// A requested upstream call with its rank. Ordered by the loss if the call is not made, largest first, then by due
+/// time and id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RankedCall {
-    /// The loss in millionths of a weight, negated.
+    /// The loss in millionths of a priority weight, negated so that the largest loss sorts first.
     pub(super) negated_loss: i64,
     pub(super) due_at: Duration,
     pub(super) request_id: RequestId,
 }
 
-/// What a log line is about. The interval between lines is kept for each topic on its own.
+/// The topic of a log line. Lines are rate-limited per topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum LogTopic {
     Breaker,
@@ -40,19 +40,21 @@
     WouldRejectToo,
 }
 
-/// Whether an upstream call that is over here may still occupy the dependency.
+/// How an upstream call ended from the point of view of this server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallEnding {
+    /// The call no longer occupies the dependency.
     Ended,
+    /// This server has stopped waiting, but the call may still occupy the dependency.
     Abandoned,
 }
 
-/// The request that a repeat refers to.
+/// The state of the request that a repeat refers to.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Original {
-    /// It is still queued, so that the repeat can replace it.
+    /// Still queued, so that the repeat can replace it.
     Queued(RequestId),
-    /// It runs or has run.
+    /// Started already, or not keyed and so not replaceable: the repeat joins it.
     Started,
 }
 
@@ -62,8 +64,9 @@
     pub(super) smoothed: f64,
     /// The best smoothed time; `f64::MAX` until enough calls have been seen.
     pub(super) best: f64,
-    /// Of the last call, answered or not.
+    /// The time of the last call, answered or not.
     pub(super) last: f64,
+    /// Number of calls recorded.
     pub(super) count: f64,
 }
 
--- a/src/admission/timers.rs
+++ b/src/admission/timers.rs
@@ -1,4 +1,4 @@
-//! The periodic timer and the timers of single requests.
+//! The periodic timer and the timers of individual requests.
 
 use super::constants::{EVALUATION_INTERVAL, SMOOTHING};
 use super::state::LogTopic;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl<H: Host> Admission<H> {
-    /// The timer has fired. `load_metrics` are in the order of the setting `family_info.meters`.
+    /// Handles the periodic timer. `load_metrics` are in the order of the setting `family_info.meters`.
     pub fn timer_fired(&mut self, now: Duration, load_metrics: &[f64]) {
         self.host.set_timer(self.parameters.tick);
         self.run_due_timers(now);
@@ -25,7 +25,8 @@
         self.update_load_hint(now);
     }
 
-    /// Takes the load metrics, and grows the window by the length of the queue where cores are idle beside it.
+    /// Records the load metrics. If cores are idle while requests are queued, grows the window by the length of the
+    /// queue.
     fn record_load(&mut self, now: Duration, load_metrics: &[f64]) {
         let runnable = self.parameters.runnable_metric.and_then(|i| load_metrics.get(i)).copied();
         let running = self.totals.running() as f64;
@@ -41,19 +42,22 @@
         }
     }
 
-    /// A server is unhealthy while requests wait unread for longer than the shortest latency target.
+    /// Updates the health. A server is unhealthy while requests wait at least the shortest latency target before they
+    /// are read.
     fn update_health(&mut self, now: Duration) {
         let healthy = self.unread_seconds < self.shortest_latency_target();
         if self.draining.is_none() && std::mem::replace(&mut self.healthy, healthy) != healthy {
             self.host.set_health(healthy, true);
             let unread_seconds = self.unread_seconds;
             self.log(now, LogTopic::Health, || {
-                format!("health check set to healthy={healthy}: requests wait {unread_seconds:.2} s unread")
+                format!(
+                    "health check set to healthy={healthy}: requests wait {unread_seconds:.2} s to be read"
+                )
             });
         }
     }
 
-    /// Handles all timers of requests that are due.
+    /// Handles all request timers that are due.
     pub(super) fn run_due_timers(&mut self, now: Duration) {
         while let Some((timer, ())) = self.timers.first().filter(|(timer, ())| timer.at <= now) {
             self.timers.remove(&timer);
--- a/src/admission/window.rs
+++ b/src/admission/window.rs
@@ -1,4 +1,4 @@
-//! The concurrency window: its evaluation and limit, and the speed of a server that warms up.
+//! The concurrency window: its evaluation and limit, and the speed of the server while it warms up.
 
 use super::constants::{
     COLD_WINDOW_PER_CORE, GROWTH_MAX_P99, INITIAL_RUN_TIME, MIN_IDLE_SHARE, MIN_ON_CORE_SHARE, P99_SPAN,
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 impl<H: Host> Admission<H> {
-    /// Adapts the windows and the idle timeout to what has happened since the last evaluation.
+    /// Periodic evaluation: adjusts the windows, the run time estimates and the idle timeout.
     pub(super) fn evaluate(&mut self, now: Duration) {
         let last_evaluation = std::mem::replace(&mut self.evaluated_at, now);
         self.evaluate_window(now);
-        self.forget_slow_runs(last_evaluation);
+        self.decay_run_times(last_evaluation);
         self.evaluate_call_window(now);
         self.evaluate_idle_timeout();
     }
@@ -28,7 +28,9 @@
             self.window *= WINDOW_CUT_FACTOR;
             let window = self.window;
             self.log(now, LogTopic::Window, || {
-                format!("p99 of run time is {p99:.2} latency targets: concurrency window cut to {window:.1}")
+                format!(
+                    "p99 of run time over latency target is {p99:.2}: concurrency window cut to {window:.1}"
+                )
             });
         } else if p99 < GROWTH_MAX_P99 && self.window_was_full {
             self.window += WINDOW_INCREMENT;
@@ -37,9 +39,10 @@
         self.window_was_full = false;
     }
 
-    /// Lowers the run time of classes without a run since the last evaluation towards its initial value: a class that
-    /// is rejected because of one stall would otherwise never be run, and so never be measured, again.
-    fn forget_slow_runs(&mut self, last_evaluation: Duration) {
+    /// Decays the run time of classes without a completed run since the last evaluation towards its initial value. A
+    /// class that is rejected because of the run times in one stall would otherwise never run again, and so never be
+    /// measured.
+    fn decay_run_times(&mut self, last_evaluation: Duration) {
         for i in 0..self.classes.len() {
             let initial = self.classes[i].latency_target.as_secs_f64() * INITIAL_RUN_TIME;
             if !self.recent_runs.has_ended_since(i, last_evaluation) && self.run_seconds[i] > initial {
@@ -48,8 +51,9 @@
         }
     }
 
-    /// Closes idle connections of callers that seldom return sooner, since a full table takes cores and leaves new
-    /// connections no room; later in a storm of attempts, where a kept connection is the cheapest way to reject.
+    /// Shortens the idle timeout, down to a bound that is lower the more callers there are and so the less often each
+    /// of them returns: a full connection table takes CPU time and leaves no room for new connections. Lengthens it in
+    /// a reconnect storm, where rejecting on an open connection is cheapest.
     fn evaluate_idle_timeout(&mut self) {
         let Some(longest) = self.parameters.idle_timeout else { return };
         let is_storm = self.read_load > STORM_READ_SHARE * (self.read_load + self.parameters.cores);
@@ -60,28 +64,28 @@
         self.host.close_idle(self.idle_timeout);
     }
 
-    /// The limit of the window. After a cold start it rises from the cold to the warm limit.
+    /// Upper bound of the window. After a cold start it rises from the cold to the warm limit.
     pub(super) fn max_window(&self, now: Duration) -> f64 {
         let warm = self.parameters.window_per_core.unwrap_or(WARM_WINDOW_PER_CORE);
         let cold = self.parameters.cold_window_per_core.unwrap_or(COLD_WINDOW_PER_CORE).min(warm);
-        (self.parameters.cores * (cold + (warm - cold) * self.warmth(now))
+        (self.parameters.cores * (cold + (warm - cold) * self.warm_up_progress(now))
             / self.on_core_share.max(MIN_ON_CORE_SHARE))
         .max(self.parameters.cores)
     }
 
-    /// How far this server has warmed up at least, from 0 to 1.
-    pub(super) fn warmth(&self, now: Duration) -> f64 {
+    /// Lower bound of how far this server has warmed up, from 0 (cold) to 1 (warm).
+    pub(super) fn warm_up_progress(&self, now: Duration) -> f64 {
         self.parameters.warm_after.map_or(1.0, |after| now.div_duration_f64(after).min(1.0))
     }
 
-    /// The least speed of this server, as a share of its warm speed.
+    /// Lower bound of this server's speed, as a share of its warm speed.
     pub(super) fn speed(&self, now: Duration) -> f64 {
-        let warmth = self.warmth(now);
-        let cold_speed = if warmth < 1.0 { self.parameters.cold_speed } else { 1.0 };
-        cold_speed + (1.0 - cold_speed) * warmth
+        let warm_up_progress = self.warm_up_progress(now);
+        let cold_speed = if warm_up_progress < 1.0 { self.parameters.cold_speed } else { 1.0 };
+        cold_speed + (1.0 - cold_speed) * warm_up_progress
     }
 
-    /// Seconds that a run of this class takes at the present speed.
+    /// Expected run time of this class at the current speed, in seconds.
     pub(super) fn run_seconds_now(&self, now: Duration, class: usize) -> f64 {
         self.run_seconds[class] / self.speed(now)
     }
