--- a/src/admission/priority.rs
+++ b/src/admission/priority.rs
@@ -34,8 +34,8 @@
 
     /// The priority of a request, to be compared with the admission threshold. It is below 1 for classes that are shed
     /// first, whose weight relative to their run time is below the mean, and from 1 to below 2 for the others. Within a
-    /// class users are ordered by rank, so that equal thresholds reject the same users on all servers. Beyond the quota of
-    /// its tenant a request has a reduced priority.
+    /// class users are ordered by rank, so that equal thresholds reject the same users on all servers. Beyond the quota
+    /// of its tenant a request has a reduced priority.
     pub(super) fn priority(&mut self, now: Duration, class: usize, incoming: &IncomingRequest) -> f64 {
         let rank_in_class = (incoming.rank.clamp(0.0, 1.0) * self.classes.len() as f64).fract();
         let weight_for_time = self.classes[class].priority_weight
--- a/src/host.rs
+++ b/src/host.rs
@@ -26,9 +26,9 @@
     /// Continues a run without its upstream call.
     fn skip_call(&mut self, request_id: RequestId);
     /// Sets the answer to health checks. With `stored` the answer is kept until the next change.
-    fn set_health(&mut self, good: bool, stored: bool);
-    /// Closes connections that have been idle for at least `span`.
-    fn close_idle(&mut self, span: Duration);
+    fn set_health(&mut self, healthy: bool, stored: bool);
+    /// Closes connections that have been idle for at least `idle_time`.
+    fn close_idle(&mut self, idle_time: Duration);
     /// Sets the load hint that is sent with every answer.
     fn set_load_hint(&mut self, value: f64);
     /// Schedules one call of [`crate::Admission::timer_fired`], replacing the timer set before.
--- a/tests/golden/compare.rs
+++ b/tests/golden/compare.rs
@@ -1,14 +1,14 @@
-//! Compares a text that a test has built with the golden file that was recorded for it. Tests of several packages
-//! include this file by its path.
+//! Compares the text built by a test with a recorded golden file. Tests of several packages include this file by its
+//! path.
 
 use std::path::{Path, PathBuf};
 
-/// Where a golden file lies, by its name below `tests/golden`.
+/// The path of a golden file, given its name relative to `tests/golden`.
 fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../tests/golden").join(name)
 }
 
-/// What differs first between two texts, by its line; nothing where they are the same.
+/// Describes the first line in which two texts differ, or `None` if they are equal.
 fn first_difference(recorded: &str, built: &str) -> Option<String> {
     if recorded == built {
         return None;
@@ -24,8 +24,8 @@
     }
 }
 
-/// Fails where the text is not that of the golden file, and names the first line that differs. Writes the file first
-/// where `RECORD_GOLDEN_FILES` is set.
+/// Panics with the first differing line if the text differs from the golden file. If the environment variable
+/// `RECORD_GOLDEN_FILES` is set, the text is first written to the golden file.
 pub fn check(name: &str, built: &str) {
     let path = golden_path(name);
     if std::env::var_os("RECORD_GOLDEN_FILES").is_some() {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_difference_is_named_by_its_first_line() {
+fn the_first_differing_line_is_reported() {
     let expected = "line 2\n  recorded: b\n  now:      x".to_string();
     assert_eq!(first_difference("a\nb\nc\n", "a\nx\ny\n"), Some(expected));
     let longer = "line 2\n  recorded: \n  now:      b".to_string();
--- a/tests/suite/changes_in_service.rs
+++ b/tests/suite/changes_in_service.rs
@@ -1,4 +1,4 @@
-//! Settings and permissions that change while requests are in flight.
+//! Changes of settings and permissions while requests are in flight.
 
 use crate::model::{settings, Rejection, Scenario, Stage, MS};
 use aldercrank::{Outcome, Permission, RequestId, Settings, Value};
@@ -8,7 +8,7 @@
     model.rejected.iter().find(|rejection| rejection.id == id).copied()
 }
 
-/// Four busy cores with an idempotent and a keyed request queued behind them.
+/// All four cores are busy, and an idempotent and a keyed request are queued.
 fn busy_scenario() -> (Scenario, RequestId, RequestId) {
     let mut scenario = Scenario::new(settings(&["retryable", "dedup"]));
     scenario.memory_kb = 1.0;
@@ -21,14 +21,14 @@
     (scenario, idempotent, keyed)
 }
 
-fn changed(scenario: &Scenario, set: &[(&str, Value)]) -> Settings {
+fn settings_changed_by(scenario: &Scenario, set: &[(&str, Value)]) -> Settings {
     let mut settings = scenario.model.0.borrow().settings.clone();
     set.iter().for_each(|(name, value)| settings.set(name, value.clone()));
     settings
 }
 
 #[test]
-fn without_permission_queued_requests_that_are_not_idempotent_are_rejected_and_the_rest_goes_on() {
+fn restricting_the_permission_rejects_only_queued_requests_that_it_excludes() {
     let (mut scenario, idempotent, keyed) = busy_scenario();
     let now = scenario.now();
     scenario.admission.set_permission(now, Permission::Idempotent);
@@ -55,7 +55,7 @@
     assert_eq!(scenario.stage(keyed), Stage::Running);
     let now = scenario.now();
     scenario.admission.set_permission(now, Permission::Nothing);
-    let settings = changed(&scenario, &[("profiles.1.offered", Value::Flag(false))]);
+    let settings = settings_changed_by(&scenario, &[("profiles.1.offered", Value::Flag(false))]);
     scenario.admission.apply_settings(now, &settings);
     let repeat = scenario.receive(1, MS * 2900, Some(1), 0.8);
     assert_eq!((scenario.stage(repeat), rejection(&scenario, repeat)), (Stage::Joined, None));
@@ -64,15 +64,19 @@
 }
 
 #[test]
-fn a_withdrawn_class_is_rejected_as_the_last_attempt_and_earlier_requests_still_run() {
+fn a_withdrawn_class_rejects_new_requests_but_keeps_queued_ones() {
     let (mut scenario, _, keyed) = busy_scenario();
     let now = scenario.now();
-    let settings = changed(&scenario, &[("profiles.1.offered", Value::Flag(false))]);
+    let settings = settings_changed_by(&scenario, &[("profiles.1.offered", Value::Flag(false))]);
     scenario.admission.apply_settings(now, &settings);
-    assert_eq!(rejection(&scenario, keyed), None, "the settings under which it was read apply");
+    assert_eq!(
+        rejection(&scenario, keyed),
+        None,
+        "a queued request keeps the settings under which it was read"
+    );
     let late = scenario.receive(1, MS * 2900, Some(2), 0.8);
     assert_eq!(rejection(&scenario, late).map(|rejection| rejection.last), Some(true));
-    let settings = changed(&scenario, &[("rules.turned_away.0", Value::Number(7.0))]);
+    let settings = settings_changed_by(&scenario, &[("rules.turned_away.0", Value::Number(7.0))]);
     scenario.admission.apply_settings(now, &settings);
     scenario.caller = 7;
     let from_rejected_caller = scenario.receive(1, MS * 2900, Some(3), 0.8);
@@ -82,11 +86,11 @@
 }
 
 #[test]
-fn a_dedup_entry_keeps_its_window_or_gets_the_new_one_whichever_is_longer() {
+fn a_dedup_entry_lasts_for_the_longer_of_the_old_and_the_new_window() {
     for (window, ends) in [(3_000_000.0, 6000), (12_000_000.0, 12_000)] {
         let mut scenario = Scenario::new(settings(&["retryable", "dedup"]));
         let keyed = scenario.receive(1, MS * 2900, Some(1), 0.8);
-        let settings = changed(&scenario, &[("profiles.1.window", Value::Number(window))]);
+        let settings = settings_changed_by(&scenario, &[("profiles.1.window", Value::Number(window))]);
         let now = scenario.now();
         scenario.admission.apply_settings(now, &settings);
         scenario.end_run(keyed, Outcome::Completed);
@@ -106,7 +110,7 @@
         ("profiles.0.effect", Value::Text("fragile".into())),
         ("profiles.1.effect", Value::Text("retryable".into())),
     ];
-    let (settings, now) = (changed(&scenario, &swapped), scenario.now());
+    let (settings, now) = (settings_changed_by(&scenario, &swapped), scenario.now());
     scenario.admission.apply_settings(now, &settings);
     // An abandoned run is stopped only where the request was idempotent when it was read.
     scenario.admission.caller_gone(now, idempotent);
@@ -117,7 +121,7 @@
 }
 
 #[test]
-fn settings_with_other_classes_are_rejected_in_service() {
+fn new_settings_with_different_classes_are_rejected() {
     let mut scenario = Scenario::new(settings(&["retryable", "dedup"]));
     let (settings, now) = (settings(&["retryable"]), scenario.now());
     scenario.admission.apply_settings(now, &settings);
--- a/tests/suite/generated_inputs.rs
+++ b/tests/suite/generated_inputs.rs
@@ -1,14 +1,14 @@
-//! Admission control beside the plain model of its four rules, on generated events with a fixed seed.
+//! Property test: the four rules that `model` checks hold on generated sequences of events (fixed seed).
 
 use crate::model::{settings, Drain, Scenario, Stage, MS};
 use aldercrank::Outcome::{Completed, ConnectionLost, Failed, Rejected, TimedOut};
 use aldercrank::{Permission, RequestId, Value};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
-/// An event, a choice among what it may apply to, and an amount.
+/// The kind of an event, a selector for what it applies to, and an amount such as a duration.
 type Step = (u8, u8, u16);
 
-/// Settings of every kind, missing and invalid ones too.
+/// Settings that vary with `pick`; some of them are missing or invalid.
 fn any_settings(pick: u32) -> aldercrank::Settings {
     let mut settings = settings(&["retryable", "dedup", "fragile", "retryable"]);
     let text = |list: &[&str], index: u32| Value::Text(list[index as usize % list.len()].to_string());
@@ -98,7 +98,7 @@
             scenario.admission.set_permission(now, permission);
         }
         15 if choice < 96 => {
-            // Windows grow and shrink; effects stay, since the model goes by one for each class.
+            // Windows grow and shrink. Effects stay the same, since the model assumes one effect per class.
             let mut settings = scenario.model.0.borrow().settings.clone();
             settings.set("profiles.1.window", Value::Number(6e6 + f64::from(amount) * 1e3));
             settings.set("profiles.0.offered", Value::Flag(choice % 2 == 0));
@@ -116,10 +116,10 @@
     }
 }
 
-fn keeps_the_rules(pick: u32, steps: Vec<Step>) -> TestResult {
+fn rules_hold(pick: u32, steps: Vec<Step>) -> TestResult {
     let mut scenario = Scenario::new(any_settings(pick));
-    for one_step in steps {
-        step(&mut scenario, one_step);
+    for next_step in steps {
+        step(&mut scenario, next_step);
         scenario.model.0.borrow_mut().check_answered();
     }
     scenario.advance(MS * 4200, 0.0);
@@ -130,5 +130,5 @@
 #[test]
 fn the_four_rules_hold_on_generated_inputs() {
     let mut tests = QuickCheck::new().tests(1500).rng(Gen::from_size_and_seed(260, 20261201));
-    tests.quickcheck(keeps_the_rules as fn(u32, Vec<Step>) -> TestResult);
+    tests.quickcheck(rules_hold as fn(u32, Vec<Step>) -> TestResult);
 }
--- a/tests/suite/golden.rs
+++ b/tests/suite/golden.rs
@@ -1,6 +1,6 @@
-//! A recorded run of events into the module with every action that came out, compared byte by byte with
-//! `tests/golden/admission.txt`. The events are generated from fixed seeds and from the actions before them, so the
-//! first difference shows where a decision changed. The texts of log lines are not part of the record.
+//! Golden test: feeds generated events to admission control and compares every event and resulting action byte by byte
+//! with `tests/golden/admission.txt`. The events depend only on fixed seeds and on the actions before them, so the
+//! first difference shows where a decision has changed. The texts of log lines are not recorded.
 
 use crate::model::settings;
 use aldercrank::{
@@ -11,10 +11,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const EVENTS_PER_RUN: usize = 1500;
+const EVENTS_PER_RECORDING: usize = 1500;
 const MICROSECOND: Duration = Duration::from_micros(1);
 
-/// A linear congruential generator: the same numbers on every machine.
+/// A linear congruential generator, which yields the same numbers on every machine.
 struct Random(u64);
 
 impl Random {
@@ -32,7 +32,8 @@
     }
 }
 
-/// Records the actions of admission control under the names of the simulator's protocol, and what can happen next.
+/// Records the actions of admission control under their names in the simulator's protocol, and keeps the sets of
+/// requests to which the next events can apply.
 #[derive(Default)]
 struct Recorder {
     text: String,
@@ -46,10 +47,10 @@
 
 impl Recorder {
     fn action(&mut self, line: String) {
-        writeln!(self.text, "  {line}").expect("a string takes all text");
+        writeln!(self.text, "  {line}").expect("writing to a string succeeds");
     }
 
-    fn over(&mut self, id: RequestId) {
+    fn forget_queued(&mut self, id: RequestId) {
         self.queued.remove(&id);
     }
 }
@@ -65,11 +66,11 @@
     }
     fn reject(&mut self, id: RequestId, retry_after: Option<Duration>, last: bool) {
         self.action(format!("SayNo {} hold_off={retry_after:?} last={last}", id.0));
-        self.over(id);
+        self.forget_queued(id);
     }
     fn fail(&mut self, id: RequestId) {
         self.action(format!("EndFailed {}", id.0));
-        self.over(id);
+        self.forget_queued(id);
     }
     fn remember(&mut self, id: RequestId, span: Duration) {
         self.action(format!("Remember {} for_time={span:?}", id.0));
@@ -91,8 +92,8 @@
     fn skip_call(&mut self, id: RequestId) {
         self.action(format!("Skip {}", id.0));
     }
-    fn set_health(&mut self, good: bool, stored: bool) {
-        self.action(format!("Fitness enable={good} stored={stored}"));
+    fn set_health(&mut self, healthy: bool, stored: bool) {
+        self.action(format!("Fitness enable={healthy} stored={stored}"));
     }
     fn close_idle(&mut self, span: Duration) {
         self.action(format!("CloseIdle for_time={span:?}"));
@@ -109,8 +110,8 @@
     }
 }
 
-/// One server: its settings, how busy it is, and the events generated for it.
-struct Run {
+/// A simulated server: its settings, the share of arrivals, and the events generated for it.
+struct Recording {
     random: Random,
     admission: Admission<Recorder>,
     settings: Settings,
@@ -121,10 +122,18 @@
     draining: bool,
 }
 
-impl Run {
-    fn new(seed: u64, settings: Settings, classes: u64, arrivals: u64) -> Run {
+impl Recording {
+    fn new(seed: u64, settings: Settings, classes: u64, arrivals: u64) -> Recording {
         let admission = Admission::new(&settings, Duration::ZERO, Recorder::default());
-        Run { random: Random(seed), admission, settings, classes, arrivals, next_id: 1, draining: false }
+        Recording {
+            random: Random(seed),
+            admission,
+            settings,
+            classes,
+            arrivals,
+            next_id: 1,
+            draining: false,
+        }
     }
 
     fn pick(&mut self, from: &BTreeSet<RequestId>) -> Option<RequestId> {
@@ -134,11 +143,12 @@
 
     fn event(&mut self, line: &str) {
         let now = self.admission.host.now;
-        writeln!(self.admission.host.text, "{} {line}", now.as_micros()).expect("a string takes all text");
+        writeln!(self.admission.host.text, "{} {line}", now.as_micros())
+            .expect("writing to a string succeeds");
     }
 
-    /// The timer goes off whenever its time has come before the next event.
-    fn pass(&mut self, span: Duration) {
+    /// Advances the time by `span`, and fires the timer whenever it is due in between.
+    fn advance(&mut self, span: Duration) {
         let until = self.admission.host.now + span;
         while let Some(at) = self.admission.host.wake_in.filter(|at| *at <= until) {
             self.admission.host.now = at;
@@ -210,7 +220,7 @@
         self.admission.run_ended(now, id, outcome, took);
     }
 
-    fn call_needed(&mut self) {
+    fn call_requested(&mut self) {
         let calling = &self.admission.host.calling;
         let idle: BTreeSet<RequestId> =
             self.admission.host.running.keys().filter(|id| !calling.contains(id)).copied().collect();
@@ -238,7 +248,7 @@
         self.admission.caller_gone(self.admission.host.now, id);
     }
 
-    fn permission(&mut self) {
+    fn change_permission(&mut self) {
         let (permission, name) = match self.random.below(4) {
             0 => (Permission::Nothing, "nothing"),
             1 => (Permission::Idempotent, "idempotent"),
@@ -248,7 +258,7 @@
         self.admission.set_permission(self.admission.host.now, permission);
     }
 
-    fn other_settings(&mut self) {
+    fn change_settings(&mut self) {
         let class = self.random.below(self.classes);
         let window = 1_000_000.0 * (4 + self.random.below(6)) as f64;
         let points = 1.0 + self.random.below(5) as f64;
@@ -268,28 +278,28 @@
 
     fn step(&mut self) {
         let span = MICROSECOND * self.random.below(12_000) as u32;
-        self.pass(span);
+        self.advance(span);
         match self.random.below(100) {
             roll if roll < self.arrivals => self.new_request(),
             roll if roll < 70 => self.run_ended(),
-            roll if roll < 82 => self.call_needed(),
+            roll if roll < 82 => self.call_requested(),
             roll if roll < 94 => self.call_ended(),
             roll if roll < 97 => self.caller_gone(),
-            97 => self.permission(),
-            98 => self.other_settings(),
+            97 => self.change_permission(),
+            98 => self.change_settings(),
             _ => {}
         }
     }
 
     fn record(mut self, name: &str) -> String {
-        writeln!(self.admission.host.text, "run {name}").expect("a string takes all text");
-        for event in 0..EVENTS_PER_RUN {
-            if event == EVENTS_PER_RUN - 150 && !self.draining {
+        writeln!(self.admission.host.text, "run {name}").expect("writing to a string succeeds");
+        for event in 0..EVENTS_PER_RECORDING {
+            if event == EVENTS_PER_RECORDING - 150 && !self.draining {
                 self.drain();
             }
             self.step();
         }
-        self.pass(Duration::from_secs(30));
+        self.advance(Duration::from_secs(30));
         self.admission.host.text
     }
 }
@@ -302,8 +312,8 @@
     settings.set(name, Value::Text(value.to_string()));
 }
 
-/// Calls that may be left out, a shared dependency, a load hint as a window, runs that can be stopped.
-fn with_calls() -> Settings {
+/// Optional upstream calls to a shared dependency, a load hint in the form of a window, and runs that can be stopped.
+fn settings_with_calls() -> Settings {
     let mut settings = settings(&["retryable", "dedup", "once"]);
     text(&mut settings, "family_info.halt", "abort");
     text(&mut settings, "family_info.advert", "window");
@@ -315,8 +325,8 @@
     settings
 }
 
-/// A cold start with little memory, tenants with quotas, and idempotent requests that are remembered.
-fn cold_with_tenants() -> Settings {
+/// A cold start with little memory, tenants with quotas, and a deduplication window for idempotent requests.
+fn settings_cold_with_tenants() -> Settings {
     let mut settings = settings(&["retryable", "dedup"]);
     settings.set("family_info.cold", Value::Flag(true));
     text(&mut settings, "family_info.advert", "share_of");
@@ -331,8 +341,9 @@
     settings
 }
 
-/// One core, a load hint as the admission threshold, a caller that nothing is run for, a class that is not offered.
-fn small_with_threshold() -> Settings {
+/// One core, the admission threshold as load hint, a caller whose requests are all rejected, and a class that is not
+/// offered.
+fn settings_small_with_threshold() -> Settings {
     let mut settings = settings(&["retryable", "dedup", "retryable"]);
     number(&mut settings, "family_info.cores", 1.0);
     text(&mut settings, "family_info.advert", "threshold");
@@ -344,19 +355,19 @@
 }
 
 #[test]
-fn recorded_events_lead_to_the_recorded_decisions() {
+fn decisions_match_the_golden_file() {
     let mut record = String::new();
-    record += &Run::new(11, with_calls(), 3, 45).record("with calls");
-    record += &Run::new(12, cold_with_tenants(), 2, 55).record("cold with tenants");
-    record += &Run::new(13, small_with_threshold(), 4, 35).record("small with threshold");
+    record += &Recording::new(11, settings_with_calls(), 3, 45).record("with calls");
+    record += &Recording::new(12, settings_cold_with_tenants(), 2, 55).record("cold with tenants");
+    record += &Recording::new(13, settings_small_with_threshold(), 4, 35).record("small with threshold");
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/admission.txt");
     if std::env::var_os("RECORD_GOLDEN_FILES").is_some() {
-        std::fs::write(&path, &record).expect("the golden file is written");
+        std::fs::write(&path, &record).expect("the golden file can be written");
     }
-    let golden = std::fs::read_to_string(&path).expect("the golden file is in the repository");
+    let golden = std::fs::read_to_string(&path).expect("the golden file can be read");
     let different = golden.lines().zip(record.lines()).enumerate().find(|(_, (was, is))| was != is);
     if let Some((line, (was, is))) = different {
-        panic!("line {}: recorded '{was}', now '{is}'", line + 1);
+        panic!("tests/golden/admission.txt differs first at line {}: recorded '{was}', now '{is}'", line + 1);
     }
-    assert_eq!(golden.len(), record.len(), "one record goes on where the other ends");
+    assert_eq!(golden.len(), record.len(), "the lengths differ, although all common lines are equal");
 }
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,6 +1,7 @@
-//! Tests of admission control; `model` is their one file of support code.
+//! Tests of admission control. The module `model` holds the code that they share.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// The items of `model` are only used within this test binary, so they need no documentation; test scenarios may be
+// long.
 #![allow(
     missing_docs,
     unreachable_pub,
--- a/tests/suite/model.rs
+++ b/tests/suite/model.rs
@@ -1,6 +1,9 @@
-//! A slow, plain model of a server that serves as the host of admission control and checks its four rules: every request
-//! gets one answer in time, runs at most as often as its effect allows, nothing starts late in a drain, and no limit is
-//! exceeded.
+//! A simple model of a server, used as the host of admission control. It checks four rules:
+//!
+//! 1. Every request gets exactly one answer, in time.
+//! 2. A request runs at most as often as its effect allows.
+//! 3. Nothing starts late in a drain, and all requests are answered before its end.
+//! 4. No limit is exceeded.
 
 use aldercrank::{Admission, CallerId, Effect, Host, IncomingRequest, Outcome, RequestId, Settings, Value};
 use std::cell::RefCell;
@@ -9,10 +12,10 @@
 use std::time::Duration;
 
 pub const MS: Duration = Duration::from_millis(1);
-/// The time that most requests still wait.
+/// The remaining wait of most requests.
 pub const LONG_WAIT_MS: u32 = 2500;
 
-/// Where a request stands.
+/// The stage that a request has reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
     #[default]
@@ -24,7 +27,7 @@
     Ended,
 }
 
-/// A request as the model knows it.
+/// The state of a request in the model.
 #[derive(Clone, Debug, Default)]
 pub struct ModelRequest {
     pub stage: Stage,
@@ -38,13 +41,14 @@
     pub answers: u32,
     pub ran: bool,
     pub caller_gone: bool,
-    /// A call that may have had its effect has been made.
+    /// Whether an upstream call that may have taken effect has been made.
     pub call_may_have_run: bool,
 }
 
 /// A deduplication entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
+    /// The request that the entry was created for.
     pub holder: RequestId,
     pub since: Duration,
     pub until: Duration,
@@ -72,11 +76,12 @@
     pub settings: Settings,
     pub drain: Option<Drain>,
     pub timer_at: Option<Duration>,
+    /// Runs that end at the next step of [`Scenario::advance`], with their outcomes.
     pub ending_runs: Vec<(RequestId, Outcome)>,
     pub violations: Vec<String>,
     pub load_hints: Vec<f64>,
     pub idle_timeout: Duration,
-    /// Timeouts of the upstream calls made.
+    /// Timeouts of the upstream calls made so far.
     pub call_timeouts: Vec<Duration>,
     pub rejected: Vec<Rejection>,
 }
@@ -95,7 +100,7 @@
         self.requests.values().filter(|request| request.stage == stage).count()
     }
 
-    /// Rule 4, checked at every moment and not only on average.
+    /// Rule 4. Limits hold at every moment, not only on average.
     fn check_limits(&mut self, id: RequestId) {
         let memory_kb = |request: &ModelRequest| match request.stage {
             Stage::Ended => 0.0,
@@ -111,10 +116,10 @@
         let cores = self.number("family_info.cores", 1.0).max(1.0);
         let limit = cores * (1.0 + (self.number("rules.fall_multiple", 2.0) - 1.0) * speed);
         if used > self.number("family_info.memory_kb", f64::MAX) {
-            self.violation("memory", id);
+            self.violation("memory limit exceeded", id);
         }
         if self.count(Stage::Running) as f64 > limit {
-            self.violation("too many runs", id);
+            self.violation("number of runs at which the server collapses exceeded", id);
         }
     }
 
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Rule 1, and at the stop rule 3.
+    /// Rule 1, and from the end of a drain on rule 3.
     pub fn check_answered(&mut self) {
         let slack = Duration::from_micros(self.number("rules.answer_slack", 40_000.0) as u64);
         let stop = self.drain.map_or(Duration::MAX, |drain| drain.stops_at);
@@ -187,7 +192,7 @@
         if model.settings.text("family_info.halt").unwrap_or("none") == "none"
             || model.effects[request.class] != Effect::Idempotent
         {
-            model.violation("stopped", id);
+            model.violation("stopped a run that must not be stopped", id);
         }
         if request.stage == Stage::Running {
             model.ending_runs.push((id, Outcome::Cancelled));
@@ -213,7 +218,7 @@
         if let Some(key) = model.requests.get(&id).and_then(|request| request.key) {
             let now = model.now;
             let before = model.entries.insert(key, Entry { holder: id, since: now, until: now + span });
-            // An entry that is extended takes no more memory than it did.
+            // Extending an entry takes no additional memory.
             if before.is_none_or(|entry| entry.holder != id) {
                 model.check_limits(id);
             }
@@ -229,7 +234,7 @@
     fn join_original(&mut self, id: RequestId) {
         let mut model = self.0.borrow_mut();
         if model.requests.get(&id).is_none_or(|request| request.repeats.is_none()) {
-            model.violation("joined without an original", id);
+            model.violation("joined a request that repeats none", id);
         }
         model.requests.get_mut(&id).unwrap().stage = Stage::Joined;
     }
@@ -239,7 +244,7 @@
         let request = model.requests[&id].clone();
         let must_not_repeat = request.call_may_have_run && model.effects[request.class] != Effect::Idempotent;
         if request.stage != Stage::AwaitingCall || must_not_repeat {
-            model.violation("called again", id);
+            model.violation("upstream call not awaited, or repeated although it may have run", id);
         }
         model.requests.get_mut(&id).unwrap().stage = Stage::Calling;
     }
@@ -251,7 +256,7 @@
         }
         model.requests.get_mut(&id).unwrap().stage = Stage::Running;
     }
-    fn set_health(&mut self, _good: bool, _stored: bool) {}
+    fn set_health(&mut self, _healthy: bool, _stored: bool) {}
     fn close_idle(&mut self, span: Duration) {
         self.0.borrow_mut().idle_timeout = span;
     }
@@ -259,7 +264,7 @@
         let mut model = self.0.borrow_mut();
         let expected = model.settings.text("family_info.advert").unwrap_or("none") != "none";
         if !value.is_finite() || value < 0.0 || !expected {
-            model.violation("load hint", RequestId(0));
+            model.violation("load hint invalid or not expected", RequestId(0));
         }
         model.load_hints.push(value);
     }
@@ -270,7 +275,7 @@
     fn log(&mut self, _line: &str) {}
 }
 
-/// Settings as a deployment would hand them over; time spans in microseconds.
+/// Settings of a typical deployment, with one class per effect. Time spans are in microseconds.
 pub fn settings(effects: &[&str]) -> Settings {
     let mut settings = Settings::default();
     for (name, number) in [
@@ -303,25 +308,25 @@
     settings
 }
 
-/// The settings of an idempotent and a keyed class, with one of them changed.
+/// Settings with an idempotent and a keyed class, with the number `name` set to `value`.
 pub fn settings_with(name: &str, value: f64) -> Settings {
     let mut settings = settings(&["retryable", "dedup"]);
     settings.set(name, Value::Number(value));
     settings
 }
 
-/// Receives so many requests of the first class.
+/// Receives `count` requests of the first class.
 pub fn offer(scenario: &mut Scenario, count: usize) -> Vec<RequestId> {
     (0..count).map(|_| scenario.receive(0, MS * LONG_WAIT_MS, None, 0.99)).collect()
 }
 
-/// Admission control with the model as its host, and the events of a test.
+/// Drives admission control, with the model as its host, through the events of a test.
 pub struct Scenario {
     pub admission: Admission<SharedModel>,
     pub model: SharedModel,
     pub next_id: u32,
     pub caller: u64,
-    /// How long the next request waited unread, and its memory.
+    /// How long the next request has waited before it was read, and its memory.
     pub unread_time: Duration,
     pub memory_kb: f64,
 }
@@ -357,7 +362,7 @@
         !self.model.0.borrow().violations.is_empty()
     }
 
-    /// Lets time pass; the timer fires on the way, with so many runnable tasks.
+    /// Advances the time by `span`. The timer fires when it is due, with `runnable` as the number of runnable tasks.
     pub fn advance(&mut self, span: Duration, runnable: f64) {
         let end = self.now() + span;
         while self.now() < end {
@@ -383,12 +388,12 @@
             self.unread_time.min(entry.map_or(self.unread_time, |entry| now.saturating_sub(entry.since)));
         let arrived_at = now.saturating_sub(unread_time);
         let repeats = entry.filter(|entry| arrived_at <= entry.until).map(|entry| entry.holder);
-        let is_open = |id: &RequestId| {
+        let can_be_repeated = |id: &RequestId| {
             let model = self.model.0.borrow();
             model.requests.get(id).is_some_and(|request| request.ran || request.stage == Stage::Queued)
         };
-        let repeats = repeats.filter(is_open);
-        // Some come without a deadline; then that of the class holds, from the arrival on.
+        let repeats = repeats.filter(can_be_repeated);
+        // Some requests carry no deadline. The deadline of their class then applies, counted from the arrival.
         let states_deadline = memory_kb as u64 % 10 != 3;
         let deadline = if states_deadline { now + time_left } else { arrived_at + MS * 3000 };
         let request = ModelRequest {
@@ -418,7 +423,7 @@
         id
     }
 
-    /// Ends a run that has not ended, and with it the requests that have joined it.
+    /// Ends a run, unless it has already ended, and the requests that have joined it.
     pub fn end_run(&mut self, id: RequestId, outcome: Outcome) {
         let now = self.now();
         let read_at = {
--- a/tests/suite/running_sums.rs
+++ b/tests/suite/running_sums.rs
@@ -1,4 +1,4 @@
-//! The queue and the outstanding calls beside plain models that pass over all entries, on generated steps.
+//! Compares the queue and the outstanding calls with simple models that scan all entries, on generated operations.
 
 use aldercrank::outstanding_calls::OutstandingCalls;
 use aldercrank::queue::{Queue, QueuePosition};
@@ -7,7 +7,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A queued request of the plain model.
+/// A queued request in the simple model.
 #[derive(Clone, Copy)]
 struct Queued {
     position: QueuePosition,
@@ -15,14 +15,10 @@
     priority: f64,
 }
 
-/// Rejects by a pass over all requests: one without slack itself; where one is late because of those ahead, the one of
-/// the lowest priority up to it.
-fn reject_late_by_passes(
-    all: &[Queued],
-    run_seconds: &[f64],
-    run_times: f64,
-    now: Duration,
-) -> Vec<RequestId> {
+/// The reference for [`reject_late_by_search`], by a scan of all requests. A request with negative slack is rejected.
+/// If a request is late because of those ahead of it, the one with the lowest priority up to and including it is
+/// rejected.
+fn reject_late_by_scan(all: &[Queued], run_seconds: &[f64], run_times: f64, now: Duration) -> Vec<RequestId> {
     let (mut ahead, mut wait, mut rejected): (Vec<Queued>, f64, Vec<RequestId>) =
         (Vec::new(), 0.0, Vec::new());
     for queued in all {
@@ -46,7 +42,7 @@
     rejected
 }
 
-/// The same by the queue's own search.
+/// Rejects the same requests with the search of the queue.
 fn reject_late_by_search(
     queue: &mut Queue,
     all: &[Queued],
@@ -75,7 +71,7 @@
 }
 
 #[test]
-fn the_queue_rejects_late_requests_as_a_pass_over_all_would() {
+fn queue_search_rejects_the_same_requests_as_a_full_scan() {
     for seed in 0..60 {
         let mut random = random_numbers(seed);
         let (mut queue, mut all): (Queue, Vec<Queued>) = (Queue::default(), Vec::new());
@@ -92,14 +88,14 @@
                 queue.remove(removed.position);
             }
             all.sort_by_key(|queued| queued.position);
-            // Odd figures, so that sums taken in another order make no tie fall otherwise.
+            // Values that make ties unlikely, since sums taken in a different order could break a tie differently.
             let run_seconds: Vec<f64> =
                 (0..3).map(|i| 0.000_123_457 * (1 + i) as f64 * (1 + random(60)) as f64).collect();
             let plain: f64 = all.iter().map(|queued| run_seconds[queued.class]).sum();
             assert!((queue.total_run_seconds(|class| run_seconds[class]) - plain).abs() < 1e-9);
             assert_eq!(queue.first(), all.first().map(|queued| queued.position));
             if random(3) == 0 {
-                let expected = reject_late_by_passes(&all, &run_seconds, 1.7, now);
+                let expected = reject_late_by_scan(&all, &run_seconds, 1.7, now);
                 let rejected = reject_late_by_search(&mut queue, &all, &run_seconds, 1.7, now);
                 assert_eq!(rejected, expected, "seed {seed}, step {step}");
                 all.retain(|queued| !expected.contains(&queued.position.request_id));
@@ -109,7 +105,7 @@
     }
 }
 
-/// An upstream call of the plain model.
+/// An upstream call in the simple model.
 struct Call {
     request_id: RequestId,
     started_at: Duration,
@@ -117,7 +113,7 @@
 }
 
 #[test]
-fn outstanding_calls_sum_up_as_a_pass_over_all_would() {
+fn outstanding_calls_have_the_same_totals_as_a_full_scan() {
     for seed in 0..60 {
         let mut random = random_numbers(seed);
         let (mut calls, mut all): (OutstandingCalls, Vec<Call>) = (OutstandingCalls::default(), Vec::new());
@@ -126,7 +122,7 @@
             now += MS * random(9) as u32;
             match random(3) {
                 0 => {
-                    // A request has one call at a time.
+                    // A new request for each call, since a request has only one call at a time.
                     let (request_id, ends_at) = (RequestId(step), now + MS * (1 + random(90) as u32));
                     calls.start(request_id, now, ends_at);
                     all.push(Call { request_id, started_at: now, ends_at });
@@ -151,7 +147,7 @@
     }
 }
 
-/// Numbers below the one given, the same for the same seed.
+/// Returns a generator of pseudo-random numbers below its argument, reproducible by the seed.
 fn random_numbers(seed: u64) -> impl FnMut(u64) -> u64 {
     let mut state = seed | 1;
     move |below| {
--- a/tests/suite/upstream_calls.rs
+++ b/tests/suite/upstream_calls.rs
@@ -1,11 +1,11 @@
-//! Upstream calls: their window and quota, their order, timeouts, retries, and when one is skipped.
+//! Upstream calls: the call window and quota, and the order, timeouts, retries and skipping of calls.
 
 use crate::model::{offer, settings, settings_with, Scenario, Stage, LONG_WAIT_MS, MS};
 use aldercrank::{Outcome, RequestId, Value};
 use std::time::Duration;
 
 #[test]
-fn a_request_at_its_call_leaves_the_window() {
+fn a_request_that_waits_for_its_call_frees_room_in_the_window() {
     let mut scenario = Scenario::new(settings(&["retryable"]));
     let ids = offer(&mut scenario, 5);
     assert_eq!(
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn calls_keep_to_the_call_window_and_wait_their_turn() {
+fn calls_beyond_the_call_window_wait_until_another_call_ends() {
     let mut scenario = Scenario::new(settings_with("family_info.calls_out", 3.0));
     let ids = offer(&mut scenario, 4);
     for id in &ids {
@@ -47,9 +47,9 @@
     }
 }
 
-/// It has only the weight of a late answer to lose.
+/// A request that is late anyway has only the weight of a late answer to lose.
 #[test]
-fn a_late_call_is_made_after_one_in_time() {
+fn the_call_of_a_late_request_is_made_after_that_of_one_in_time() {
     let mut scenario = Scenario::new(settings_with("family_info.calls_out", 3.0));
     let old = scenario.receive(0, MS * 20_000, None, 0.99);
     scenario.advance(MS * 900, 9.0);
@@ -63,9 +63,10 @@
     assert_eq!((scenario.stage(old), scenario.stage(ids[1])), (Stage::AwaitingCall, Stage::Calling));
 }
 
-/// The dependency hangs and each server has a small quota: the timeouts alone keep to the quota of `calls_over`.
+/// The dependency doesn't answer and the quota is small. Counting each call up to its timeout keeps the calls within
+/// the quota over the period `calls_over`.
 #[test]
-fn hanging_calls_keep_to_the_quota() {
+fn calls_to_a_hanging_dependency_stay_within_the_quota() {
     let mut scenario = Scenario::new(settings_with("family_info.calls_out", 0.5));
     for _ in 0..40 {
         let id = scenario.receive(0, MS * 9000, None, 0.99);
@@ -81,9 +82,9 @@
     assert!(spent > MS * 500 && spent < MS * 2900, "{spent:?}");
 }
 
-/// The calls take too long and are required: the request would only wait for one.
+/// If a required call takes too long, another request would only wait for its call and then be late.
 #[test]
-fn a_request_starved_of_calls_is_rejected_before_it_runs() {
+fn a_request_is_rejected_before_it_runs_if_its_required_call_would_come_too_late() {
     for (took, stage) in [(30, Stage::Running), (300, Stage::Ended)] {
         let mut scenario = Scenario::new(settings_with("family_info.calls_out", 0.5));
         let id = scenario.receive(0, MS * 9000, None, 0.99);
@@ -95,9 +96,9 @@
     }
 }
 
-/// Counted with their whole wait, a few such calls would make all others be skipped.
+/// If unanswered calls counted with their full waiting time, a few of them would cause all other calls to be skipped.
 #[test]
-fn a_call_without_an_answer_times_out_is_retried_and_does_not_make_calls_look_slow() {
+fn an_unanswered_call_is_retried_and_does_not_make_other_calls_look_slow() {
     let mut settings = settings_with("family_info.worth_without.0", 0.6);
     settings.set("family_info.calls_out", Value::Number(9.0));
     let mut scenario = Scenario::new(settings);
@@ -133,7 +134,7 @@
     assert_eq!(scenario.stage(next), Stage::Calling);
 }
 
-/// A server of a large fleet, with a quota below one call, and latency targets that are long beside a call.
+/// A server of a large fleet: its quota is below one call, and its latency targets are long compared with a call.
 fn with_small_quota(quota: f64) -> Scenario {
     let mut settings = settings_with("family_info.calls_out", quota);
     settings.set("profiles.0.goal_time", Value::Number(4e6));
@@ -141,7 +142,7 @@
     Scenario::new(settings)
 }
 
-/// A request that asks for its upstream call.
+/// Receives a request and requests its upstream call.
 fn request_call(scenario: &mut Scenario) -> RequestId {
     let id = scenario.receive(0, MS * 9000, None, 0.99);
     scenario.set_stage(id, Stage::AwaitingCall);
@@ -150,7 +151,7 @@
     id
 }
 
-/// The call ends after so long, and the run with it.
+/// Completes the call after `millis`, and then the run.
 fn complete_call(scenario: &mut Scenario, id: RequestId, millis: u32) {
     scenario.advance(MS * millis, 4.0);
     scenario.set_stage(id, Stage::Running);
@@ -159,7 +160,7 @@
     scenario.end_run(id, Outcome::Completed);
 }
 
-/// Reserving a whole timeout for each call would leave most of the dependency idle until call times are known.
+/// Reserving a full timeout for each call would leave most of the quota unused until call times are known.
 #[test]
 fn a_quota_below_one_call_is_used_from_the_first_answer_on() {
     let mut scenario = with_small_quota(0.41);
@@ -172,10 +173,10 @@
     }
 }
 
-/// The smoothed call time lags behind a dependency that is suddenly overloaded, and would let each server exceed its
-/// share of the time.
+/// The smoothed call time lags behind a dependency that is suddenly overloaded. If only it counted, each server would
+/// exceed its share of the time.
 #[test]
-fn a_long_call_delays_the_next_by_its_own_time() {
+fn a_long_call_delays_the_next_according_to_its_own_time() {
     let mut scenario = with_small_quota(0.41);
     for _ in 0..30 {
         let id = request_call(&mut scenario);
@@ -190,15 +191,15 @@
     assert_eq!(
         scenario.stage(next),
         Stage::AwaitingCall,
-        "0.2 s of calls use up its quota of 0.6 s at least"
+        "after a call of 0.2 s the quota allows no call for at least 0.6 s"
     );
     scenario.advance(MS * 1300, 4.0);
     assert_eq!(scenario.stage(next), Stage::Calling);
 }
 
-/// Calls at four times their best are the sign that the calls of all servers overload the dependency.
+/// Calls that take four times their best time indicate that the calls of all servers overload the dependency.
 #[test]
-fn calls_much_slower_than_at_best_cut_the_call_window_though_no_target_is_missed() {
+fn slow_calls_cut_the_call_window_even_if_no_latency_target_is_missed() {
     let mut settings = settings_with("family_info.calls_out", 10.0);
     settings.set("profiles.0.goal_time", Value::Number(4e6));
     settings.set("family_info.cores", Value::Number(20.0));
@@ -217,7 +218,7 @@
         at_once
     };
     let usual = (0..12).map(|_| calls_at_once(10)).last();
-    assert_eq!(usual, Some(8), "four fifths of the quota");
+    assert_eq!(usual, Some(8), "the call window is four fifths of the quota");
     let overloaded = (0..8).map(|_| calls_at_once(40)).last();
-    assert_eq!(overloaded, Some(3), "a third of the quota");
+    assert_eq!(overloaded, Some(3), "the call window is about a third of the quota");
 }
--- a/tests/suite/window_and_queue.rs
+++ b/tests/suite/window_and_queue.rs
@@ -1,4 +1,4 @@
-//! The concurrency window, the queue, rejections, the load hint and idle connections.
+//! The concurrency window, the queue, rejections, the load hint and the idle timeout.
 
 use crate::model::{offer, settings, settings_with, Rejection, Scenario, Stage, LONG_WAIT_MS, MS};
 use aldercrank::{Outcome, RequestId, Value};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn idle_cores_beside_a_queue_grow_the_window_at_each_tick_and_a_cold_start_keeps_it_low() {
+fn idle_cores_grow_the_window_at_each_tick_while_requests_are_queued_except_after_a_cold_start() {
     for (cold, most) in [(false, 8), (true, 4)] {
         let mut settings = settings_with("window.per_core", 2.0);
         settings.set("family_info.cold", Value::Flag(cold));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_p99_over_the_target_and_the_breaker_cut_the_window_never_below_the_cores() {
+fn a_p99_over_the_target_or_a_very_slow_run_cuts_the_window() {
     for (millis, left) in [(1200, 5), (3300, 5), (900, 8)] {
         let mut scenario = Scenario::new(settings_with("window.per_core", 2.0));
         offer(&mut scenario, 9);
@@ -85,9 +85,9 @@
     assert!(model.count(Stage::Queued) > 0);
 }
 
-/// Otherwise all requests would be rejected for good after one stall.
+/// Otherwise a single stall would cause all requests to be rejected permanently.
 #[test]
-fn run_times_learnt_in_a_stall_are_forgotten() {
+fn run_times_measured_in_a_stall_decay() {
     let mut scenario = Scenario::new(settings(&["retryable"]));
     for _ in 0..60 {
         run_once(&mut scenario, 1500);
@@ -97,7 +97,7 @@
     assert_eq!(scenario.stage(id), Stage::Running);
 }
 
-/// A cold server never does: the others may be warm.
+/// A cold server never asks for that, since other servers may be warm.
 #[test]
 fn a_warm_server_that_rejects_most_requests_asks_for_no_further_attempts() {
     for cold in [false, true] {
@@ -114,9 +114,10 @@
     }
 }
 
-/// One caller that sends nearly all must not be limited to an even share, and a server that reads slowly is sent less.
+/// A single caller that sends nearly all requests must not be limited to an even share. A server that reads slowly must
+/// be sent fewer requests.
 #[test]
-fn the_load_hint_follows_the_senders_and_falls_with_unread_time() {
+fn the_load_hint_depends_on_how_many_callers_send_and_falls_with_unread_time() {
     let load_hint = |senders: u64, unread_time: u32| {
         let mut settings = settings_with("family_info.upstreams", 6.0);
         settings.set("family_info.advert", Value::Text("window".into()));
@@ -131,7 +132,8 @@
     assert!(load_hint(1, 0) > 4.0 * load_hint(6, 0) && load_hint(1, 900) < load_hint(1, 0) / 2.0);
 }
 
-/// Connections of callers that seldom return are closed soon, unless a storm of attempts fills the cores.
+/// With many callers, each of which seldom returns, idle connections are closed soon, unless a reconnect storm occupies
+/// the cores.
 #[test]
 fn idle_connections_close_soon_but_not_in_a_reconnect_storm() {
     let idle_timeout = |callers: f64, runnable: f64| {
@@ -147,9 +149,10 @@
     assert!(idle_timeout(5000.0, 3.0) < MS * 2000);
 }
 
-/// A later attempt shows its age by its remaining wait; it can be in time on no server.
+/// The remaining wait of a later attempt reveals its age. Past its latency target it can't be answered in time by any
+/// server.
 #[test]
-fn an_attempt_past_its_latency_target_is_rejected_as_the_last() {
+fn an_attempt_past_its_latency_target_is_rejected_as_the_last_one() {
     let mut scenario = Scenario::new(settings(&["retryable"]));
     for n in 0..30 {
         scenario.caller = n;
