--- a/crates/aldercrank-server/src/core/configuration.rs
+++ b/crates/aldercrank-server/src/core/configuration.rs
@@ -6,15 +6,21 @@
 use std::time::Duration;
 
 impl<P: Ports> Core<P> {
-    /// Puts a configuration version in force. Its settings apply to requests received from now on; `share` is this
-    /// server's quota of upstream calls, where the version gives one.
-    pub fn apply_version(&mut self, now: Duration, settings: &Settings, version: u64, share: Option<f64>) {
+    /// Puts a configuration version in force. Its settings apply to requests received from now on; `upstream_quota` is
+    /// this server's quota of upstream calls, if the version gives one.
+    pub fn apply_version(
+        &mut self,
+        now: Duration,
+        settings: &Settings,
+        version: u64,
+        upstream_quota: Option<f64>,
+    ) {
         let state = self.advance_to(now);
-        (state.version, state.upstream_quota) = (Some(version), share);
+        (state.version, state.upstream_quota) = (Some(version), upstream_quota);
         self.apply_settings(now, settings);
     }
 
-    /// Applies other settings to requests received from now on. Those in flight keep their effect and deadline.
+    /// Applies new settings to requests received from now on. Requests in flight keep their effect and deadline.
     pub fn apply_settings(&mut self, now: Duration, settings: &Settings) {
         self.advance_to(now).load_settings(settings);
         if let Some(tracker) = &mut self.slow_start {
@@ -31,7 +37,7 @@
         self.notify_ended();
     }
 
-    /// Notifies the module of calls that were suppressed: as unreachable, since they never ran.
+    /// Reports suppressed calls to the admission module as unreachable, since they never ran.
     pub(super) fn notify_suppressed_calls(&mut self) {
         while let Some(id) = self.admission.host.suppressed_calls.pop_front() {
             let now = self.admission.host.now;
@@ -43,7 +49,7 @@
         }
     }
 
-    /// Gives the module the permission that holds at this time, if it has changed.
+    /// Passes the permission that holds at this time to the admission module, if it has changed.
     pub(super) fn apply_lease(&mut self, now: Duration) {
         if let Some(permission) = self.admission.host.lease.take_change(now) {
             self.admission.set_permission(now, permission);
--- a/crates/aldercrank-server/src/core/host.rs
+++ b/crates/aldercrank-server/src/core/host.rs
@@ -7,7 +7,7 @@
 use aldercrank::{Host, Outcome, RequestId};
 use std::time::Duration;
 
-/// Load metrics are requested this share of a tick before the tick.
+/// How long before a tick load metrics are requested, as a share of the tick interval.
 const LOAD_METRICS_LEAD_SHARE: f64 = 0.15;
 
 impl<P: Ports> Host for CoreState<P> {
@@ -25,7 +25,7 @@
     fn stop_run(&mut self, id: RequestId) {
         let link = self.link;
         let Some(request) = self.running_request(id) else { return };
-        log_request!(request.attempt, "run is being stopped");
+        log_request!(request.attempt, "stopping the run");
         if request.delivery != Delivery::Unsent && link == LinkState::Up {
             let attempt = request.attempt;
             self.ports.stop_run(attempt);
@@ -54,12 +54,12 @@
         self.abandon(id);
     }
 
-    fn remember(&mut self, id: RequestId, span: Duration) {
-        let (expires_at, longest_window) = (self.now + span, self.longest_window);
+    fn remember(&mut self, id: RequestId, retention: Duration) {
+        let (expires_at, longest_window) = (self.now + retention, self.longest_window);
         let Some(dedup_key) = self.request(id).and_then(|request| request.dedup_key) else { return };
         if let Some(stored) = self.dedup.store(&dedup_key, id, expires_at) {
-            let end = self.dedup.expires_at(stored.entry, longest_window);
-            let after = end.map_or(span, |end| end.saturating_sub(self.now));
+            let removable_at = self.dedup.removable_at(stored.entry, longest_window);
+            let after = removable_at.map_or(retention, |at| at.saturating_sub(self.now));
             self.ports.set_timer(TimerId::DedupExpiry(stored.entry), after);
             stored.replaced.into_iter().for_each(|replaced| self.release_slot(replaced));
         }
@@ -86,7 +86,7 @@
         let unfinished = original.and_then(|id| self.request(id)).filter(|r| r.stage != Stage::Finished);
         match unfinished {
             Some(original) => original.waiters.push(id),
-            // Answered from the deduplication entry once the module has returned.
+            // Answered from the deduplication entry once the admission module has returned.
             None => self.ended.push_back(EndedRequest { id, outcome: Outcome::Completed }),
         }
     }
@@ -109,12 +109,12 @@
         self.send_call_result(id, CallResult::Skipped);
     }
 
-    fn set_health(&mut self, good: bool, _stored: bool) {
-        self.ports.set_health(good);
+    fn set_health(&mut self, healthy: bool, _stored: bool) {
+        self.ports.set_health(healthy);
     }
 
-    fn close_idle(&mut self, span: Duration) {
-        self.ports.close_idle(span);
+    fn close_idle(&mut self, timeout: Duration) {
+        self.ports.close_idle(timeout);
     }
 
     fn set_load_hint(&mut self, value: f64) {
@@ -128,6 +128,6 @@
     }
 
     fn log(&mut self, line: &str) {
-        tracing::info!("module: {line}");
+        tracing::info!("admission module: {line}");
     }
 }
--- a/crates/aldercrank-server/src/core/lease.rs
+++ b/crates/aldercrank-server/src/core/lease.rs
@@ -1,9 +1,9 @@
-//! The leases under which a server may admit requests.
+//! The lease under which a server may admit requests.
 
 use aldercrank::{Effect, Permission};
 use std::time::Duration;
 
-/// Until when requests may be admitted. Without a versioned configuration there is no limit.
+/// Until when requests may be admitted. Without a versioned configuration, the lease never expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Lease {
     /// Everything is permitted before this time.
@@ -21,7 +21,7 @@
 }
 
 impl Lease {
-    /// Replaces both ends. The lease on idempotent requests ends no sooner than the full one.
+    /// Replaces both end times. The lease on idempotent requests ends no earlier than the full one.
     pub(super) fn renew(&mut self, full_until: Duration, idempotent_until: Duration) {
         (self.full_until, self.idempotent_until) = (full_until, idempotent_until.max(full_until));
     }
@@ -36,7 +36,7 @@
         }
     }
 
-    /// When the applied permission ends.
+    /// Returns when the applied permission ends.
     pub(super) fn next_change(&self) -> Duration {
         match self.applied {
             Permission::Everything => self.full_until,
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Gives the permission at this time, if it differs from the applied one, and records it as applied.
+    /// Returns the permission at this time if it differs from the applied one, and records it as applied.
     pub(super) fn take_change(&mut self, now: Duration) -> Option<Permission> {
         let permission = self.permission_at(now);
         (std::mem::replace(&mut self.applied, permission) != permission).then_some(permission)
     }
 
-    pub(super) fn covers(&self, effect: Effect) -> bool {
+    pub(super) fn permits(&self, effect: Effect) -> bool {
         self.applied.permits(effect)
     }
 
--- a/crates/aldercrank-server/src/core/mod.rs
+++ b/crates/aldercrank-server/src/core/mod.rs
@@ -1,7 +1,7 @@
-//! The core of a server: owns the admission module and the requests in flight, with their stages and deadlines.
+//! The core of a server: owns the admission module and the requests in flight, with their stages and timers.
 //!
-//! It does no I/O and has no clock. Each event is a method that takes the time of the event; actions go out through
-//! the trait `Ports`. Admission is decided by the module alone.
+//! It does no I/O and has no clock. Each event is a method that takes the time of the event; actions are taken through
+//! the trait [`Ports`]. Only the admission module decides on admission.
 
 mod configuration;
 mod host;
@@ -29,10 +29,10 @@
 use state::{CoreState, EndedRequest};
 use std::time::Duration;
 
-/// The share of the server's memory that cached results may take.
+/// The share of the server's memory that cached results may use.
 pub const CACHED_RESULTS_MEMORY_SHARE: f64 = 0.1;
 
-/// How many entries the core's tables have, expired ones included.
+/// The number of entries in the core's tables, expired ones included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
     /// Requests with a slot.
@@ -44,47 +44,48 @@
 /// A server's core: the admission module with its host.
 pub struct Core<P: Ports> {
     admission: Admission<CoreState<P>>,
-    /// Present where the service file asks for it.
+    /// Present if the service file asks for it.
     slow_start: Option<SlowStartTracker>,
 }
 
 impl<P: Ports> Core<P> {
-    /// Creates a core. `now` is how long ago the worker pool came up; `room` is how many bytes cached results may take.
-    pub fn new(settings: &Settings, now: Duration, room: usize, ports: P) -> Core<P> {
-        let mut state = CoreState::new(now, room, ports);
+    /// Creates a core. `now` is the time since the worker pool came up; `result_capacity` is the number of bytes that
+    /// cached results may use.
+    pub fn new(settings: &Settings, now: Duration, result_capacity: usize, ports: P) -> Core<P> {
+        let mut state = CoreState::new(now, result_capacity, ports);
         state.load_settings(settings);
         Core { admission: Admission::new(settings, now, state), slow_start: None }
     }
 
-    /// Starts to follow the slow start. `cold`: whether the worker pool has just started.
+    /// Starts to track the slow start. `cold`: whether the worker pool has just started.
     pub fn follow_slow_start(&mut self, now: Duration, settings: &Settings, cold: bool) {
         let mut tracker = SlowStartTracker::new(settings);
         tracker.pool_up(now, cold);
         self.slow_start = Some(tracker);
     }
 
-    /// How far the slow start has come; none where it is not followed.
+    /// Returns the progress of the slow start, or none if it is not tracked.
     pub fn slow_start_status(&self) -> Option<SlowStartStatus> {
         self.slow_start.as_ref().map(SlowStartTracker::status)
     }
 
-    /// How many requests are queued, joined to another or running.
+    /// Returns the number of requests that are queued, joined to another or running.
     pub fn requests_in_flight(&self) -> usize {
         self.admission.host.in_flight.len()
     }
 
-    /// How many requests a response is owed to.
+    /// Returns the number of requests that have not been answered and whose callers have not gone.
     pub fn responses_owed(&self) -> usize {
         self.admission.host.replies_owed.len()
     }
 
-    /// How many entries the tables have.
+    /// Returns the number of entries in the tables.
     pub fn table_sizes(&self) -> TableSizes {
         let state = &self.admission.host;
         TableSizes { requests: state.requests.len(), dedup_entries: state.dedup.len() }
     }
 
-    /// Begins an event: sets the time, and first applies what the time alone has changed.
+    /// Begins an event: advances the time, and applies an expiry of the lease first.
     fn advance_to(&mut self, now: Duration) -> &mut CoreState<P> {
         self.admission.host.now = self.admission.host.now.max(now);
         if now >= self.admission.host.lease.next_change() {
@@ -93,7 +94,8 @@
         &mut self.admission.host
     }
 
-    /// Ends an event: notifies the module of the ends that it brought about itself.
+    /// Completes an event: notifies the admission module of the calls that were suppressed and the requests that ended
+    /// while it was at work.
     fn notify_ended(&mut self) {
         self.notify_suppressed_calls();
         while let Some(EndedRequest { id, outcome }) = self.admission.host.ended.pop_front() {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Answers a repeat with the result of the request that it repeats.
+    /// Answers a repeat with the result of the request that it repeats, or fails it if there is none.
     fn end_join(&mut self, id: RequestId, result: Option<Payload>) {
         let state = &mut self.admission.host;
         let now = state.now;
@@ -130,7 +132,7 @@
         log_request!(
             request.attempt,
             completed = result.is_some(),
-            "repeat answered with the original request's result"
+            "repeat answered with the original request's outcome"
         );
         if let Some(reply_to) = state.take_reply_to(id) {
             match result {
--- a/crates/aldercrank-server/src/core/ports.rs
+++ b/crates/aldercrank-server/src/core/ports.rs
@@ -1,4 +1,4 @@
-//! What the core needs from its surroundings: the trait `Ports`, and the types that cross it.
+//! The core's interface to its environment: the trait [`Ports`], and the types that it uses.
 
 use crate::dedup::{DedupKey, EntryId};
 use crate::payload::Payload;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u32);
 
-/// Where a response is owed: a message on a connection.
+/// Where a response must be sent: a message on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplyTo {
     /// The connection that the request was read from.
@@ -21,12 +21,12 @@
     pub call: MessageId,
 }
 
-/// A timer of the core. Each has one deadline at most; setting it again replaces the deadline.
+/// A timer of the core. Each has at most one deadline; setting it again replaces the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TimerId {
     /// The admission module's periodic timer.
     Tick,
-    /// Requests the pool's load metrics shortly before the tick.
+    /// Requests the worker pool's load metrics shortly before the tick.
     LoadMetrics,
     /// A deduplication entry may have expired.
     DedupExpiry(EntryId),
@@ -34,9 +34,9 @@
     ResendStart(RequestId),
 }
 
-/// The actions that the core takes. The sockets implement it; tests use fakes.
+/// The actions that the core takes. The server implements them on its sockets; tests use fakes.
 ///
-/// Durations are spans from the moment of the call.
+/// Durations count from the moment of the call.
 pub trait Ports {
     /// Sends the final response of a request that completed.
     fn complete(&mut self, reply_to: ReplyTo, result: Payload);
@@ -45,14 +45,14 @@
     fn reject(&mut self, reply_to: ReplyTo, retry_after: Option<Duration>, last: bool);
     /// Sends the final response of a request that failed; it may have run.
     fn fail(&mut self, reply_to: ReplyTo);
-    /// Adds to the response the configuration version that the request is decided by. Called at most once for a
-    /// request and before its response.
+    /// Adds the configuration version that the request is decided by to its response. Called at most once per request,
+    /// before the response is sent.
     fn decided_by_version(&mut self, _reply_to: ReplyTo, _version: u64) {}
     /// Tells the worker pool to start a run.
     fn start_run(&mut self, attempt: AttemptId, class: &str, body: &Rc<[u8]>);
     /// Tells the worker pool to stop a run.
     fn stop_run(&mut self, attempt: AttemptId);
-    /// Hands the reply of an upstream call to the run that waits for it.
+    /// Delivers the reply of an upstream call to the run that waits for it.
     fn deliver_call_result(&mut self, attempt: AttemptId, reply: &[u8]);
     /// Tells a waiting run to continue without the upstream call that this notice announced.
     fn skip_call(&mut self, attempt: AttemptId, notice: NoticeNumber);
@@ -63,13 +63,13 @@
     /// Abandons an upstream call.
     fn cancel_call(&mut self, request: RequestId);
     /// Sets what health checks report from now on.
-    fn set_health(&mut self, good: bool);
-    /// Closes connections that have been idle for this long.
-    fn close_idle(&mut self, span: Duration);
-    /// Sets the load hint that goes with each response.
+    fn set_health(&mut self, healthy: bool);
+    /// Closes connections that have been idle for `timeout`.
+    fn close_idle(&mut self, timeout: Duration);
+    /// Sets the load hint that is sent with each response.
     fn set_load_hint(&mut self, value: f64);
     /// Sets a timer; `Core::timer_fired` is called once it is due.
-    fn set_timer(&mut self, what: TimerId, after: Duration);
+    fn set_timer(&mut self, timer: TimerId, after: Duration);
 }
 
 /// A complete request as it was read from an edge node.
@@ -79,9 +79,9 @@
     pub attempt: AttemptId,
     /// Links the request with its repeats, where it has an idempotency key or a subject.
     pub dedup_key: Option<DedupKey>,
-    /// What the admission module decides by.
+    /// The properties that the admission module decides by.
     pub arrival: IncomingRequest<'a>,
-    /// The longest that the request can have waited unread, by this server's own clock.
+    /// The longest time that the request can have waited unread, by this server's own clock.
     pub unread: Duration,
     /// The request's body, passed to the worker pool unchanged.
     pub body: &'a [u8],
--- a/crates/aldercrank-server/src/core/receive.rs
+++ b/crates/aldercrank-server/src/core/receive.rs
@@ -1,4 +1,4 @@
-//! Events from edge nodes: a request is received, its caller goes, its connection is lost.
+//! Events from edge nodes: a request is received, its caller has gone, its connection is lost.
 
 use super::log::log_request;
 use super::ports::{ConnId, Ports, ReceivedRequest, ReplyTo};
@@ -11,18 +11,18 @@
 use std::time::Duration;
 
 impl<P: Ports> CoreState<P> {
-    /// The index of the request's class; none, with a line in the log, for a request that can't be run.
+    /// Returns the index of the request's class. Logs the reason and returns none if the request can't be run.
     fn class_of(&self, received: &ReceivedRequest) -> Option<usize> {
         let class = self.classes.iter().position(|class| *class.name == *received.arrival.class);
         let Some(class) = class.filter(|_| !self.in_flight.contains_key(&received.attempt)) else {
             tracing::warn!(
                 attempt = %received.attempt,
                 class = received.arrival.class,
-                "request failed: its id is in flight already, or its class is unknown"
+                "request failed: its attempt id is already in flight, or its class is unknown"
             );
             return None;
         };
-        // A request that runs at most once must be recognised when it is repeated.
+        // A request that must run at most once can be recognised as a repeat only by its idempotency key.
         if self.classes[class].effect == Effect::Keyed && received.dedup_key.is_none() {
             tracing::warn!(
                 attempt = %received.attempt,
@@ -36,13 +36,14 @@
 }
 
 impl<P: Ports> Core<P> {
-    /// Takes a complete request. One that can't be run fails at once.
+    /// A complete request was received. It fails at once if it can't be run.
     pub fn request_received(&mut self, now: Duration, reply_to: ReplyTo, received: ReceivedRequest) {
         let state = self.advance_to(now);
         let Some(class) = state.class_of(&received) else { return state.ports.fail(reply_to) };
         let effect = state.classes[class].effect;
-        // The caller's word is limited to the longest deadline: a request older than that is gone, or its clock is
-        // wrong. Deduplication windows go by the caller's word; slow reading is judged by this server's own clock.
+        // The age that the caller reports is limited to the longest deadline: the caller of an older request has given
+        // up, or its clock is wrong. Deduplication windows use the reported age. The time unread, by which slow reading
+        // is detected, is also limited by this server's own clock.
         let reported_age = received.arrival.unread_time.min(state.longest_deadline);
         let arrived_at = now.saturating_sub(reported_age);
         let unread_time = reported_age.min(received.unread);
@@ -80,7 +81,7 @@
             "request received"
         );
         state.in_flight.insert(received.attempt, id);
-        if let Some(version) = state.version.filter(|_| state.lease.covers(effect)) {
+        if let Some(version) = state.version.filter(|_| state.lease.permits(effect)) {
             state.ports.decided_by_version(reply_to, version);
         }
         state.replies_owed.insert(reply_to, id);
@@ -89,7 +90,7 @@
         self.notify_ended();
     }
 
-    /// A caller cancelled its request; no response is owed any more.
+    /// A caller has gone; its request needs no response any more.
     pub fn caller_gone(&mut self, now: Duration, reply_to: ReplyTo) {
         let state = self.advance_to(now);
         let Some(id) = state.replies_owed.remove(&reply_to) else { return };
@@ -101,7 +102,7 @@
         self.notify_ended();
     }
 
-    /// A connection is lost, and with it all callers on it.
+    /// A connection was lost, and with it all callers on it.
     pub fn connection_lost(&mut self, now: Duration, conn: ConnId) {
         let first = ReplyTo { conn, call: MessageId(0) };
         while let Some((reply_to, _)) = self.admission.host.replies_owed.next(Bound::Included(&first)) {
--- a/crates/aldercrank-server/src/core/request.rs
+++ b/crates/aldercrank-server/src/core/request.rs
@@ -10,10 +10,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     Queued,
-    /// Waits for the outcome of the request that it repeats.
+    /// Waiting for the outcome of the request that it repeats.
     Joined,
     Running,
-    /// Nothing runs for it, nor will. Its slot stays while a deduplication entry refers to it.
+    /// It does not run and will not run again. Its slot is kept while a deduplication entry refers to it.
     Finished,
 }
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
     Confirmed,
-    /// Sent on the present link; the response to a poll with this tag or a later one proves that it was received.
+    /// Sent on the current link; the response to a poll with this tag or a later one proves that it was received.
     ConfirmedBy(u64),
     /// Sent on a link that was lost.
     Unknown,
@@ -36,11 +36,11 @@
     pub(super) body: Rc<[u8]>,
 }
 
-/// How a waiting run goes on.
+/// What a run that waits for an upstream call is sent.
 #[derive(Clone)]
 pub(super) enum CallResult {
     Reply(Rc<[u8]>),
-    /// The run continues without its call.
+    /// The command to continue without the call.
     Skipped,
 }
 
@@ -49,21 +49,21 @@
     /// None once the response is sent or the caller has gone.
     pub(super) reply_to: Option<ReplyTo>,
     pub(super) dedup_key: Option<DedupKey>,
-    /// Index of its class in the settings.
+    /// The index of its class in the settings.
     pub(super) class: usize,
-    /// The effect of its class at the time that it was read.
+    /// The effect of its class when the request was received.
     pub(super) effect: Effect,
-    /// None once it is finished.
+    /// None once the request is finished.
     pub(super) body: Option<Rc<[u8]>>,
     pub(super) repeats: Option<RequestId>,
     pub(super) stage: Stage,
     pub(super) delivery: Delivery,
     pub(super) blocked_call: Option<BlockedCall>,
-    /// When its outstanding call was started.
+    /// When its outstanding call was started; none if there is no such call.
     pub(super) call_started_at: Option<Duration>,
-    /// What a waiting run is sent once the pool's link is back.
+    /// What the waiting run is sent once the link to the worker pool is back.
     pub(super) undelivered_result: Option<CallResult>,
-    /// The last command to its run was to skip the call. It names the call, so it may be sent twice.
+    /// Whether the last command to its run was to skip the call. That command names the call, so it may be sent twice.
     pub(super) skip_sent_last: bool,
     pub(super) joined_at: Duration,
     /// Requests that repeat this one and wait for its outcome.
--- a/crates/aldercrank-server/src/core/runs.rs
+++ b/crates/aldercrank-server/src/core/runs.rs
@@ -11,24 +11,24 @@
 use std::time::Duration;
 
 impl<P: Ports> Core<P> {
-    /// A run ended. `took` is the time it spent in the pool; `result` counts only if it completed.
+    /// A run ended. `run_time` is the time it spent in the worker pool; `result` is used only if it completed.
     pub fn run_ended(
         &mut self,
         now: Duration,
         attempt: AttemptId,
-        how: Outcome,
-        took: Duration,
+        outcome: Outcome,
+        run_time: Duration,
         result: Payload,
     ) {
         let state = self.advance_to(now);
         let Some(id) = state.in_flight.get(&attempt).copied() else {
-            return tracing::debug!(%attempt, "notice ignored: the run that ended is not in flight");
+            return tracing::debug!(%attempt, "run-ended notice ignored: the attempt is not in flight");
         };
         if state.running_request(id).is_none() {
-            return tracing::warn!(%attempt, "notice ignored: the run that ended was never started");
+            return tracing::warn!(%attempt, "run-ended notice ignored: the attempt's run was not started");
         }
-        log_request!(attempt, outcome = ?how, "run ended");
-        let completed = Some(result).filter(|_| how == Outcome::Completed);
+        log_request!(attempt, ?outcome, "run ended");
+        let completed = Some(result).filter(|_| outcome == Outcome::Completed);
         if let Some(reply_to) = state.take_reply_to(id) {
             match completed {
                 Some(result) => state.ports.complete(reply_to, result),
@@ -42,31 +42,31 @@
             state.ports.cancel_call(id);
         }
         if let Some(dedup_key) = dedup_key {
-            if how.never_ran() {
+            if outcome.never_ran() {
                 state.dedup.run_never_started(&dedup_key, id);
             } else {
                 state.dedup.run_ended(&dedup_key, id, completed);
             }
         }
         state.finish(id);
-        if let (Outcome::Completed, Some(tracker)) = (how, &mut self.slow_start) {
-            tracker.run_completed(class, took);
+        if let (Outcome::Completed, Some(tracker)) = (outcome, &mut self.slow_start) {
+            tracker.run_completed(class, run_time);
         }
-        self.admission.run_ended(now, id, how, took);
+        self.admission.run_ended(now, id, outcome, run_time);
         waiters.into_iter().for_each(|waiter| self.end_join(waiter, completed));
         self.notify_ended();
     }
 
-    /// The pool does not know a run whose start command it received, so the run never will start.
+    /// The worker pool does not know a run whose start command it has received, so the run will never start.
     pub fn run_unknown(&mut self, now: Duration, attempt: AttemptId) {
         self.run_ended(now, attempt, Outcome::NeverStarted, Duration::ZERO, Payload::Transient(&[]));
     }
 
-    /// A run waits for an upstream call with this body; `notice` identifies the call to the pool.
+    /// A run waits for an upstream call with this body; `notice` identifies the call to the worker pool.
     pub fn call_needed(&mut self, now: Duration, attempt: AttemptId, notice: NoticeNumber, body: &[u8]) {
         let state = self.advance_to(now);
         let Some(id) = state.in_flight.get(&attempt).copied() else {
-            return tracing::debug!(%attempt, "notice ignored: the run that needs a call is not in flight");
+            return tracing::debug!(%attempt, "upstream call notice ignored: the attempt is not in flight");
         };
         let Some(request) = state.running_request(id) else { return };
         request.blocked_call = Some(BlockedCall { notice, body: body.into() });
@@ -76,7 +76,7 @@
         self.notify_ended();
     }
 
-    /// The pool answered the poll with this tag. It has received every command sent before that poll.
+    /// The worker pool answered the poll with this tag. It has received every command sent before that poll.
     pub fn metrics_received(&mut self, now: Duration, tag: u64, load_metrics: &[f64]) {
         let state = self.advance_to(now);
         state.load_metrics.clear();
@@ -89,22 +89,22 @@
         self.notify_ended();
     }
 
-    /// An upstream call ended. `reply` counts only if it completed.
-    pub fn call_ended(&mut self, now: Duration, id: RequestId, how: Outcome, reply: &[u8]) {
+    /// An upstream call ended. `reply` is used only if it completed.
+    pub fn call_ended(&mut self, now: Duration, id: RequestId, outcome: Outcome, reply: &[u8]) {
         let state = self.advance_to(now);
         let Some(request) = state.running_request(id) else { return };
         let Some(started_at) = request.call_started_at.take() else { return };
         let has_caller = request.reply_to.is_some();
-        log_request!(request.attempt, outcome = ?how, "upstream call ended");
-        if how == Outcome::Completed && has_caller {
+        log_request!(request.attempt, ?outcome, "upstream call ended");
+        if outcome == Outcome::Completed && has_caller {
             state.send_call_result(id, CallResult::Reply(reply.into()));
         }
-        if matches!(how, Outcome::Rejected | Outcome::Unreachable | Outcome::TimedOut) {
+        if matches!(outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::TimedOut) {
             if let Some(tracker) = &mut self.slow_start {
                 tracker.call_rejected();
             }
         }
-        self.admission.call_ended(now, id, how, now.saturating_sub(started_at));
+        self.admission.call_ended(now, id, outcome, now.saturating_sub(started_at));
         self.notify_ended();
     }
 }
--- a/crates/aldercrank-server/src/core/slow_start.rs
+++ b/crates/aldercrank-server/src/core/slow_start.rs
@@ -1,11 +1,11 @@
-//! Follows how far a server's slow start has come, where the service file asks for it: hands completed runs and
-//! rejected calls to `aldercrank-pacing`, and logs each status that follows. It limits nothing (docs/design-pacing.md).
+//! Tracks the progress of a server's slow start, if the service file asks for it: passes completed runs and rejected
+//! calls to `aldercrank-pacing`, and logs each change of status. It does not limit load (docs/design-pacing.md).
 
 use aldercrank::{parameters, Settings};
 use aldercrank_pacing::{SlowStart, SlowStartConfig, SlowStartStatus};
 use std::time::Duration;
 
-/// Between two evaluations, as a share of the shortest latency target.
+/// The interval between two evaluations, as a share of the shortest latency target.
 const EVALUATION_INTERVAL_SHARE: f64 = 0.25;
 
 pub(super) struct SlowStartTracker {
@@ -38,15 +38,15 @@
         self.latency_targets = latency_targets(settings);
     }
 
-    /// The first worker pool is up, or another one than before. `cold`: whether it has just started.
+    /// The worker pool is up for the first time, or was restarted. `cold`: whether it has just started.
     pub(super) fn pool_up(&mut self, now: Duration, cold: bool) {
         log_status(self.slow_start.pool_up(now, cold));
     }
 
-    pub(super) fn run_completed(&mut self, class: usize, took: Duration) {
+    pub(super) fn run_completed(&mut self, class: usize, run_time: Duration) {
         let target = self.latency_targets.get(class).filter(|target| !target.is_zero());
         if let Some(target) = target {
-            self.slow_start.run_completed(took.div_duration_f64(*target));
+            self.slow_start.run_completed(run_time.div_duration_f64(*target));
         }
     }
 
--- a/crates/aldercrank-server/src/core/state.rs
+++ b/crates/aldercrank-server/src/core/state.rs
@@ -1,4 +1,5 @@
-//! The state that the core keeps beside the admission module, and the steps on it that several events share.
+//! The state that the core keeps in addition to the admission module's, and the operations on it that several events
+//! share.
 
 use super::lease::Lease;
 use super::ports::{Ports, ReplyTo, TimerId};
@@ -13,14 +14,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// After this many ticks from its response a start command of unknown delivery is sent again, to free its slot.
+/// How many ticks after a request's response its start command is resent if its delivery is unknown. The worker pool
+/// then reports what became of the run, which frees the request's slot.
 pub(super) const RESEND_AFTER_TICKS: u32 = 30;
 
 /// The link to the worker pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkState {
     Down,
-    /// The worker pool replays the notices that were missed; the response to the poll with this tag ends them.
+    /// The worker pool replays the notices that were missed, until it responds to the poll with this tag.
     Replaying(u64),
     Up,
 }
@@ -55,25 +57,25 @@
     pub(super) replies_owed: RangeSummaryMap<ReplyTo, RequestId>,
     pub(super) dedup: DedupTable,
     pub(super) link: LinkState,
-    /// Tag of the latest poll for load metrics.
+    /// The tag of the latest poll for load metrics.
     pub(super) poll_tag: u64,
-    /// Whether a poll is unanswered.
+    /// Whether a poll is outstanding.
     pub(super) polling: bool,
-    /// Tag of the latest poll that was answered.
+    /// The tag of the latest poll that was answered.
     pub(super) answered_poll_tag: u64,
     pub(super) load_metrics: Vec<f64>,
-    /// The configuration version in force, where there is one.
+    /// The configuration version in force, if there is one.
     pub(super) version: Option<u64>,
     pub(super) lease: Lease,
-    /// This server's quota of upstream calls, where the configuration version gives one.
+    /// This server's quota of upstream calls, if the configuration version gives one.
     pub(super) upstream_quota: Option<f64>,
-    /// Calls that were not made for want of a quota; the module is notified once it has returned.
+    /// Calls that were not permitted (`may_call`); the admission module is notified once it has returned.
     pub(super) suppressed_calls: VecDeque<RequestId>,
-    /// Ends that the module is notified of once it has returned.
+    /// Requests that ended while the admission module was at work.
     pub(super) ended: VecDeque<EndedRequest>,
 }
 
-/// An attempt's id for the log; empty if its request is gone.
+/// A request's attempt id for the log; empty if the request is gone.
 pub(super) struct AttemptLabel(Option<AttemptId>);
 
 impl fmt::Display for AttemptLabel {
@@ -87,7 +89,7 @@
 }
 
 impl<P: Ports> CoreState<P> {
-    /// `now`: the worker pool's age. `result_capacity`: bytes for cached results.
+    /// `now`: the time since the worker pool came up. `result_capacity`: the number of bytes for cached results.
     pub(super) fn new(now: Duration, result_capacity: usize, ports: P) -> CoreState<P> {
         CoreState {
             ports,
@@ -113,11 +115,11 @@
         }
     }
 
-    /// Takes over what the core itself needs from the settings.
+    /// Loads what the core itself needs from the settings.
     pub(super) fn load_settings(&mut self, settings: &Settings) {
         let classes = parameters::request_classes(settings);
         let longest = classes.iter().map(|class| class.window).max().unwrap_or_default();
-        // An entry may have been made under a longer window.
+        // Existing entries may have been added under a longer window.
         self.longest_window = self.longest_window.max(longest);
         let deadline_key = |i: usize| format!("profiles.{i}.give_up");
         let longest_deadline = (0..classes.len()).filter_map(|i| settings.span(&deadline_key(i))).max();
@@ -126,7 +128,7 @@
         self.classes = infos.collect();
     }
 
-    /// Whether upstream calls may be made: a quota counts only under a full lease.
+    /// Whether upstream calls may be made: under a quota, only while it is positive and the lease is full.
     pub(super) fn may_call(&self) -> bool {
         self.upstream_quota.is_none_or(|quota| quota > 0.0 && self.lease.is_full())
     }
@@ -139,19 +141,19 @@
         self.request(id).filter(|request| request.is_running())
     }
 
-    /// The id that the edge node gave it; for the log alone.
+    /// Returns the request's attempt id, for the log.
     pub(super) fn attempt_label(&self, id: RequestId) -> AttemptLabel {
         AttemptLabel(self.requests.get(slot(id)).map(|request| request.attempt))
     }
 
-    /// Where the request's response goes, taken out: it is owed no longer.
+    /// Takes the destination of the request's response, which is no longer owed from then on.
     pub(super) fn take_reply_to(&mut self, id: RequestId) -> Option<ReplyTo> {
         let reply_to = self.request(id)?.reply_to.take()?;
         self.replies_owed.remove(&reply_to);
         Some(reply_to)
     }
 
-    /// Ends a request for which nothing runs, nor will. Requests that wait for it fail.
+    /// Finishes a request that does not run and will not run again. Requests that wait for it fail.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(request) = self.request(id) else { return };
         request.stage = Stage::Finished;
@@ -166,8 +168,9 @@
         self.release_slot(id);
     }
 
-    /// All requests in flight in the order of their attempt ids, since the order shows in the pool's commands.
-    pub(super) fn in_flight_in_order(&self) -> Vec<RequestId> {
+    /// Returns all requests in flight in the order of their attempt ids, since it determines the order of commands to
+    /// the worker pool.
+    pub(super) fn in_flight_by_attempt(&self) -> Vec<RequestId> {
         let mut all: Vec<(AttemptId, RequestId)> =
             self.in_flight.iter().map(|(attempt, id)| (*attempt, *id)).collect();
         all.sort_unstable();
@@ -189,7 +192,7 @@
         self.ports.request_metrics(self.poll_tag);
     }
 
-    /// Sends the start command, or records it as unsent while there is no link.
+    /// Sends the start command, or records it as unsent while the link is down.
     pub(super) fn send_start(&mut self, id: RequestId) {
         let (link, next_tag) = (self.link, self.poll_tag + 1);
         let Some(request) = self.requests.get_mut(slot(id)) else { return };
@@ -217,7 +220,7 @@
         (request.delivery, request.skip_sent_last) = (Delivery::ConfirmedBy(next_tag), skipped);
     }
 
-    /// The request has no caller left. It ends unless it runs or may run in the pool.
+    /// Gives up a request that has no caller left. It is finished unless it runs or may run in the worker pool.
     pub(super) fn abandon(&mut self, id: RequestId) {
         let resend_after = self.tick * RESEND_AFTER_TICKS;
         match self.request(id).map(|request| (request.stage, request.delivery)) {
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Ends a run whose start command was never sent.
+    /// Ends a run whose start command was not sent.
     pub(super) fn cancel_unsent_start(&mut self, id: RequestId) {
         if self.running_request(id).is_some_and(|request| request.delivery == Delivery::Unsent) {
             self.ended.push_back(EndedRequest { id, outcome: Outcome::NeverStarted });
--- a/crates/aldercrank-server/src/core/timers.rs
+++ b/crates/aldercrank-server/src/core/timers.rs
@@ -1,4 +1,4 @@
-//! Events of the clock: timers that are due, and the start of a graceful shutdown.
+//! Timers, and the start of a graceful shutdown.
 
 use super::ports::{Ports, TimerId};
 use super::request::{Delivery, Request};
@@ -8,9 +8,9 @@
 
 impl<P: Ports> Core<P> {
     /// A timer is due.
-    pub fn timer_fired(&mut self, now: Duration, what: TimerId) {
+    pub fn timer_fired(&mut self, now: Duration, timer: TimerId) {
         let state = self.advance_to(now);
-        match what {
+        match timer {
             TimerId::Tick => {
                 let load_metrics = std::mem::take(&mut state.load_metrics);
                 self.admission.timer_fired(now, &load_metrics);
@@ -19,20 +19,21 @@
                     tracker.evaluate(now);
                 }
             }
-            // One poll is unanswered at a time; without a link the previous metrics stay.
+            // At most one poll is outstanding; while the link is down, the previous metrics are kept.
             TimerId::LoadMetrics if state.link == LinkState::Up && !state.polling => {
                 state.poll_load_metrics();
             }
             TimerId::LoadMetrics => {}
             TimerId::DedupExpiry(entry) => {
                 let longest_window = state.longest_window;
-                match state.dedup.expires_at(entry, longest_window).filter(|end| *end > now) {
-                    Some(end) => state.ports.set_timer(what, end - now),
+                match state.dedup.removable_at(entry, longest_window).filter(|at| *at > now) {
+                    Some(at) => state.ports.set_timer(timer, at - now),
                     None => state.dedup.expire(entry).into_iter().for_each(|id| state.release_slot(id)),
                 }
             }
             TimerId::ResendStart(id) => {
-                // Its response has been read by now, so a run that never started does not start: the pool reports it.
+                // The edge node has read the response by now. If the run never started, it does not start now, and the
+                // pool reports that it never started.
                 let unknown = |request: &&mut Request| request.delivery == Delivery::Unknown;
                 if state.link == LinkState::Up && state.running_request(id).filter(unknown).is_some() {
                     state.send_start(id);
@@ -42,10 +43,10 @@
         self.notify_ended();
     }
 
-    /// Starts the graceful shutdown; the process stops at `stop`.
-    pub fn drain(&mut self, now: Duration, stop: Duration) {
+    /// Starts the graceful shutdown; the process stops at `stop_at`.
+    pub fn drain(&mut self, now: Duration, stop_at: Duration) {
         self.advance_to(now);
-        self.admission.drain(now, stop);
+        self.admission.drain(now, stop_at);
         self.notify_ended();
     }
 }
--- a/crates/aldercrank-server/src/dedup.rs
+++ b/crates/aldercrank-server/src/dedup.rs
@@ -1,6 +1,6 @@
 //! The deduplication table: which requests repeat others, and the cached results of those that ran.
 //!
-//! Times are spans on the server's clock. Expired entries stay until `expire` is called for them.
+//! Times are durations on the server's clock. Expired entries stay until `expire` is called for them.
 
 use crate::payload::Payload;
 use crate::slots::{Slot, Slots};
@@ -10,28 +10,29 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// The most entries, expired ones included.
+/// The maximum number of entries, expired ones included.
 const MAX_ENTRIES: usize = 60_000;
 
-/// What links a request with its repeats; a digest, so that its size does not depend on what was sent.
+/// Identifies a request and its repeats. It is a digest, so its size does not depend on what the caller sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DedupKey {
-    /// Of a request with an idempotency key.
+    /// Identifies a request with an idempotency key.
     Token([u64; 2]),
-    /// Of a read: the subject that it asks for.
+    /// Identifies a read, by the subject that it asks for.
     Subject([u64; 2]),
 }
 
 impl DedupKey {
-    /// The key of a request with an idempotency key.
+    /// Creates the key of a request with an idempotency key.
     ///
-    /// All attempts of one request have the same class and body, so these are part of the key: the same idempotency
-    /// key with another class or body is neither answered from the first request nor keeps the true one from running.
+    /// All attempts of one request have the same class and body, so these are part of the key. A request that reuses
+    /// the idempotency key with another class or body is not answered with the result of the first one, and does not
+    /// keep the genuine request from running.
     pub fn token(class: &str, token: &str, body: &[u8]) -> DedupKey {
         DedupKey::Token(digest(&(class, token, body)))
     }
 
-    /// The key of a read of this subject.
+    /// Creates the key of a read of this subject.
     pub fn subject(class: &str, subject: &str) -> DedupKey {
         DedupKey::Subject(digest(&(class, subject)))
     }
@@ -49,23 +50,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryId(u32);
 
-/// The outcome of the run that an entry records.
+/// The outcome of the run that an entry refers to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CachedOutcome {
-    /// It has not ended yet.
+    /// The run has not ended, or has not started yet.
     Pending,
-    /// It completed with this result.
+    /// The run completed with this result.
     Completed(Bytes),
-    /// It ended otherwise, or its result was evicted.
+    /// The run ended without a result, or its result was evicted.
     Unavailable,
 }
 
-/// What `DedupTable::store` did.
+/// What [`DedupTable::store`] did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredEntry {
-    /// The entry of the key, new or renewed.
+    /// The key's entry, which is new or was extended.
     pub entry: EntryId,
-    /// The request that the entry referred to before and does no longer.
+    /// The request that the entry referred to until now and no longer does.
     pub replaced: Option<RequestId>,
 }
 
@@ -73,11 +74,11 @@
     key: DedupKey,
     /// The latest request with this key.
     latest: RequestId,
-    /// The request that ran.
+    /// The request whose run was started last, unless that run proved not to have started.
     executed: Option<RequestId>,
-    /// The outcome of the request that ran.
+    /// The outcome of that run.
     outcome: CachedOutcome,
-    /// The position of its result in the order of eviction.
+    /// Its result's key in `DedupTable::results`; the lowest number is evicted first.
     result_number: u64,
     expires_at: Duration,
 }
@@ -111,8 +112,8 @@
         self.entries.get_mut(Slot(id.0))
     }
 
-    /// The request that one with this key repeats: the latest one, or, if the entry expired after the repeat arrived,
-    /// the one that ran.
+    /// Returns the request that a request with this key repeats: the latest one, or, if the entry expired after the
+    /// repeat arrived, the one that ran.
     pub fn find_original(
         &mut self,
         key: &DedupKey,
@@ -128,14 +129,14 @@
         Some(entry.executed.filter(|_| expired).unwrap_or(entry.latest))
     }
 
-    /// Adds an entry for a request, or makes it the latest request of the present entry and extends that. None if the
-    /// table has no slot left.
+    /// Adds an entry for a request, or makes it the latest request of the existing entry and extends that entry.
+    /// Returns none if the table has no slot left.
     pub fn store(&mut self, key: &DedupKey, request: RequestId, expires_at: Duration) -> Option<StoredEntry> {
         if let Some(entry) = self.entry(key) {
-            let before = std::mem::replace(&mut entry.latest, request);
+            let previous = std::mem::replace(&mut entry.latest, request);
             entry.expires_at = entry.expires_at.max(expires_at);
-            let still_referenced = entry.executed == Some(before) || before == request;
-            let replaced = Some(before).filter(|_| !still_referenced);
+            let still_referenced = entry.executed == Some(previous) || previous == request;
+            let replaced = Some(previous).filter(|_| !still_referenced);
             return Some(StoredEntry { entry: self.ids[key], replaced });
         }
         let entry = Entry {
@@ -151,17 +152,17 @@
         Some(StoredEntry { entry: id, replaced: None })
     }
 
-    /// Whether a new key must be rejected.
+    /// Whether the maximum number of entries is reached.
     pub fn is_full(&self) -> bool {
         self.entries.len() >= MAX_ENTRIES
     }
 
-    /// How many entries there are, expired ones included.
+    /// Returns the number of entries, expired ones included.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no entry.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -171,7 +172,8 @@
         self.entry(key).is_some_and(|entry| entry.latest == request || entry.executed == Some(request))
     }
 
-    /// Removes the entry of a request that has not run. If another request with this key ran, the entry stays with it.
+    /// Removes the entry of a request that has not run. If another request with this key ran, the entry is kept for
+    /// that one.
     pub fn forget(&mut self, key: &DedupKey, request: RequestId) {
         let Some(entry) = self.entry(key).filter(|entry| entry.latest == request) else { return };
         match entry.executed {
@@ -180,17 +182,17 @@
         }
     }
 
-    /// A request starts to run, so the result of an earlier run is dropped. Gives the request that ran before and that
-    /// the entry refers to no longer.
+    /// Records that a request starts to run, and drops the result of an earlier run. Returns the request that ran
+    /// before, if the entry no longer refers to it.
     pub fn run_started(&mut self, key: &DedupKey, request: RequestId) -> Option<RequestId> {
         let id = *self.ids.get(key)?;
         self.drop_result(id);
         let entry = self.entry(key).filter(|entry| entry.latest == request)?;
         entry.outcome = CachedOutcome::Pending;
-        entry.executed.replace(request).filter(|before| *before != request)
+        entry.executed.replace(request).filter(|previous| *previous != request)
     }
 
-    /// The run proved not to have started, so the next attempt may run.
+    /// Records that the run did not start after all, so that the next attempt may run.
     pub fn run_never_started(&mut self, key: &DedupKey, request: RequestId) {
         let Some(entry) = self.entry(key).filter(|entry| entry.executed == Some(request)) else { return };
         entry.executed = None;
@@ -199,7 +201,8 @@
         }
     }
 
-    /// The run ended, with a result if it completed. The oldest results are evicted if there are too many bytes.
+    /// Records that the run ended, with a result if it completed. Evicts the oldest results while the cached results
+    /// exceed their capacity.
     pub fn run_ended(&mut self, key: &DedupKey, request: RequestId, result: Option<Payload>) {
         let number = self.next_result_number;
         let Some(entry) = self.entry(key).filter(|entry| entry.executed == Some(request)) else { return };
@@ -211,14 +214,14 @@
             self.next_result_number += 1;
             self.results.insert(number, self.ids[key]);
         }
-        // Entries are not evicted, so that no request runs twice for want of memory.
+        // Only results are evicted, not entries: a request must not run twice because memory is short.
         while self.result_bytes > self.result_capacity {
             let Some((_, oldest)) = self.results.first() else { break };
             self.drop_result(oldest);
         }
     }
 
-    /// The outcome of the request that ran with this key.
+    /// Returns the outcome of the request that ran with this key.
     pub fn outcome(&mut self, key: &DedupKey) -> CachedOutcome {
         self.entry(key).map_or(CachedOutcome::Unavailable, |entry| entry.outcome.clone())
     }
@@ -240,12 +243,12 @@
         }
     }
 
-    /// When the entry may be removed: `margin` after its expiry, so that late repeats are still recognised.
-    pub fn expires_at(&self, id: EntryId, margin: Duration) -> Option<Duration> {
+    /// Returns when the entry may be removed: `margin` after its expiry, so that late repeats are still recognised.
+    pub fn removable_at(&self, id: EntryId, margin: Duration) -> Option<Duration> {
         self.entries.get(Slot(id.0)).map(|entry| entry.expires_at + margin)
     }
 
-    /// Removes an expired entry. Gives the requests that it referred to.
+    /// Removes an expired entry. Returns the requests that it referred to.
     pub fn expire(&mut self, id: EntryId) -> Vec<RequestId> {
         let entry = self.entries.get(Slot(id.0));
         let requests = entry.map(|entry| entry.executed.into_iter().chain([entry.latest]).collect());
--- a/crates/aldercrank-server/src/lib.rs
+++ b/crates/aldercrank-server/src/lib.rs
@@ -1,5 +1,5 @@
-//! A server: its core, its sockets, its configuration, its log and the operators' commands. Admission is decided by the
-//! package `aldercrank`, which the core drives.
+//! The server: request handling core, network I/O, configuration, logging and operator commands. Admission is decided
+//! by the crate `aldercrank`, which the core drives.
 
 pub mod clock;
 pub mod config;
--- a/crates/aldercrank-server/src/logger.rs
+++ b/crates/aldercrank-server/src/logger.rs
@@ -1,6 +1,6 @@
 //! The program's log: events of `tracing`, one line each on standard error, as text or as JSON.
 //!
-//! The lines of each source location are limited. The log of single requests is not; it is off unless asked for.
+//! Lines are rate-limited by source location, except those of the request log, which is off by default.
 //! Bodies and idempotency keys are never logged.
 
 use crate::clock::Clock;
@@ -18,10 +18,10 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::Registry;
 
-/// The most lines that one source location may log in an interval.
+/// The maximum number of lines that one source location may log in an interval.
 const MAX_LINES_PER_INTERVAL: u32 = 3;
 const INTERVAL_SECONDS: u64 = 5;
-/// The target of events of single requests.
+/// The target of the request log, which has the events of single requests.
 pub const REQUEST_LOG_TARGET: &str = "aldercrank::request";
 /// The prefix of this program's targets; events of other crates are not logged.
 const TARGET_PREFIX: &str = "aldercrank";
@@ -29,11 +29,11 @@
 /// What is logged, and in which form.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogOptions {
-    /// Events of level debug too.
+    /// Whether events of level debug are logged.
     pub verbose: bool,
-    /// A JSON document a line, in place of text.
+    /// Whether each line is a JSON document instead of text.
     pub json: bool,
-    /// Events of single requests.
+    /// Whether the request log is on.
     pub requests: bool,
 }
 
@@ -43,27 +43,27 @@
     lines: u32,
 }
 
-/// Limits the log lines of each source location.
+/// Limits the rate of log lines by source location.
 #[derive(Default)]
 pub struct LineLimiter {
-    /// By file and line.
+    /// By file name and line number.
     counts: Mutex<BTreeMap<(String, u32), LineCount>>,
 }
 
 impl LineLimiter {
-    /// Counts one more line from this source location in this interval. None if it must not be written; else how many
-    /// lines were left out in the location's previous interval, if this is the first line since.
+    /// Counts a line that this source location logs in this interval. Returns none if the line must be suppressed,
+    /// otherwise how many lines were suppressed in the location's previous interval if this is the first line since.
     pub fn admit(&self, file: &str, line: u32, interval: u64) -> Option<u32> {
         let Ok(mut counts) = self.counts.lock() else { return None };
         let new = LineCount { interval, lines: 0 };
         let count = counts.entry((file.to_string(), line)).or_insert(new);
-        let mut left_out = 0;
+        let mut suppressed = 0;
         if count.interval != interval {
-            left_out = count.lines.saturating_sub(MAX_LINES_PER_INTERVAL);
+            suppressed = count.lines.saturating_sub(MAX_LINES_PER_INTERVAL);
             *count = new;
         }
         count.lines += 1;
-        (count.lines <= MAX_LINES_PER_INTERVAL).then_some(left_out)
+        (count.lines <= MAX_LINES_PER_INTERVAL).then_some(suppressed)
     }
 }
 
@@ -109,7 +109,8 @@
     let mut line = format!("{}.{:03} {level} {}", at.as_secs(), at.subsec_millis(), event.message);
     for (name, value) in &event.fields {
         let _ = match value {
-            // A text with spaces or line ends is quoted, so that an event stays one line.
+            // Anything but printable ASCII without spaces and quotes is quoted and escaped, so that an event stays on
+            // one line.
             Value::String(text) if text.chars().all(|c| c.is_ascii_graphic() && c != '"') => {
                 write!(line, " {name}={text}")
             }
@@ -142,13 +143,13 @@
 }
 
 impl LogWriter {
-    /// Creates a log that writes each line, with its line end, to `sink`.
+    /// Creates a writer that passes each line, with its line feed, to `sink`.
     pub fn new(options: LogOptions, sink: Sink) -> LogWriter {
         let json = AtomicBool::new(options.json);
         LogWriter { options, json, limiter: LineLimiter::default(), server: OnceLock::new(), sink }
     }
 
-    /// Sets the server's name, which each JSON line has, and whether the service file asks for JSON.
+    /// Sets the server's name, which is part of each JSON line, and switches to JSON if `json` is set.
     pub fn configure(&self, name: &str, json: bool) {
         let _ = self.server.set(name.to_string());
         self.json.fetch_or(json, Ordering::Relaxed);
@@ -171,17 +172,17 @@
 
     fn write(&self, at: Duration, event: &Event) {
         let metadata = event.metadata();
-        let left_out = if metadata.target() == REQUEST_LOG_TARGET {
+        let suppressed = if metadata.target() == REQUEST_LOG_TARGET {
             Some(0)
         } else {
             let (file, line) = (metadata.file().unwrap_or_default(), metadata.line().unwrap_or_default());
             self.limiter.admit(file, line, at.as_secs() / INTERVAL_SECONDS)
         };
-        let Some(left_out) = left_out else { return };
+        let Some(suppressed) = suppressed else { return };
         let mut recorded = EventFields::default();
         event.record(&mut recorded);
-        if left_out > 0 {
-            recorded.fields.push(("left_out", left_out.into()));
+        if suppressed > 0 {
+            recorded.fields.push(("left_out", suppressed.into()));
         }
         let server = self.server.get().map_or("", String::as_str);
         let mut line = if self.json.load(Ordering::Relaxed) {
@@ -211,7 +212,7 @@
 }
 
 impl<S: Subscriber> Layer<S> for Logger {
-    /// Decides once for each call site, so that an event that is not logged costs the test of a flag.
+    /// Decides once per call site, so that a disabled event costs only the test of a flag.
     fn register_callsite(&self, metadata: &'static Metadata<'static>) -> Interest {
         if self.0.is_logged(metadata) {
             Interest::always()
--- a/crates/aldercrank-server/src/main.rs
+++ b/crates/aldercrank-server/src/main.rs
@@ -36,20 +36,22 @@
 }
 
 fn log_options() -> impl Parser<LogOptions> {
-    let verbose = long("verbose").short('v').help("log more").switch();
-    let json = long("json-log").help("log a JSON document a line").switch();
-    let requests = long("log-txns")
-        .help("log each request's way through the server; this is much, and without a bound")
-        .switch();
+    let verbose = long("verbose").short('v').help("log debug events too").switch();
+    let json = long("json-log").help("log one JSON document per line").switch();
+    let requests =
+        long("log-txns").help("log every event of every request; these lines are not rate-limited").switch();
     construct!(LogOptions { verbose, json, requests })
 }
 
 fn command_line() -> OptionParser<Command> {
     let config = || {
-        positional::<String>("CONFIG").help("the file, if not the one that ROUTER_CONFIG names").optional()
+        positional::<String>("CONFIG")
+            .help("the platform's JSON file; by default the one that ROUTER_CONFIG names")
+            .optional()
     };
     let service = || {
-        let help = "the program's own settings, as deploy/service.kdl shows; all is off without it";
+        let help =
+            "the program's own settings (example: deploy/service.kdl); their features are off without it";
         long("service").help(help).argument::<String>("FILE").optional()
     };
     let (log, file, service_file) = (log_options(), config(), service());
@@ -60,14 +62,14 @@
     let (file, service_file) = (config(), service());
     let check = construct!(Command::CheckConfig { service(service_file), config(file) })
         .to_options()
-        .descr("Say whether a configuration can be served, and which field is wrong")
-        .footer("Exit: 0 it can be served, 1 it can not")
+        .descr("Check whether a configuration can be served, and report what is wrong with it")
+        .footer("Exit status: 0 if the configuration can be served, 1 if not")
         .command("check-config");
     let version = pure(Command::Version).to_options().descr("Print the version").command("version");
     let rules = operator_commands::commands().command("rules").map(Command::Rules);
     construct!([serve, check, rules, version])
         .to_options()
-        .descr("Decides what a server takes, runs and rejects")
+        .descr("Serve requests to a worker pool, with admission control")
 }
 
 fn serve(log: LogOptions, service: Option<String>, config: Option<String>) -> Result<(), ProgramError> {
--- a/crates/aldercrank-server/src/payload.rs
+++ b/crates/aldercrank-server/src/payload.rs
@@ -1,7 +1,7 @@
-//! Bytes that the server passes on without reading them: request bodies and results.
+//! Payloads, which the server forwards without reading them: request bodies and results.
 //!
-//! Small payloads are copied, large ones go by reference. Every copy in this package goes through this module, so that
-//! the copied bytes can be counted.
+//! Small results are copied, large ones are passed by reference. This module counts the bytes of every payload copy in
+//! this package.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
@@ -9,28 +9,28 @@
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// From this size in bytes on a result goes by reference: the buffer it was read into is kept until it is written.
-/// Below, a copy costs less than keeping a whole buffer.
+/// Results of at least this many bytes are passed by reference: the buffer that one was read into is kept until it is
+/// written. For a smaller one, a copy costs less than keeping a whole buffer.
 pub const BY_REFERENCE_BYTES: usize = 4 * 1024;
-/// The most slices in one vectored write.
+/// The maximum number of slices in one vectored write.
 const MAX_SLICES: usize = 96;
-/// The most bytes of capacity that an empty buffer keeps.
+/// The maximum capacity in bytes that an empty buffer keeps.
 const MAX_IDLE_CAPACITY: usize = 4 * 1024;
 
-/// Counted over the whole process, even if two servers share it.
+/// Counted for the whole process, even if several servers run in it.
 static COPIED_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// How many payload bytes have been copied by this process.
+/// Returns the number of payload bytes that this process has copied.
 pub fn copied() -> u64 {
     COPIED_BYTES.load(Ordering::Relaxed)
 }
 
-/// Counts payload bytes that were copied elsewhere.
+/// Counts payload bytes that another module has copied.
 pub fn count_copied(bytes: usize) {
     COPIED_BYTES.fetch_add(bytes as u64, Ordering::Relaxed);
 }
 
-/// A result that is passed on.
+/// A result to be forwarded.
 #[derive(Clone, Copy, Debug)]
 pub enum Payload<'a> {
     /// In a buffer that is reused after the call.
@@ -40,7 +40,7 @@
 }
 
 impl Payload<'_> {
-    /// The result's bytes.
+    /// Returns the result's bytes.
     pub fn bytes(&self) -> &[u8] {
         match self {
             Payload::Transient(bytes) => bytes,
@@ -48,7 +48,8 @@
         }
     }
 
-    /// The result by reference, if it is large enough. A small part of a large buffer would keep all of that.
+    /// Returns the result by reference if it is large enough. A reference to a small part of a large buffer would keep
+    /// the whole buffer.
     fn by_reference(&self) -> Option<Bytes> {
         match self {
             Payload::Shared(bytes) if bytes.len() >= BY_REFERENCE_BYTES => Some((*bytes).clone()),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The result in a form that can be kept: by reference or as a copy.
+    /// Returns the result in a form that can be kept: by reference if it is large, otherwise as a copy.
     pub fn keep(&self) -> Bytes {
         self.by_reference().unwrap_or_else(|| {
             count_copied(self.bytes().len());
@@ -86,27 +87,27 @@
     }
 }
 
-/// A payload by reference that is to be written.
+/// A payload that is to be written by reference.
 #[derive(Debug)]
 struct PlacedBlob {
-    /// How many of the framing bytes stand before it.
+    /// The number of framing bytes that precede it.
     position: usize,
     blob: Blob,
 }
 
-/// Bytes to be written to a socket: the framing, and between it payloads by reference.
+/// Bytes to be written to a socket: framing, interleaved with payloads by reference.
 #[derive(Debug, Default)]
 pub struct OutputBuffer {
     framing: Vec<u8>,
     /// In the order in which they are to be written.
     blobs: VecDeque<PlacedBlob>,
-    /// How many bytes of the framing have been written.
+    /// The number of framing bytes that have been written.
     framing_written: usize,
-    /// How many bytes of the first blob have been written.
+    /// The number of bytes of the first blob that have been written.
     blob_written: usize,
-    /// Bytes still to be written.
-    waiting: usize,
-    /// Bytes written since the buffer was made.
+    /// The number of bytes still to be written.
+    pending: usize,
+    /// The number of bytes written since the buffer was created.
     written: u64,
 }
 
@@ -115,7 +116,7 @@
     pub fn append_framing(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         let before = self.framing.len();
         write(&mut self.framing);
-        self.waiting += self.framing.len() - before;
+        self.pending += self.framing.len() - before;
     }
 
     /// Appends a request's body by reference.
@@ -136,30 +137,31 @@
 
     fn push_blob(&mut self, blob: Blob) {
         if !blob.bytes().is_empty() {
-            self.waiting += blob.bytes().len();
+            self.pending += blob.bytes().len();
             self.blobs.push_back(PlacedBlob { position: self.framing.len(), blob });
         }
     }
 
-    /// How many bytes wait to be written.
+    /// Returns the number of bytes still to be written.
     pub fn pending_bytes(&self) -> usize {
-        self.waiting
+        self.pending
     }
 
-    /// The offset, in all that is ever written, of the next byte to be appended.
+    /// Returns the offset, in the whole output stream, of the next byte to be appended.
     pub fn end_offset(&self) -> u64 {
-        self.written + self.waiting as u64
+        self.written + self.pending as u64
     }
 
-    /// How many bytes have been written so far.
+    /// Returns the number of bytes written since the buffer was created.
     pub fn written_bytes(&self) -> u64 {
         self.written
     }
 
-    /// Writes once. Gives how many bytes the writer took, 0 if none wait; errors are the writer's.
+    /// Writes once. Returns the number of bytes that the writer accepted, 0 if nothing is pending. Errors are the
+    /// writer's.
     pub fn write_to(&mut self, mut writer: impl Write) -> io::Result<usize> {
         let mut slices = [IoSlice::new(&[]); MAX_SLICES];
-        let mut used = 0;
+        let mut slice_count = 0;
         let (mut framing_start, mut blob_start) = (self.framing_written, self.blob_written);
         let until_last_blob = self.blobs.iter().flat_map(|PlacedBlob { position, blob }| {
             let framing = &self.framing[framing_start..*position];
@@ -171,32 +173,32 @@
         let all = until_last_blob.chain([&self.framing[last..]]).filter(|bytes| !bytes.is_empty());
         for (slice, bytes) in slices.iter_mut().zip(all) {
             *slice = IoSlice::new(bytes);
-            used += 1;
+            slice_count += 1;
         }
-        let written = match used {
+        let written = match slice_count {
             0 => return Ok(0),
             1 => writer.write(&slices[0])?,
-            _ => writer.write_vectored(&slices[..used])?,
+            _ => writer.write_vectored(&slices[..slice_count])?,
         };
         self.advance(written);
         Ok(written)
     }
 
     fn advance(&mut self, mut bytes: usize) {
-        self.waiting -= bytes;
+        self.pending -= bytes;
         self.written += bytes as u64;
         while bytes > 0 {
             let framing_end = self.blobs.front().map_or(self.framing.len(), |first| first.position);
-            let of_framing = bytes.min(framing_end - self.framing_written);
-            self.framing_written += of_framing;
-            bytes -= of_framing;
+            let from_framing = bytes.min(framing_end - self.framing_written);
+            self.framing_written += from_framing;
+            bytes -= from_framing;
             if bytes == 0 {
                 break;
             }
             let Some(first) = self.blobs.front() else { break };
-            let of_blob = bytes.min(first.blob.bytes().len() - self.blob_written);
-            self.blob_written += of_blob;
-            bytes -= of_blob;
+            let from_blob = bytes.min(first.blob.bytes().len() - self.blob_written);
+            self.blob_written += from_blob;
+            bytes -= from_blob;
             if self.blob_written == first.blob.bytes().len() {
                 self.blobs.pop_front();
                 self.blob_written = 0;
@@ -205,9 +207,10 @@
         self.release_written();
     }
 
-    /// Releases written framing: at once if nothing waits, else once it is more than what is left.
+    /// Discards written framing: at once if nothing is pending, otherwise once it exceeds `MAX_IDLE_CAPACITY` and the
+    /// framing that is left.
     fn release_written(&mut self) {
-        if self.waiting == 0 {
+        if self.pending == 0 {
             self.framing.clear();
             self.framing_written = 0;
             self.framing.shrink_to(MAX_IDLE_CAPACITY);
--- a/crates/aldercrank-server/src/phase.rs
+++ b/crates/aldercrank-server/src/phase.rs
@@ -1,4 +1,4 @@
-//! The phases of the program from start to exit. All transitions are methods of `Phase`.
+//! The phases of the program from start to exit. All transitions are methods of [`Phase`].
 
 /// A phase of the program. Phases follow one another in this order; some may be left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,15 +17,15 @@
 
 impl Phase {
     fn transition_to(&mut self, next: Phase) -> bool {
-        let changes = *self != next;
-        if changes {
+        let changed = *self != next;
+        if changed {
             tracing::info!(phase = next.name(), previous = self.name(), "phase changed");
             *self = next;
         }
-        changes
+        changed
     }
 
-    /// The name in logs and in the server's status.
+    /// Returns the name that the log and the server's status use.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -36,23 +36,24 @@
         }
     }
 
-    /// The link to the worker pool is up. Whether the phase changed.
+    /// Records that the link to the worker pool is up. Returns whether the phase changed.
     pub fn pool_linked(&mut self) -> bool {
         *self == Phase::Starting && self.transition_to(Phase::WaitingForPool)
     }
 
-    /// The worker pool is up. True the first time, when the admission module is to start.
+    /// Records that the worker pool is up. Returns true the first time, when the core must be started.
     pub fn pool_up(&mut self) -> bool {
         matches!(self, Phase::Starting | Phase::WaitingForPool) && self.transition_to(Phase::Serving)
     }
 
-    /// The program was asked to shut down. False for each further time.
+    /// Starts the graceful shutdown. Returns false if it was started before.
     pub fn start_draining(&mut self) -> bool {
-        let before = matches!(self, Phase::Starting | Phase::WaitingForPool | Phase::Serving);
-        before && self.transition_to(Phase::Draining)
+        let before_shutdown = matches!(self, Phase::Starting | Phase::WaitingForPool | Phase::Serving);
+        before_shutdown && self.transition_to(Phase::Draining)
     }
 
-    /// All responses are written and all connections closed, or the time to stop has come.
+    /// Ends the graceful shutdown: all responses are written and all connections closed, or its time is up. Returns
+    /// whether the phase changed.
     pub fn stop(&mut self) -> bool {
         *self == Phase::Draining && self.transition_to(Phase::Stopped)
     }
@@ -67,7 +68,7 @@
         self == Phase::Draining
     }
 
-    /// Whether the program is to exit.
+    /// Whether the program must exit.
     pub fn is_stopped(self) -> bool {
         self == Phase::Stopped
     }
--- a/crates/aldercrank-server/src/slots.rs
+++ b/crates/aldercrank-server/src/slots.rs
@@ -1,4 +1,4 @@
-//! Tables of numbered slots with generations, for connections, requests and deduplication entries.
+//! A table of numbered slots with generations, for connections, requests and deduplication entries.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,8 @@
 const INDEX_BITS: u32 = 16;
 const INDEX_MASK: u32 = (1 << INDEX_BITS) - 1;
 
-/// A slot's index in the low bits and its generation above: a number is reused as late as possible.
+/// A slot's number: its index in the low bits and its generation in the high bits, so that numbers are reused as late
+/// as possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slot(pub u32);
 
@@ -45,7 +46,7 @@
 }
 
 impl<T> Slots<T> {
-    /// Stores a value in a free slot; none if all slots are taken.
+    /// Stores a value in a free slot. Returns none if all slots are taken.
     pub fn insert(&mut self, value: T) -> Option<Slot> {
         let index = match self.free.pop_front() {
             Some(index) => index,
@@ -61,19 +62,19 @@
         Some(Slot::new(cell.generation, index))
     }
 
-    /// The value in this slot; none if it was removed, even if the cell has been taken again.
+    /// Returns the value in this slot, or none if it was removed, even if its cell has been reused.
     pub fn get(&self, slot: Slot) -> Option<&T> {
         let cell = self.cells.get(slot.index())?;
         cell.value.as_ref().filter(|_| u32::from(cell.generation) == slot.generation())
     }
 
-    /// The same, to be changed.
+    /// Returns a mutable reference to the value in this slot, or none if it was removed.
     pub fn get_mut(&mut self, slot: Slot) -> Option<&mut T> {
         let cell = self.cells.get_mut(slot.index())?;
         cell.value.as_mut().filter(|_| u32::from(cell.generation) == slot.generation())
     }
 
-    /// Takes the value out and frees the slot.
+    /// Removes the value in this slot, if any, and frees the slot.
     pub fn remove(&mut self, slot: Slot) -> Option<T> {
         let index = slot.index();
         let cell =
@@ -83,7 +84,7 @@
         Some(value)
     }
 
-    /// All values with their slots, in the order of their indices.
+    /// Iterates over all values with their slots, in the order of the slots' indices.
     pub fn iter(&self) -> impl Iterator<Item = (Slot, &T)> {
         self.cells.iter().enumerate().filter_map(|(index, cell)| {
             let slot = Slot::new(cell.generation, index);
@@ -91,7 +92,7 @@
         })
     }
 
-    /// How many slots are taken.
+    /// Returns the number of slots that are taken.
     pub fn len(&self) -> usize {
         self.cells.len() - self.free.len()
     }
--- a/crates/aldercrank-server/tests/suite/tables.rs
+++ b/crates/aldercrank-server/tests/suite/tables.rs
@@ -57,7 +57,7 @@
     assert_eq!((table.run_started(&key, b), table.refers_to(&key, a)), (Some(a), false));
     table.forget(&key, b);
     assert!(table.refers_to(&key, b), "a request that ran is not forgotten");
-    assert_eq!((table.expires_at(entry, S), table.expire(entry)), (Some(S * 31), vec![b, b]));
+    assert_eq!((table.removable_at(entry, S), table.expire(entry)), (Some(S * 31), vec![b, b]));
     assert_eq!(table.find_original(&key, S, S), None);
     // A read without a result does not answer others.
     let subject = DedupKey::subject("p", "s");
