--- a/crates/aldercrank-server/src/config/error.rs
+++ b/crates/aldercrank-server/src/config/error.rs
@@ -1,15 +1,15 @@
-//! Errors of reading a configuration. Their texts are shown to operators.
+//! Errors in loading a configuration. Their messages are shown to operators.
 
 use aldercrank_service_config::Fault;
 use std::{fmt, io};
 use thiserror::Error;
 
-/// All faults of a KDL file; displayed one a line, each with the file's name, its line and its column.
+/// All faults of a KDL file. Displayed one per line, each with the file name, line and column.
 #[derive(Debug, Error)]
 pub struct FileFaults {
     /// The file's name.
     pub path: String,
-    /// In the order of the file.
+    /// The faults, in the order of the file.
     pub faults: Vec<Fault>,
 }
 
@@ -27,14 +27,14 @@
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// Neither the command line nor the environment names the platform's file.
-    #[error("ROUTER_CONFIG is not set and no file was named")]
+    #[error("no configuration file: ROUTER_CONFIG is not set and no file was given as an argument")]
     NoFile,
-    /// A file can't be read.
+    /// A file could not be read.
     #[error("{path}: {source}")]
     Unreadable {
         /// The file's name.
         path: String,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The platform's file is invalid.
@@ -48,20 +48,20 @@
     /// The service file or the configuration version that it names is invalid.
     #[error(transparent)]
     Faults(#[from] FileFaults),
-    /// The configuration version can't be applied on this server.
+    /// This server can't apply the configuration version.
     #[error("{path}: {reason}")]
     Incompatible {
-        /// The file of the version.
+        /// The version's file.
         path: String,
         /// The first incompatibility.
         reason: String,
     },
 }
 
-/// Which field of the platform's file is invalid.
+/// Why the platform's file is invalid.
 #[derive(Debug, Error)]
 pub enum PlatformConfigError {
-    /// The text is no JSON.
+    /// The text is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     /// A field is missing.
@@ -70,45 +70,45 @@
         /// The field's path.
         field: String,
     },
-    /// A field must be a text.
-    #[error("{field} is no text")]
-    NotText {
+    /// A field must be a string.
+    #[error("{field} is not a string")]
+    NotString {
         /// The field's name.
         field: &'static str,
     },
     /// A field must be an IP address with a port.
-    #[error("{field} is no address with a port: {text}")]
+    #[error("{field} is not an IP address with a port: {text}")]
     NotAddress {
         /// The field's name.
         field: &'static str,
-        /// What stands there.
+        /// The field's text.
         text: String,
     },
     /// A field must be a number from 1 to 1e9.
-    #[error("{field} is no number of 1 or more")]
-    NotPositive {
+    #[error("{field} is not a number from 1 to 1e9")]
+    OutOfRange {
         /// The field's path.
         field: String,
     },
-    /// The server's name may have letters, digits and `-_.` alone.
-    #[error("name is no plain word: {0}")]
+    /// The server's name may contain only ASCII letters, digits and `-_.`.
+    #[error("name may contain only ASCII letters, digits, hyphens, underscores and dots: {0}")]
     InvalidName(String),
     /// The admission module's settings are missing.
     #[error("settings are missing")]
     NoSettings,
     /// The admission module's settings must be an object.
-    #[error("settings are no object")]
+    #[error("settings are not an object")]
     SettingsNotObject,
-    /// There is no request class.
-    #[error("settings.profiles names no product")]
+    /// There are no request classes.
+    #[error("settings.profiles names no request class")]
     NoClasses,
-    /// Settings that can't be used, each with the reason.
+    /// Some of the admission module's settings are invalid; each with the reason.
     #[error("settings.{}", .0.join(", settings."))]
     InvalidSettings(Vec<String>),
-    /// There are too few sockets to serve.
-    #[error("limits.sockets is under {least}")]
+    /// The limit on sockets is too low to serve.
+    #[error("limits.sockets is less than {min}")]
     TooFewSockets {
-        /// The least number.
-        least: usize,
+        /// The lowest allowed limit.
+        min: usize,
     },
 }
--- a/crates/aldercrank-server/src/config/mod.rs
+++ b/crates/aldercrank-server/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration of a server: the platform's JSON file with two environment variables that stand in for missing
-//! fields, and the program's own service file.
+//! The configuration of a server. It is loaded from the platform's JSON file, with two environment variables as
+//! defaults for missing fields, and from the program's own service file.
 
 mod error;
 mod platform_file;
@@ -19,15 +19,15 @@
 /// How a server takes part in the versioned configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgreementConfig {
-    /// The version that the fleet starts from.
+    /// The configuration version that the fleet starts with.
     pub initial_version: VersionedConfig,
-    /// The directory of the server's durable state.
+    /// The directory for the server's durable state.
     pub state_dir: Option<PathBuf>,
     /// Whether proposed versions are read from the membership service.
     pub read_proposals: bool,
-    /// Addresses of committee members that differ from those in the version.
+    /// Addresses of committee members that replace those in the version.
     pub member_addresses: BTreeMap<String, SocketAddr>,
-    /// A fault injected by a check, so that the check is seen to find it; no file can set it.
+    /// A fault that a test injects to show that it is detected. No file can set it.
     pub injected_fault: Option<aldercrank_consensus::InjectedFault>,
 }
 
@@ -36,31 +36,31 @@
 pub struct Config {
     /// The server's name.
     pub name: String,
-    /// Where edge nodes connect.
+    /// The address that edge nodes connect to.
     pub listen: SocketAddr,
-    /// The worker pool.
+    /// The worker pool's address.
     pub pool: SocketAddr,
-    /// The membership service.
+    /// The membership service's address.
     pub members: SocketAddr,
-    /// The upstream dependency; none if no request class makes calls.
+    /// The upstream dependency's address. Required if any request class makes calls.
     pub index: Option<SocketAddr>,
-    /// The longest graceful shutdown: the process is killed after it.
+    /// The maximum duration of a graceful shutdown, after which the process is killed.
     pub stop: Duration,
-    /// The server's memory in bytes.
+    /// The server's memory limit in bytes.
     pub memory: usize,
-    /// The most sockets that the server may have open.
+    /// The maximum number of sockets that the server may have open.
     pub sockets: usize,
-    /// The longest result in bytes.
+    /// The maximum size of a result in bytes.
     pub result: usize,
     /// The platform's random seed for this start.
     pub seed: String,
-    /// The longest pause between failed load reports, where the service file gives it.
+    /// The maximum backoff between failed load reports, if the service file sets it.
     pub reports_longest: Option<Duration>,
-    /// Whether the service file asks for a log in JSON.
+    /// Whether the service file asks for JSON log lines.
     pub json_log: bool,
-    /// The versioned configuration, where the service file names one.
+    /// The versioned configuration, if the service file names one.
     pub agreement: Option<AgreementConfig>,
-    /// How this server starts, by the service file.
+    /// The start-up options from the service file.
     pub start: aldercrank_service_config::Start,
     /// The settings of the admission module.
     pub settings: Settings,
@@ -72,9 +72,12 @@
 }
 
 impl Config {
-    /// Reads the platform's file, `path` or the one that `ROUTER_CONFIG` names, and the service file, if one is given.
+    /// Loads the platform's file, which is `path` or the one that `ROUTER_CONFIG` names, and the service file, if one
+    /// is given.
     ///
-    /// An error names the first invalid field of the platform's file, or all faults of the service file.
+    /// # Errors
+    ///
+    /// Names the first invalid field of the platform's file, or all faults of the service file.
     pub fn load(path: Option<&str>, service: Option<&str>) -> Result<Config, ConfigError> {
         let variable = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
         let path = path.map(str::to_string).or_else(|| variable("ROUTER_CONFIG"));
--- a/crates/aldercrank-server/src/config/platform_file.rs
+++ b/crates/aldercrank-server/src/config/platform_file.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's JSON file.
+//! Parses the platform's JSON file.
 
 use super::{Config, PlatformConfigError};
 use serde_json::Value as Json;
@@ -7,7 +7,7 @@
 
 const MIN_SOCKETS: usize = 32;
 
-/// The file's fields, and the environment variables that stand in for missing ones.
+/// The file's fields, and the environment variables that are the defaults of missing ones.
 struct PlatformFile<'a, V> {
     json: &'a Json,
     variable: V,
@@ -22,7 +22,7 @@
         let given = match self.json.get(field) {
             Some(Json::String(text)) => Some(text.clone()),
             Some(Json::Null) | None => None,
-            Some(_) => return Err(PlatformConfigError::NotText { field }),
+            Some(_) => return Err(PlatformConfigError::NotString { field }),
         };
         let text = given.or_else(|| (self.variable)(variable?)).filter(|text| !text.is_empty());
         text.ok_or_else(|| PlatformConfigError::Missing { field: field.to_string() })
@@ -38,12 +38,12 @@
     }
 
     fn number(&self, field: &str) -> Result<f64, PlatformConfigError> {
-        positive(self.json.get(field), field)
+        number_in_range(self.json.get(field), field)
     }
 
     fn limit(&self, field: &str) -> Result<f64, PlatformConfigError> {
         let limit = self.json.get("limits").and_then(|limits| limits.get(field));
-        positive(limit, &format!("limits.{field}"))
+        number_in_range(limit, &format!("limits.{field}"))
     }
 
     fn name(&self) -> Result<String, PlatformConfigError> {
@@ -73,22 +73,24 @@
     fn sockets(&self) -> Result<usize, PlatformConfigError> {
         let sockets = self.limit("sockets")? as usize;
         if sockets < MIN_SOCKETS {
-            return Err(PlatformConfigError::TooFewSockets { least: MIN_SOCKETS });
+            return Err(PlatformConfigError::TooFewSockets { min: MIN_SOCKETS });
         }
         Ok(sockets)
     }
 }
 
-fn positive(value: Option<&Json>, field: &str) -> Result<f64, PlatformConfigError> {
+fn number_in_range(value: Option<&Json>, field: &str) -> Result<f64, PlatformConfigError> {
     let value = value.ok_or_else(|| PlatformConfigError::Missing { field: field.to_string() })?;
     let number = value.as_f64().filter(|number| (1.0..=1e9).contains(number));
-    number.ok_or_else(|| PlatformConfigError::NotPositive { field: field.to_string() })
+    number.ok_or_else(|| PlatformConfigError::OutOfRange { field: field.to_string() })
 }
 
 impl Config {
-    /// Reads the text of the platform's file. `variable` gives an environment variable's value.
+    /// Parses the text of the platform's file. `variable` returns an environment variable's value.
     ///
-    /// An error names the first field that is missing or invalid.
+    /// # Errors
+    ///
+    /// Names the first field that is missing or invalid.
     pub fn parse(
         text: &str,
         variable: impl Fn(&str) -> Option<String>,
--- a/crates/aldercrank-server/src/config/reload.rs
+++ b/crates/aldercrank-server/src/config/reload.rs
@@ -1,25 +1,25 @@
-//! Compares a configuration that is read while serving with the one in force.
+//! Compares a configuration that was reloaded while serving with the one in force.
 
 use super::Config;
 use aldercrank::{Settings, Value};
 use std::fmt;
 
-/// The setting that the admission module is built for; it can't change while serving.
+/// The setting that the admission module is built with; it can't change while serving.
 const CORES: &str = "family_info.cores";
 
-/// Why a configuration is another server's.
+/// Why a configuration belongs to another server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForeignConfig {
-    /// It names another server.
+    /// It has another server's name.
     Name {
-        /// The name that it gives.
+        /// The name in the configuration.
         offered: String,
         /// This server's name.
         own: String,
     },
     /// It has none of this server's request classes.
     Classes {
-        /// The classes that it names.
+        /// The classes in the configuration.
         offered: Vec<String>,
         /// This server's classes.
         own: Vec<String>,
@@ -30,17 +30,22 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ForeignConfig::Name { offered, own } => {
-                write!(f, "it names the server {offered}, and this is {own}")
+                write!(f, "it names the server {offered}, but this server is {own}")
             }
             ForeignConfig::Classes { offered, own } => {
-                write!(f, "it names the products {}, and here are {}", offered.join(", "), own.join(", "))
+                write!(
+                    f,
+                    "it names the request classes {}, but this server's are {}",
+                    offered.join(", "),
+                    own.join(", ")
+                )
             }
         }
     }
 }
 
 impl Config {
-    /// The fields that differ in a new configuration and can't change while serving.
+    /// Returns the fields that differ in a new configuration but can't change while serving.
     pub fn fixed(&self, new: &Config) -> Vec<&'static str> {
         let fields = [
             ("name", self.name == new.name),
@@ -52,13 +57,13 @@
             ("rules in the service file", self.agreement == new.agreement),
             ("start in the service file", self.start == new.start),
             ("cores of the settings", self.cores() == new.cores()),
-            ("products of the settings", self.request_classes() == new.request_classes()),
+            ("request classes of the settings", self.request_classes() == new.request_classes()),
         ];
         fields.into_iter().filter(|(_, same)| !same).map(|(name, _)| name).collect()
     }
 
-    /// Whether a new configuration is another server's, and by what. Its addresses would be another customer's, so
-    /// nothing of it may be applied.
+    /// Returns why a new configuration belongs to another server, if it does. Its addresses would be another
+    /// customer's, so no part of it may be applied.
     pub fn foreign(&self, new: &Config) -> Option<ForeignConfig> {
         if self.name != new.name {
             return Some(ForeignConfig::Name { offered: new.name.clone(), own: self.name.clone() });
@@ -75,13 +80,13 @@
         self.settings.number(CORES)
     }
 
-    /// The names of the request classes, in their order.
+    /// Returns the names of the request classes, in the order of the settings.
     fn request_classes(&self) -> Vec<&str> {
         (0..).map_while(|i| self.settings.text(&format!("profiles.{i}.name"))).collect()
     }
 
-    /// The settings of a new configuration that can be applied while serving; none if nothing differs or the request
-    /// classes do.
+    /// Returns the settings of a new configuration as far as they can be applied while serving. Returns none if no
+    /// setting differs, or if the request classes do.
     pub fn settings_of(&self, new: &Config) -> Option<Settings> {
         let mut settings = new.settings.clone();
         match self.cores() {
--- a/crates/aldercrank-server/src/core/mod.rs
+++ b/crates/aldercrank-server/src/core/mod.rs
@@ -95,7 +95,7 @@
     }
 
     /// Completes an event: notifies the admission module of the calls that were suppressed and the requests that ended
-    /// while it was at work.
+    /// during the event.
     fn notify_ended(&mut self) {
         self.notify_suppressed_calls();
         while let Some(EndedRequest { id, outcome }) = self.admission.host.ended.pop_front() {
--- a/crates/aldercrank-server/src/core/request.rs
+++ b/crates/aldercrank-server/src/core/request.rs
@@ -23,9 +23,9 @@
     Confirmed,
     /// Sent on the current link; the response to a poll with this tag or a later one proves that it was received.
     ConfirmedBy(u64),
-    /// Sent on a link that was lost.
+    /// Sent on a link that was lost before the response to such a poll.
     Unknown,
-    /// Not sent: there was no link.
+    /// Not sent: the link was down, or was lost before any byte was written.
     Unsent,
 }
 
--- a/crates/aldercrank-server/src/core/state.rs
+++ b/crates/aldercrank-server/src/core/state.rs
@@ -33,7 +33,8 @@
     pub(super) effect: Effect,
 }
 
-/// A request that ended while the admission module was at work; the module is notified once it has returned.
+/// A request that ended during an event. The admission module is notified at the end of the event, since it must not be
+/// called back while it is at work.
 pub(super) struct EndedRequest {
     pub(super) id: RequestId,
     pub(super) outcome: Outcome,
@@ -69,9 +70,9 @@
     pub(super) lease: Lease,
     /// This server's quota of upstream calls, if the configuration version gives one.
     pub(super) upstream_quota: Option<f64>,
-    /// Calls that were not permitted (`may_call`); the admission module is notified once it has returned.
+    /// Calls that were not permitted (`may_call`); the admission module is notified at the end of the event.
     pub(super) suppressed_calls: VecDeque<RequestId>,
-    /// Requests that ended while the admission module was at work.
+    /// Requests that ended during the current event.
     pub(super) ended: VecDeque<EndedRequest>,
 }
 
--- a/crates/aldercrank-server/src/logger.rs
+++ b/crates/aldercrank-server/src/logger.rs
@@ -75,7 +75,7 @@
 }
 
 impl EventFields {
-    fn field(&mut self, field: &Field, value: Value) {
+    fn record_value(&mut self, field: &Field, value: Value) {
         match (field.name(), value) {
             ("message", Value::String(message)) => self.message = message,
             (name, value) => self.fields.push((name, value)),
@@ -85,22 +85,22 @@
 
 impl Visit for EventFields {
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.field(field, value.into());
+        self.record_value(field, value.into());
     }
     fn record_bool(&mut self, field: &Field, value: bool) {
-        self.field(field, value.into());
+        self.record_value(field, value.into());
     }
     fn record_u64(&mut self, field: &Field, value: u64) {
-        self.field(field, value.into());
+        self.record_value(field, value.into());
     }
     fn record_i64(&mut self, field: &Field, value: i64) {
-        self.field(field, value.into());
+        self.record_value(field, value.into());
     }
     fn record_f64(&mut self, field: &Field, value: f64) {
-        self.field(field, value.into());
+        self.record_value(field, value.into());
     }
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
-        self.field(field, format!("{value:?}").into());
+        self.record_value(field, format!("{value:?}").into());
     }
 }
 
--- a/crates/aldercrank-server/src/main.rs
+++ b/crates/aldercrank-server/src/main.rs
@@ -50,8 +50,7 @@
             .optional()
     };
     let service = || {
-        let help =
-            "the program's own settings (example: deploy/service.kdl); their features are off without it";
+        let help = "the program's own settings (example: deploy/service.kdl); all are off without it";
         long("service").help(help).argument::<String>("FILE").optional()
     };
     let (log, file, service_file) = (log_options(), config(), service());
--- a/crates/aldercrank-server/tests/suite/config.rs
+++ b/crates/aldercrank-server/tests/suite/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration and the service file.
+//! Loading of the platform's file and the service file.
 
 use aldercrank_server::config::Config;
 use std::time::Duration;
@@ -33,7 +33,7 @@
         let why = error.map(|error| error.to_string()).unwrap_or_default();
         assert!(why.contains(field) && why.lines().count() == 1, "{to}: {why}");
     }
-    // Without upstream calls no index is needed.
+    // The upstream dependency's address is needed only if request classes make calls.
     let without = good.replace("\"index\"", "\"x\"");
     assert!(Config::parse(&without, no_variable).err().unwrap().to_string().contains("index"));
     let without_calls =
@@ -47,7 +47,7 @@
 fn a_service_file_is_applied_or_all_its_faults_are_named() {
     let dir = std::env::temp_dir();
     let path = |name: &str| dir.join(format!("aldercrank-{}-{name}", std::process::id()));
-    let (config, service) = (path("tables.json"), path("tables.kdl"));
+    let (config, service) = (path("platform.json"), path("service.kdl"));
     std::fs::write(&config, include_str!("../../../../examples/config.json")).unwrap();
     let load = |text: &str| {
         std::fs::write(&service, text).unwrap();
@@ -57,16 +57,16 @@
     assert_eq!(load("").unwrap().result, 256 * 1024);
     let why = load("results {\n    longest-kb 0\n}\nresult\n").err().unwrap();
     assert!(
-        why.contains("tables.kdl:2:16: longest-kb takes") && why.contains("tables.kdl:4:1: result is not")
+        why.contains("service.kdl:2:16: longest-kb takes") && why.contains("service.kdl:4:1: result is not")
     );
     std::fs::remove_file(&service).unwrap();
     assert!(Config::load(config.to_str(), service.to_str())
         .err()
         .unwrap()
         .to_string()
-        .contains("tables.kdl"));
+        .contains("service.kdl"));
     // A field of the wrong type is not reported as missing.
     let text = include_str!("../../../../examples/config.json").replace("\"n1\"", "3");
-    assert_eq!(Config::parse(&text, |_| None).err().unwrap().to_string(), "name is no text");
+    assert_eq!(Config::parse(&text, |_| None).err().unwrap().to_string(), "name is not a string");
     std::fs::remove_file(&config).unwrap();
 }
--- a/crates/aldercrank-server/tests/suite/golden_config.rs
+++ b/crates/aldercrank-server/tests/suite/golden_config.rs
@@ -1,4 +1,4 @@
-//! Golden files of the platform's JSON configuration: each form with its decoded fields and settings, or its error.
+//! Golden files of the platform's JSON file: for each variation, the decoded fields and settings, or the error.
 
 use crate::compare;
 use aldercrank::Value;
@@ -12,7 +12,7 @@
     value.map_or("none".to_string(), |value| format!("{value:?}"))
 }
 
-/// A setting with its kind.
+/// Formats a setting with its type.
 pub fn setting(value: &Value) -> String {
     match value {
         Value::Number(n) => format!("number {n:?}"),
@@ -21,7 +21,7 @@
     }
 }
 
-/// The fields outside the settings, by the file's own names.
+/// Formats the fields other than the settings, by their names in the file.
 fn fields(config: &Config) -> String {
     let mut lines = format!("  name {:?}\n  listen {}\n", config.name, config.listen);
     writeln!(lines, "  pool {}\n  members {}", config.pool, config.members).unwrap();
@@ -32,7 +32,7 @@
     lines + &service_fields(config)
 }
 
-/// The fields that the service file sets.
+/// Formats the fields that the service file sets.
 pub fn service_fields(config: &Config) -> String {
     let mut lines = format!("  longest result {} bytes\n", config.result);
     writeln!(lines, "  longest between reports {}", or_none(config.reports_longest)).unwrap();
@@ -43,12 +43,20 @@
 }
 
 fn versioned_config(config: &Config) -> String {
-    let Some(rules) = &config.agreement else { return "  rules: none\n".to_string() };
-    let mut lines =
-        format!("  rules: version {} ({})\n", rules.initial_version.number, rules.initial_version.digest());
-    writeln!(lines, "  rules: dir {}, read-list {}", or_none(rules.state_dir.as_ref()), rules.read_proposals)
-        .unwrap();
-    for (member, address) in &rules.member_addresses {
+    let Some(agreement) = &config.agreement else { return "  rules: none\n".to_string() };
+    let mut lines = format!(
+        "  rules: version {} ({})\n",
+        agreement.initial_version.number,
+        agreement.initial_version.digest()
+    );
+    writeln!(
+        lines,
+        "  rules: dir {}, read-list {}",
+        or_none(agreement.state_dir.as_ref()),
+        agreement.read_proposals
+    )
+    .unwrap();
+    for (member, address) in &agreement.member_addresses {
         writeln!(lines, "  rules: reach {member:?} at {address}").unwrap();
     }
     lines
@@ -62,7 +70,8 @@
     lines
 }
 
-/// The example with this put, by a JSON pointer, in place of what stands there; null takes it away.
+/// Returns the example with each value set at its JSON pointer. Null removes the field or item, and the last part `-`
+/// appends to an array.
 pub fn changed(changes: &[(&str, Json)]) -> String {
     let mut json: Json = serde_json::from_str(EXAMPLE).unwrap();
     for (pointer, value) in changes {
@@ -73,18 +82,18 @@
             Json::Array(items) if last == "-" => items.push(value.clone()),
             Json::Array(items) if value.is_null() => drop(items.remove(last.parse().unwrap())),
             Json::Array(items) => items[last.parse::<usize>().unwrap()] = value.clone(),
-            other => panic!("{pointer}: nothing can be put into {other}"),
+            other => panic!("{pointer}: can't set a value in {other}"),
         }
     }
     json.to_string()
 }
 
-/// What a change does, as a line: `/limits/sockets = 31`.
+/// Describes each change by a line such as `/limits/sockets = 31`.
 fn described(changes: &[(&str, Json)]) -> String {
     changes.iter().map(|(pointer, value)| format!("{pointer} = {value}\n")).collect()
 }
 
-/// Stands in for what a configuration lacks.
+/// The environment variables that are the defaults of missing fields.
 fn variables(name: &str) -> Option<String> {
     match name {
         "ROUTER_NAME" => Some("from-variable".to_string()),
@@ -97,11 +106,11 @@
     None
 }
 
-/// The fields of a good one, or the error's text.
+/// Returns the fields of a valid configuration, or the error's text.
 fn outcome(text: &str, variable: fn(&str) -> Option<String>) -> String {
     match Config::parse(text, variable) {
         Ok(config) => fields(&config),
-        Err(why) => format!("  error: {why}\n"),
+        Err(error) => format!("  error: {error}\n"),
     }
 }
 
@@ -118,13 +127,13 @@
         "extra": [null, true, "x", 1.25], "profiles": [{"name": "p", "points": 2}]}});
     let built = match Config::parse(&small.to_string(), variables) {
         Ok(config) => decoded(&config),
-        Err(why) => why.to_string(),
+        Err(error) => error.to_string(),
     };
     compare::check("config/small.txt", &format!("{small}\n--\n{built}"));
 }
 
-/// Allowed forms, other than the example's.
-fn good_changes() -> Vec<Vec<(&'static str, Json)>> {
+/// Changes of the example that give a valid configuration.
+fn valid_changes() -> Vec<Vec<(&'static str, Json)>> {
     vec![
         vec![("/seed", json!(null))],
         vec![("/seed", json!(7))],
@@ -141,8 +150,8 @@
     ]
 }
 
-/// Forms that can't be served, each with one field wrong or missing.
-fn bad_changes() -> Vec<Vec<(&'static str, Json)>> {
+/// Changes of the example that give an invalid configuration.
+fn invalid_changes() -> Vec<Vec<(&'static str, Json)>> {
     let mut all: Vec<Vec<(&str, Json)>> = Vec::new();
     for field in ["/name", "/listen", "/pool", "/members", "/index", "/stop_ms", "/limits", "/settings"] {
         all.push(vec![(field, json!(null))]);
@@ -160,11 +169,11 @@
     all.push(vec![("/index", json!("here")), ("/settings/family_info/below", json!("none"))]);
     all.push(vec![("/settings", json!([]))]);
     all.push(vec![("/settings", json!({}))]);
-    all.extend(senseless_settings());
+    all.extend(invalid_settings());
     all
 }
 
-fn senseless_settings() -> Vec<Vec<(&'static str, Json)>> {
+fn invalid_settings() -> Vec<Vec<(&'static str, Json)>> {
     let class = json!({"name": "map-extract", "effect": "retryable"});
     vec![
         vec![("/settings/profiles", json!([]))],
@@ -183,7 +192,7 @@
     ]
 }
 
-fn blocks(all: &[Vec<(&str, Json)>], variable: fn(&str) -> Option<String>) -> String {
+fn sections(all: &[Vec<(&str, Json)>], variable: fn(&str) -> Option<String>) -> String {
     let one = |changes: &Vec<(&str, Json)>| {
         format!("== {}--\n{}\n", described(changes), outcome(&changed(changes), variable))
     };
@@ -191,26 +200,26 @@
 }
 
 #[test]
-fn other_allowed_forms_decode_as_recorded() {
-    compare::check("config/allowed-forms.txt", &blocks(&good_changes(), no_variable));
+fn valid_changes_of_the_example_decode_as_recorded() {
+    compare::check("config/allowed-forms.txt", &sections(&valid_changes(), no_variable));
 }
 
 #[test]
-fn errors_of_malformed_forms_are_as_recorded() {
-    compare::check("config/errors.txt", &blocks(&bad_changes(), no_variable));
+fn errors_of_invalid_changes_are_as_recorded() {
+    compare::check("config/errors.txt", &sections(&invalid_changes(), no_variable));
 }
 
 #[test]
-fn variables_stand_in_for_the_recorded_fields() {
+fn environment_variables_replace_missing_fields_as_recorded() {
     let fields = ["/name", "/listen", "/pool", "/members", "/index"];
     let mut all: Vec<Vec<(&str, Json)>> = fields.iter().map(|field| vec![(*field, json!(null))]).collect();
     all.extend(["/name", "/listen"].map(|field| vec![(field, json!(""))]));
     all.extend(["/name", "/listen"].map(|field| vec![(field, json!(5))]));
-    compare::check("config/variables.txt", &blocks(&all, variables));
+    compare::check("config/variables.txt", &sections(&all, variables));
 }
 
 #[test]
-fn errors_of_texts_that_are_no_json_are_as_recorded() {
+fn errors_of_invalid_json_are_as_recorded() {
     let texts =
         ["", "{", "[]", "7", "{\"name\": }", "{\"name\": \"a\",}", "not json", "{} {}", "{\"name\": NaN}"];
     let one = |text: &&str| format!("== {text}\n--\n{}\n", outcome(text, no_variable));
--- a/crates/aldercrank-server/tests/suite/golden_reload.rs
+++ b/crates/aldercrank-server/tests/suite/golden_reload.rs
@@ -1,5 +1,5 @@
-//! Golden file of what a reload compares: for each change, the fields that can't change while serving, whether the
-//! configuration is another server's, and which settings hold from now on.
+//! Golden files of the comparison at a reload: for each change, the fields that can't change while serving, whether the
+//! configuration belongs to another server, and which settings change.
 
 use crate::compare;
 use crate::golden_config::{changed, setting};
@@ -16,13 +16,13 @@
 }
 ";
 
-/// What differs between two sets of settings.
+/// Lists what differs between two sets of settings.
 fn differences(before: &Settings, after: &Settings) -> String {
     let mut lines = String::new();
     for (name, value) in &after.0 {
         if before.0.get(name) != Some(value) {
-            let was = before.0.get(name).map_or("absent".to_string(), setting);
-            writeln!(lines, "    {name}: {was} -> {}", setting(value)).unwrap();
+            let previous = before.0.get(name).map_or("absent".to_string(), setting);
+            writeln!(lines, "    {name}: {previous} -> {}", setting(value)).unwrap();
         }
     }
     for name in before.0.keys().filter(|name| !after.0.contains_key(*name)) {
@@ -83,42 +83,42 @@
 fn a_reload_of_the_platforms_file_compares_as_recorded() {
     let old = parsed(&[]);
     let mut built = String::new();
-    for one in changes() {
+    for change in changes() {
         let described: Vec<String> =
-            one.iter().map(|(pointer, value)| format!("{pointer} = {value}")).collect();
-        writeln!(built, "== {}\n{}", described.join(", "), compared(&old, &parsed(&one))).unwrap();
+            change.iter().map(|(pointer, value)| format!("{pointer} = {value}")).collect();
+        writeln!(built, "== {}\n{}", described.join(", "), compared(&old, &parsed(&change))).unwrap();
     }
     let without_cores = parsed(&[("/settings/family_info/cores", json!(null))]);
     writeln!(built, "== from no cores to some\n{}", compared(&without_cores, &old)).unwrap();
     compare::check("config/reload.txt", &built);
 }
 
-/// A directory with a configuration and rule books, which is removed when it is dropped.
-struct Folder(PathBuf);
+/// A temporary directory with a configuration and configuration versions, removed on drop.
+struct ConfigDir(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
-        let folder = std::env::temp_dir().join(format!("golden-reload-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        std::fs::write(folder.join("config.json"), changed(&[])).unwrap();
-        std::fs::write(folder.join("rules.kdl"), VERSION).unwrap();
-        std::fs::write(folder.join("rules-9.kdl"), VERSION.replace("rules 8", "rules 9")).unwrap();
-        std::fs::write(folder.join("misfit.kdl"), VERSION.replace("licence-buy", "never-sold")).unwrap();
-        std::fs::write(folder.join("bad.kdl"), VERSION.replace("points 5", "pionts 5")).unwrap();
-        Folder(folder)
+impl ConfigDir {
+    fn new() -> ConfigDir {
+        let dir = std::env::temp_dir().join(format!("golden-reload-{}", std::process::id()));
+        std::fs::create_dir_all(&dir).unwrap();
+        std::fs::write(dir.join("config.json"), changed(&[])).unwrap();
+        std::fs::write(dir.join("rules.kdl"), VERSION).unwrap();
+        std::fs::write(dir.join("rules-9.kdl"), VERSION.replace("rules 8", "rules 9")).unwrap();
+        std::fs::write(dir.join("misfit.kdl"), VERSION.replace("licence-buy", "never-sold")).unwrap();
+        std::fs::write(dir.join("bad.kdl"), VERSION.replace("points 5", "pionts 5")).unwrap();
+        ConfigDir(dir)
     }
 
-    /// Loads the configuration with this service file; the error names the folder as FOLDER.
+    /// Loads the configuration with this service file. `FOLDER` stands for the directory in the file and in the error.
     fn load(&self, service: &str) -> Result<Config, String> {
         let text = service.replace("FOLDER", self.0.to_str().unwrap());
         std::fs::write(self.0.join("service.kdl"), text).unwrap();
         let path = |name: &str| self.0.join(name).to_str().unwrap().to_string();
         let loaded = Config::load(Some(&path("config.json")), Some(&path("service.kdl")));
-        loaded.map_err(|why| why.to_string().replace(self.0.to_str().unwrap(), "FOLDER"))
+        loaded.map_err(|error| error.to_string().replace(self.0.to_str().unwrap(), "FOLDER"))
     }
 }
 
-impl Drop for Folder {
+impl Drop for ConfigDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -143,13 +143,13 @@
 
 #[test]
 fn a_reload_of_the_service_file_compares_as_recorded() {
-    let folder = Folder::new();
+    let dir = ConfigDir::new();
     let (without_version, with_version) =
-        (folder.load(SERVICE_FILES[0]).unwrap(), folder.load(SERVICE_FILES[6]).unwrap());
+        (dir.load(SERVICE_FILES[0]).unwrap(), dir.load(SERVICE_FILES[6]).unwrap());
     let mut built = String::new();
     for service in SERVICE_FILES {
-        let outcome = match folder.load(service) {
-            Err(why) => format!("  error: {why}\n"),
+        let outcome = match dir.load(service) {
+            Err(error) => format!("  error: {error}\n"),
             Ok(new) => format!(
                 "{}  against no service file:\n{}  against rules alone:\n{}",
                 crate::golden_config::service_fields(&new),
