--- a/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
@@ -1,4 +1,4 @@
-//! Requests whose callers go leave nothing in the tables.
+//! Requests whose callers have gone leave no entries in the tables.
 
 use super::scenario::{settings, MS};
 use aldercrank::{IncomingRequest, Outcome, RequestId};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Ports without any effect.
+/// Ports whose actions have no effect.
 struct NoPorts;
 
 impl Ports for NoPorts {
@@ -53,7 +53,8 @@
         let attempt = AttemptId::new(&format!("{n:016x}")).unwrap();
         let reply_to = ReplyTo { conn: ConnId(n), call: MessageId(1) };
         receive(&mut core, now, attempt, reply_to);
-        // The caller goes while it runs, its connection is lost while a call is outstanding or it runs, or it ends.
+        // The caller goes during the run; the connection is lost during an upstream call, or during the run without
+        // one; or the run ends first.
         match n % 4 {
             0 => core.caller_gone(now, reply_to),
             1 => {
@@ -71,7 +72,7 @@
             "after {n}"
         );
     }
-    // And while requests are queued: more than may run at once, all on one connection.
+    // The same while requests are queued: more than may run at once, all on one connection.
     for n in 0..500u32 {
         let attempt = AttemptId::new(&format!("{:016x}", 200_000 + n)).unwrap();
         let reply_to = ReplyTo { conn: ConnId(7), call: MessageId(n) };
@@ -79,7 +80,7 @@
     }
     assert!(core.requests_in_flight() > 8);
     core.connection_lost(now, ConnId(7));
-    // The pool ends what runs; nothing is queued, and no response is owed.
+    // The pool ends the runs; no request is queued, and no response is owed.
     for n in 0..500u32 {
         let attempt = AttemptId::new(&format!("{:016x}", 200_000 + n)).unwrap();
         core.run_ended(now, attempt, Outcome::Cancelled, MS, Payload::Transient(b""));
--- a/crates/aldercrank-server/tests/suite/core/generated_events.rs
+++ b/crates/aldercrank-server/tests/suite/core/generated_events.rs
@@ -1,15 +1,15 @@
-//! Invariants on generated events: each request has one response, none is lost, a keyed request runs once in its
-//! window, and no request is rejected after it ran.
+//! Invariants on generated events: no request is left without a response or answered twice, a keyed request runs at
+//! most once in its window, and no request is rejected after it ran.
 
 use super::scenario::{settings, Scenario, MS};
 use super::world::{RunState, WINDOW};
 use aldercrank::Outcome;
 use quickcheck::{Gen, QuickCheck, TestResult};
 
-/// An event, chosen by its first part: which request or run it concerns, and how long or how many.
+/// A generated event: the action, the selector of the request or run concerned, and an amount such as a duration.
 type Step = (u8, u8, u16);
 
-fn step(scenario: &mut Scenario, (action, selector, amount): Step) {
+fn apply_step(scenario: &mut Scenario, (action, selector, amount): Step) {
     use Outcome::{Cancelled, Completed, ConnectionLost, Failed, Rejected};
     match action % 18 {
         0..=4 => {
@@ -20,8 +20,8 @@
         7 => scenario.receive_notices(usize::from(selector % 3)),
         8 | 9 => {
             if let Some(attempt) = scenario.nth_run(selector, |r| *r == RunState::Running) {
-                let how = if amount % 7 == 0 { Failed } else { Completed };
-                scenario.world_mut().end_run(attempt, how);
+                let outcome = if amount % 7 == 0 { Failed } else { Completed };
+                scenario.world_mut().end_run(attempt, outcome);
             }
         }
         10 => {
@@ -47,12 +47,12 @@
             scenario.core.renew_lease(now, full, full + MS * u32::from(selector) * 20);
         }
         16 if selector < 160 => {
-            // The window grows and shrinks; an entry keeps the longer one, which the model checks.
+            // The window grows and shrinks; an entry keeps the longest one, which the model checks.
             let mut settings = settings();
             let window = WINDOW.as_micros() as f64 * (1.0 + f64::from(amount % 3));
             settings.set("profiles.1.window", aldercrank::Value::Number(window));
-            let share = [None, Some(0.0), Some(3.0)][usize::from(selector % 3)];
-            scenario.core.apply_version(scenario.now(), &settings, u64::from(amount), share);
+            let upstream_quota = [None, Some(0.0), Some(3.0)][usize::from(selector % 3)];
+            scenario.core.apply_version(scenario.now(), &settings, u64::from(amount), upstream_quota);
         }
         13 => scenario.lose_link_with_unwritten(usize::from(selector % 4), usize::from(selector / 4 % 5)),
         14 => scenario.restore_link(),
@@ -66,8 +66,8 @@
 
 fn invariants_hold(steps: Vec<Step>) -> TestResult {
     let mut scenario = Scenario::new();
-    for event in steps {
-        step(&mut scenario, event);
+    for step in steps {
+        apply_step(&mut scenario, step);
     }
     scenario.restore_link();
     for _ in 0..60 {
@@ -80,9 +80,9 @@
     let (owed, in_flight) = (scenario.core.responses_owed(), scenario.core.requests_in_flight());
     let mut world = scenario.world_mut();
     if owed + in_flight > 0 {
-        world
-            .violations
-            .push(format!("{owed} responses owed and {in_flight} requests in flight when all is over"));
+        world.violations.push(format!(
+            "{owed} responses owed and {in_flight} requests in flight after all runs have ended"
+        ));
     }
     world.violations.first().map_or(TestResult::passed(), TestResult::error)
 }
--- a/crates/aldercrank-server/tests/suite/core/pool_link.rs
+++ b/crates/aldercrank-server/tests/suite/core/pool_link.rs
@@ -1,11 +1,11 @@
-//! The link to the worker pool is lost and restored, or the pool restarts.
+//! Loss and restoration of the link to the worker pool, and restarts of the pool.
 
 use super::scenario::{Scenario, MS};
 use super::world::{Command, RunState};
 use aldercrank::Outcome;
 
 #[test]
-fn a_start_of_unknown_delivery_runs_once_and_frees_its_slot_after_the_response() {
+fn a_start_of_unknown_delivery_runs_at_most_once_and_frees_its_slot_after_the_response() {
     for commands_received in [0, 9] {
         let mut scenario = Scenario::new();
         let (keyed, read) = (scenario.receive(Some(1), MS * 1000, MS), scenario.receive(None, MS * 1000, MS));
@@ -13,7 +13,7 @@
         scenario.restore_link();
         scenario.exchange();
         let started = usize::from(commands_received > 0);
-        // The read may be started again; the keyed request is left alone until it fails.
+        // The start of the read is sent again; that of the keyed request is not until the request has failed.
         assert_eq!(scenario.world().runs.len(), 1 + started);
         scenario.advance(MS * 1200);
         assert_eq!((scenario.responses(keyed), scenario.responses(read)), (1, 1));
@@ -28,7 +28,7 @@
 fn start_commands_not_written_before_the_link_was_lost_are_sent_again() {
     let mut scenario = Scenario::new();
     let replies_owed = [1, 2, 3].map(|token| scenario.receive(Some(token), MS * 1500, MS));
-    // The first was received, the second lost on the way, the third never written.
+    // The first start command was received, the second written but lost, the third not written.
     scenario.lose_link_with_unwritten(1, 1);
     scenario.restore_link();
     scenario.exchange();
@@ -62,25 +62,25 @@
 
 #[test]
 fn a_call_result_waits_for_the_link_and_a_skipped_call_is_sent_again() {
-    for how in [Outcome::Completed, Outcome::TimedOut] {
+    for outcome in [Outcome::Completed, Outcome::TimedOut] {
         let mut scenario = Scenario::new();
         let read = scenario.receive(None, MS * 2500, MS);
         scenario.exchange();
         let attempt = scenario.attempt(read);
         scenario.await_call(attempt);
         scenario.exchange();
-        if how == Outcome::Completed {
+        if outcome == Outcome::Completed {
             scenario.lose_link(0);
-            scenario.end_call(0, how);
+            scenario.end_call(0, outcome);
         } else {
-            // Skipped when no time is left, but the link is lost before the pool has received that.
+            // The call is skipped when no time is left, but the link is lost before the pool has received the command.
             scenario.advance(MS * 600);
-            scenario.end_call(0, how);
+            scenario.end_call(0, outcome);
             scenario.lose_link(0);
         }
         scenario.restore_link();
         scenario.exchange();
-        assert_eq!(scenario.nth_run(0, |r| *r == RunState::Running), Some(attempt), "{how:?}");
+        assert_eq!(scenario.nth_run(0, |r| *r == RunState::Running), Some(attempt), "{outcome:?}");
     }
 }
 
@@ -96,7 +96,7 @@
     scenario.advance(MS * 8);
     assert_eq!(polls(&scenario), 1, "before the tick at 30 ms");
     scenario.advance(MS * 200);
-    assert_eq!(polls(&scenario), 1, "none while one is unanswered");
+    assert_eq!(polls(&scenario), 1, "none while one is outstanding");
     scenario.exchange();
     scenario.advance(MS * 30);
     assert_eq!(polls(&scenario), 1);
--- a/crates/aldercrank-server/tests/suite/core/requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their receipt to their response.
+//! Handling of requests from their receipt to their response.
 
 use super::scenario::{settings, Scenario, MS};
 use super::world::{FakePorts, RequestRecord};
@@ -57,12 +57,12 @@
         scenario.exchange();
         assert_eq!((scenario.responses(reply_to), scenario.world().runs.len()), (1, 1), "{class}");
     }
-    // A run that the pool does not know is over, and its slot is free.
+    // A run that the pool does not know has ended, and its slot is free.
     let unknown = scenario.receive(None, MS * 2000, MS);
     let attempt = scenario.attempt(unknown);
     scenario.core.run_unknown(scenario.now(), attempt);
     assert_eq!((scenario.responses(unknown), scenario.core.requests_in_flight()), (1, 1));
-    // Notices for unknown ids change nothing.
+    // Notices with unknown ids change nothing.
     let unknown_attempt = AttemptId::new("ffffffffffffffff").unwrap();
     scenario.core.run_ended(
         scenario.now(),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_lost_connection_cancels_its_callers_and_a_drain_leaves_no_response_owed() {
+fn a_lost_connection_cancels_its_requests_and_a_drain_leaves_no_response_owed() {
     let mut scenario = Scenario::new();
     let replies_owed: Vec<ReplyTo> = (0..9).map(|_| scenario.receive(None, MS * 3000, MS)).collect();
     let now = scenario.now();
@@ -93,9 +93,10 @@
     scenario.core.drain(now, now + MS * 1500);
     scenario.advance(MS * 1100);
     let late = scenario.receive(None, MS * 3000, MS);
-    assert_eq!(scenario.responses(late), 1, "came too late in the shutdown");
+    assert_eq!(scenario.responses(late), 1, "arrived too late in the shutdown");
     scenario.advance(MS * 400);
     assert_eq!((scenario.core.responses_owed(), scenario.world().violations.len()), (0, 0));
+    // With a cold worker pool the load hint is set at the first tick.
     let mut cold_settings = settings();
     cold_settings.set("family_info.cold", Value::Flag(true));
     let ports = FakePorts::default();
@@ -104,10 +105,10 @@
 }
 
 #[test]
-fn a_callers_wrong_clock_does_not_make_a_server_unhealthy() {
+fn a_caller_with_a_wrong_clock_does_not_make_a_server_unhealthy() {
     let mut scenario = Scenario::new();
     scenario.advance(MS * 500);
-    // It arrived in 1970 by its own clock: it is rejected as long gone, and proves no slow reading.
+    // By its caller's clock it was sent in 1970. It is rejected as expired, and is no evidence of slow reading.
     let reply_to = ReplyTo { conn: ConnId(8), call: MessageId(1) };
     let attempt = AttemptId::new("00000000000000aa").unwrap();
     let (arrived, deadline) = (Duration::ZERO, scenario.now());
@@ -142,8 +143,9 @@
 }
 
 #[test]
-fn requests_with_an_invented_age_do_not_make_a_server_that_reads_at_once_unhealthy() {
-    // Each is sent with the time of the first attempt, so that it seems to have waited unread for two seconds.
+fn requests_with_a_wrong_age_do_not_make_a_server_that_reads_promptly_unhealthy() {
+    // Each carries the time of its first attempt, so it seems to have waited unread for two seconds. Only where the
+    // server itself may have left it unread that long is the server unhealthy.
     for (unread, healthy) in [(MS, true), (MS * 2000, false)] {
         let mut scenario = Scenario::new();
         scenario.advance(MS * 2500);
--- a/crates/aldercrank-server/tests/suite/core/scenario.rs
+++ b/crates/aldercrank-server/tests/suite/core/scenario.rs
@@ -52,16 +52,16 @@
         self.world().now
     }
 
-    /// The attempt id of a request.
+    /// Returns the attempt id of a request.
     pub fn attempt(&self, reply_to: ReplyTo) -> AttemptId {
         self.world().requests[&reply_to].attempt
     }
 
-    /// The core receives a request with `left` until its deadline.
-    pub fn receive(&mut self, token: Option<u8>, left: Duration, unread_time: Duration) -> ReplyTo {
+    /// Has the core receive a request with `time_left` until its deadline.
+    pub fn receive(&mut self, token: Option<u8>, time_left: Duration, unread_time: Duration) -> ReplyTo {
         self.requests_made += 1;
         let (now, call) = (self.now(), self.requests_made);
-        let (arrived, deadline) = (now.saturating_sub(unread_time), now + left);
+        let (arrived, deadline) = (now.saturating_sub(unread_time), now + time_left);
         let attempt = AttemptId::new(&format!("{call:016x}")).unwrap();
         let reply_to = ReplyTo { conn: ConnId(call % 3), call: MessageId(call) };
         let body = vec![call as u8; 3];
@@ -94,7 +94,7 @@
         reply_to
     }
 
-    /// The pool receives all commands, and the core all notices.
+    /// Delivers all commands to the pool, and all notices and poll responses to the core.
     pub fn exchange(&mut self) {
         for _ in 0..4 {
             while self.world().link_up {
@@ -106,10 +106,10 @@
         }
     }
 
-    /// The core receives this many answers of the pool at most.
-    pub fn receive_notices(&mut self, most: usize) {
+    /// Delivers at most this many notices and poll responses to the core.
+    pub fn receive_notices(&mut self, max: usize) {
         let now = self.now();
-        for _ in 0..most.min(10_000) {
+        for _ in 0..max.min(10_000) {
             let next = {
                 let mut world = self.world_mut();
                 if !world.link_up {
@@ -129,8 +129,8 @@
             };
             match next {
                 Err(tag) => self.core.metrics_received(now, tag, &[0.5, 1.0]),
-                Ok((_, Notice::Ended(attempt, how, bytes))) => {
-                    self.core.run_ended(now, attempt, how, MS * 100, Payload::Transient(&bytes))
+                Ok((_, Notice::Ended(attempt, outcome, bytes))) => {
+                    self.core.run_ended(now, attempt, outcome, MS * 100, Payload::Transient(&bytes))
                 }
                 Ok((n, Notice::Blocked(attempt, body))) => {
                     self.core.call_needed(now, attempt, NoticeNumber(n), &body)
@@ -139,12 +139,14 @@
         }
     }
 
-    /// The link is lost after the pool has received this many commands; its latest answers are lost.
+    /// Loses the link after the pool has received this many commands. Poll responses that the core has not received
+    /// are lost.
     pub fn lose_link(&mut self, received: usize) {
         self.lose_link_with_unwritten(received, usize::MAX);
     }
 
-    /// The same, and of the commands after the next `written` no byte was written.
+    /// Loses the link as `lose_link` does. Of the commands that the pool has not received, the first `written` were
+    /// written, and no byte of the others.
     pub fn lose_link_with_unwritten(&mut self, received: usize, written: usize) {
         for _ in 0..received {
             let command = self.world_mut().commands.pop_front();
@@ -164,14 +166,14 @@
         self.core.pool_lost(self.now(), unwritten);
     }
 
-    /// The link is up again, if it was lost.
+    /// Restores the link if it was lost.
     pub fn restore_link(&mut self) {
         if !std::mem::replace(&mut self.world_mut().link_up, true) {
             self.core.pool_bound(self.now());
         }
     }
 
-    /// Time passes, and timers fire. A request without a response well after its deadline is a violation.
+    /// Advances the time and fires timers. A request without a response 110 ms after its deadline is a violation.
     pub fn advance(&mut self, span: Duration) {
         let end = self.now() + span;
         while self.now() < end {
@@ -183,15 +185,16 @@
                 self.core.timer_fired(next, timer);
             }
             let mut world = self.world_mut();
-            let late =
-                |s: &&RequestRecord| s.responses == 0 && !s.caller_gone && next > s.deadline + MS * 110;
-            if let Some(attempt) = world.requests.values().find(late).map(|s| s.attempt) {
+            let is_late = |record: &&RequestRecord| {
+                record.responses == 0 && !record.caller_gone && next > record.deadline + MS * 110
+            };
+            if let Some(attempt) = world.requests.values().find(is_late).map(|record| record.attempt) {
                 world.violations.push(format!("{attempt} got no response"));
             }
         }
     }
 
-    /// A run in such a state, chosen by `selector`.
+    /// Returns a candidate among the runs, chosen by `selector`.
     pub fn nth_run(&self, selector: u8, is_candidate: impl Fn(&RunState) -> bool) -> Option<AttemptId> {
         let world = self.world();
         let all: Vec<AttemptId> =
@@ -199,7 +202,7 @@
         all.get(usize::from(selector) % all.len().max(1)).copied()
     }
 
-    /// A run waits for a call whose body is the number of its notice.
+    /// Makes a run wait for a call whose body is the number of its notice.
     pub fn await_call(&mut self, attempt: AttemptId) {
         let mut world = self.world_mut();
         let n = world.notices.len() as u64 + 1;
@@ -207,8 +210,8 @@
         world.notices.push(Notice::Blocked(attempt, n.to_string().into_bytes()));
     }
 
-    /// An outstanding call, chosen by `selector`, ends; its reply is the number of its notice.
-    pub fn end_call(&mut self, selector: u8, how: Outcome) {
+    /// Ends an outstanding call, chosen by `selector`. Its reply is the number of its notice.
+    pub fn end_call(&mut self, selector: u8, outcome: Outcome) {
         let (request, reply) = {
             let mut world = self.world_mut();
             let Some(request) =
@@ -220,10 +223,10 @@
             let Some(RunState::AwaitingCall(n)) = world.runs.get(&attempt).copied() else { return };
             (request, n.to_string().into_bytes())
         };
-        self.core.call_ended(self.now(), request, how, &reply);
+        self.core.call_ended(self.now(), request, outcome, &reply);
     }
 
-    /// The caller of a request goes.
+    /// Cancels a request by its caller.
     pub fn cancel(&mut self, reply_to: ReplyTo) {
         let was_gone = self
             .world_mut()
@@ -235,12 +238,12 @@
         }
     }
 
-    /// How many responses a request has had.
+    /// Returns the number of responses that a request has had.
     pub fn responses(&self, reply_to: ReplyTo) -> u32 {
         self.world().requests[&reply_to].responses
     }
 
-    /// How often a request with this token started to run.
+    /// Returns how often a request with this token started to run.
     pub fn starts_of(&self, token: u8) -> usize {
         self.world().run_starts.iter().filter(|(t, _)| *t == token).count()
     }
--- a/crates/aldercrank-server/tests/suite/core/world.rs
+++ b/crates/aldercrank-server/tests/suite/core/world.rs
@@ -1,4 +1,4 @@
-//! Fake ports, and the model of the surroundings that they act on.
+//! Fake ports, and the model of the core's environment that they act on.
 
 use aldercrank::{Outcome, RequestId};
 use aldercrank_server::core::{Ports, ReplyTo, TimerId};
@@ -54,13 +54,13 @@
     pub requests: BTreeMap<ReplyTo, RequestRecord>,
     pub runs: BTreeMap<AttemptId, RunState>,
     pub run_starts: Vec<(u8, Duration)>,
-    /// Sent, but not received by the pool yet.
+    /// Commands that were sent but not yet received by the pool.
     pub commands: VecDeque<Command>,
     pub link_up: bool,
     pub notices: Vec<Notice>,
-    /// How many notices the core has received.
+    /// The number of notices that the core has received.
     pub notices_received: usize,
-    /// Answered polls that the core has not received: after how many notices, and their tags.
+    /// Poll responses that the core has not received: how many notices precede each, and its tag.
     pub unread_polls: VecDeque<(usize, u64)>,
     pub calls: BTreeMap<RequestId, AttemptId>,
     pub violations: Vec<String>,
@@ -71,21 +71,24 @@
 impl World {
     /// Whether a request was answered or its caller has gone.
     pub fn is_over(&self, attempt: AttemptId) -> bool {
-        self.requests.values().any(|s| s.attempt == attempt && (s.responses > 0 || s.caller_gone))
+        self.requests
+            .values()
+            .any(|record| record.attempt == attempt && (record.responses > 0 || record.caller_gone))
     }
 
-    pub fn end_run(&mut self, attempt: AttemptId, how: Outcome) {
+    pub fn end_run(&mut self, attempt: AttemptId, outcome: Outcome) {
         self.runs.insert(attempt, RunState::Ended);
-        let result = if how == Outcome::Completed { result(attempt) } else { Vec::new() };
-        self.notices.push(Notice::Ended(attempt, how, result));
+        let result = if outcome == Outcome::Completed { result(attempt) } else { Vec::new() };
+        self.notices.push(Notice::Ended(attempt, outcome, result));
     }
 
     pub fn deliver(&mut self, command: Command) {
         match command {
             Command::StartRun(attempt, class, body) => {
-                let record = self.requests.values().find(|s| s.attempt == attempt).cloned().unwrap();
+                let record =
+                    self.requests.values().find(|record| record.attempt == attempt).cloned().unwrap();
                 if record.body != body || (record.token.is_some() != (class == "p1")) {
-                    self.violations.push(format!("{attempt} reached the pool changed"));
+                    self.violations.push(format!("{attempt} reached the pool with another body or class"));
                 }
                 match self.runs.get(&attempt) {
                     None | Some(RunState::Ended) if self.is_over(attempt) => {
@@ -104,7 +107,7 @@
             Command::DeliverCallResult(attempt, reply) => {
                 if let Some(RunState::AwaitingCall(n)) = self.runs.get(&attempt).copied() {
                     if reply != n.to_string().into_bytes() {
-                        self.violations.push(format!("{attempt} had the reply to another call"));
+                        self.violations.push(format!("{attempt} received the reply to another call"));
                     }
                     self.runs.insert(attempt, RunState::Running);
                 }
@@ -168,12 +171,15 @@
         let mut world = self.0.borrow_mut();
         world.answer(reply_to, false);
         let record = world.requests[&reply_to].clone();
-        let made = |s: &RequestRecord| {
-            result(s.attempt) == bytes
-                && (s.attempt == record.attempt || s.token == record.token && s.token.is_some())
+        let is_source = |source: &RequestRecord| {
+            result(source.attempt) == bytes
+                && (source.attempt == record.attempt
+                    || source.token == record.token && source.token.is_some())
         };
-        if !world.requests.values().any(made) {
-            world.violations.push(format!("{} has a result that no run made for it", record.attempt));
+        if !world.requests.values().any(is_source) {
+            world
+                .violations
+                .push(format!("{} was answered with the result of another request", record.attempt));
         }
     }
     fn reject(&mut self, reply_to: ReplyTo, _: Option<Duration>, _: bool) {
--- a/crates/aldercrank-server/tests/suite/harness.rs
+++ b/crates/aldercrank-server/tests/suite/harness.rs
@@ -1,5 +1,4 @@
-//! Runs the program as a process on loopback, with stubs of the services that it uses: starts it, sends it requests and
-//! stops it.
+//! Runs the program as a process on loopback addresses, with stubs of the services that it uses.
 
 use crate::codecs::call;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,18 +8,18 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The longest that a test waits for anything.
+/// The maximum time that a test waits for anything.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Listens on a free port.
+/// Listens on a free port of this IP address.
 pub fn listen(ip: &str) -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((ip, 0)).unwrap();
     let addr = listener.local_addr().unwrap();
     (listener, addr)
 }
 
-/// An address where nobody listens or has listened. A child that another test starts inherits open sockets for a
-/// moment, so that a former listener could still take a connection or keep the program from listening.
+/// Returns an address on which no socket listens or has listened. A child process that another test starts inherits
+/// open sockets for a moment, so a closed listener could still accept a connection or keep the program from listening.
 pub fn unused_address(ip: &str) -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
@@ -28,7 +27,8 @@
     socket.local_addr().unwrap().as_socket().unwrap()
 }
 
-/// Listens at an address that was unreachable before; another test's child may have it open for a moment longer.
+/// Listens on an address that was unreachable before. Retries, since a child process of another test may have a socket
+/// open on it for a moment longer.
 pub fn listen_again(addr: SocketAddr) -> TcpListener {
     let until = Instant::now() + TIMEOUT;
     loop {
@@ -40,15 +40,15 @@
     }
 }
 
-/// The next connection to this listener; none after `span`.
-pub fn accept_within(listener: &TcpListener, span: Duration) -> Option<TcpStream> {
+/// Returns the next connection to this listener, or none if there is none within `timeout`.
+pub fn accept_within(listener: &TcpListener, timeout: Duration) -> Option<TcpStream> {
     listener.set_nonblocking(true).unwrap();
-    let until = Instant::now() + span;
+    let until = Instant::now() + timeout;
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(false).unwrap();
-                stream.set_read_timeout(Some(span)).unwrap();
+                stream.set_read_timeout(Some(timeout)).unwrap();
                 return Some(stream);
             }
             Err(_) if Instant::now() >= until => return None,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The worker pool's end of a link, played by the test.
+/// The worker pool's end of a link, operated by the test.
 pub struct PoolConnection {
     pub reader: BufReader<TcpStream>,
 }
@@ -73,12 +73,12 @@
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next command with its payload; fails if the link is closed.
+    /// Returns the next command with its payload. Panics if the link is closed.
     pub fn next(&mut self) -> (Vec<String>, Vec<u8>) {
         self.command().expect("the link has closed")
     }
 
-    /// The words of the next line; none once the link is closed.
+    /// Returns the words of the next line, or none once the link is closed.
     fn read_line(&mut self) -> Option<Vec<String>> {
         let mut line = String::new();
         let read = self.reader.read_line(&mut line).unwrap_or(0);
@@ -89,7 +89,7 @@
         self.send(&format!("polled {tag} 0.1 1 0.2 3\r\n"));
     }
 
-    /// The payload after a command that has one.
+    /// Reads the payload that follows the command, if it has one.
     fn read_payload(&mut self, words: &[String]) -> Vec<u8> {
         if words[0] != "spawn" && words[0] != "supply" {
             return Vec::new();
@@ -100,7 +100,7 @@
         bytes
     }
 
-    /// Completes every run with the same result.
+    /// Completes every run with the same result until the link is closed.
     pub fn serve(mut self, result: &[u8]) {
         let mut notice = 0;
         while let Some((words, _)) = self.command() {
@@ -111,12 +111,12 @@
         }
     }
 
-    /// The next command with its payload. Polls are answered on the way and left out.
+    /// Returns the next command with its payload, or none once the link is closed. Answers polls, and skips them.
     pub fn command(&mut self) -> Option<(Vec<String>, Vec<u8>)> {
         let until = Instant::now() + TIMEOUT;
         loop {
             let words = self.read_line()?;
-            assert!(Instant::now() < until, "no command but polls");
+            assert!(Instant::now() < until, "no command other than polls");
             if words[0] != "poll" {
                 let bytes = self.read_payload(&words);
                 return Some((words, bytes));
@@ -137,7 +137,7 @@
         self.finish(notice, &attempt(number), result);
     }
 
-    /// Completes a run by this notice.
+    /// Completes a run with the notice of this number.
     pub fn finish(&mut self, notice: u32, attempt: &str, result: &[u8]) {
         self.send(&format!("finished {notice} {attempt} ok 20.5 {}\r\n", result.len()));
         self.reader.get_mut().write_all(result).unwrap();
@@ -145,8 +145,8 @@
     }
 }
 
-/// Serves HTTP: forwards each request to `requests` and responds with `answer`. It closes the connection if that gives
-/// no response.
+/// Serves HTTP: forwards each request to `requests` and responds with what `answer` returns, or closes the connection
+/// if that is none.
 pub fn http(
     listener: TcpListener,
     requests: Sender<String>,
@@ -190,7 +190,7 @@
     shell.spawn().unwrap()
 }
 
-/// A running program with its stubs; it is killed when dropped.
+/// A running program with its stubs. Killed on drop.
 pub struct Program {
     /// The configuration that it was started with.
     pub configuration: serde_json::Value,
@@ -198,12 +198,13 @@
     pub child: Child,
     pub edge: SocketAddr,
     pub pool: TcpListener,
-    /// Requests to the upstream dependency.
+    /// The requests that the upstream dependency received.
     pub calls: Receiver<String>,
-    /// Requests to the membership service.
+    /// The requests that the membership service received.
     pub reports: Receiver<String>,
     pub config: std::path::PathBuf,
-    /// The addresses of stubs that were not started: upstream dependency and membership service.
+    /// The stubs that were not started, upstream dependency first, then membership service: the address of each, and
+    /// where to send the requests that it receives.
     pub away: Vec<(SocketAddr, Sender<String>)>,
 }
 
@@ -213,14 +214,14 @@
         Program::start_with_stubs(Some(answer))
     }
 
-    /// The same; without `answer` the upstream dependency and the membership service are unreachable.
+    /// Starts the program. Without `answer`, the upstream dependency and the membership service are unreachable.
     pub fn start_with_stubs(
         answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>,
     ) -> Program {
         Program::start_with(answer, |_| ())
     }
 
-    /// The same, with a changed configuration.
+    /// Starts the program as `start_with_stubs` does, with a changed configuration.
     pub fn start_with(
         answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>,
         change: impl Fn(&mut serde_json::Value),
@@ -228,7 +229,8 @@
         Program::launch("exec \"$0\" serve", answer, change)
     }
 
-    /// The same, with the system's limit on descriptors equal to the configured limit on sockets.
+    /// Starts the program as `start_with` does, with `sockets` as the system's limit on descriptors and the configured
+    /// limit on sockets.
     pub fn limited(
         answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>,
         change: impl Fn(&mut serde_json::Value),
@@ -241,7 +243,7 @@
         })
     }
 
-    /// The same with this service file.
+    /// Starts the program as `start` does, with this service file.
     pub fn start_with_service(
         service: &std::path::Path,
         answer: impl Fn(&str) -> Option<String> + Send + 'static + Clone,
@@ -255,7 +257,7 @@
         answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>,
         change: impl Fn(&mut serde_json::Value),
     ) -> Program {
-        // Each program has a loopback address of its own, so that tests can't take one another's ports.
+        // Each program has its own loopback address, so that tests can't take one another's ports.
         static PROGRAMS: AtomicU32 = AtomicU32::new(1);
         let (pid, number) = (std::process::id() % 60_000, PROGRAMS.fetch_add(1, Ordering::Relaxed));
         let ip = format!("127.{}.{}.{number}", 16 + pid / 250, 1 + pid % 250);
@@ -283,7 +285,7 @@
                 "rules": {"answer_slack": 60000, "fall_multiple": 5.0, "stop_sending_within": 300000},
                 "profiles": [class("map", "retryable"), class("buy", "dedup")]}});
         change(&mut config);
-        // Ports are free for each address apart, so two programs may have the same one.
+        // The file is named by the program's number, since programs on different addresses may have the same port.
         let file = format!("aldercrank-{}-{number}.json", std::process::id());
         let path = std::env::temp_dir().join(file);
         std::fs::write(&path, config.to_string()).unwrap();
@@ -308,13 +310,13 @@
         self.child = spawn_program(&self.script, &self.config);
     }
 
-    /// Stops the process until `resume`; what arrives meanwhile waits in its sockets.
+    /// Suspends the process until `resume`. What arrives meanwhile stays in its sockets' buffers.
     pub fn pause(&self) {
         self.signal("-STOP");
         let status = format!("/proc/{}/stat", self.child.id());
         let until = Instant::now() + TIMEOUT;
         while !std::fs::read_to_string(&status).unwrap().contains(") T ") {
-            assert!(Instant::now() < until, "was not stopped");
+            assert!(Instant::now() < until, "the process was not suspended");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
@@ -323,14 +325,14 @@
         self.signal("-CONT");
     }
 
-    /// How often the process has blocked so far.
+    /// Returns how often the process has blocked so far: its voluntary context switches.
     pub fn sleeps(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|l| l.strip_prefix("voluntary_ctxt_switches:")).unwrap();
         line.trim().parse().unwrap()
     }
 
-    /// Waits until the program serves; gives its link to the pool.
+    /// Binds the program's link to the pool, waits until it reports that it serves, and returns the link.
     pub fn wait_until_serving(&mut self) -> PoolConnection {
         let mut pool = PoolConnection::accept(&self.pool);
         pool.bind("0", "3.5");
@@ -372,7 +374,7 @@
         self.signal("-TERM");
     }
 
-    /// Writes the configuration with these addresses changed, and has the program read it again.
+    /// Writes the configuration with these addresses changed, and has the program reload it.
     pub fn reload(&self, addrs: &[(&str, SocketAddr)]) {
         let mut config = self.configuration.clone();
         addrs.iter().for_each(|(field, addr)| config[*field] = serde_json::json!(addr));
@@ -387,7 +389,7 @@
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < until, "still running");
+            assert!(Instant::now() < until, "the program is still running");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -401,7 +403,7 @@
     }
 }
 
-/// A request that arrives now, encoded as an edge node does.
+/// Encodes a request that arrives now, as an edge node does.
 pub fn request(id: u32, class: &str, attempt: &str, token: Option<&str>, body: &[u8]) -> Vec<u8> {
     let t0 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string();
     let mut fields = vec![("rid", attempt), ("t0", &t0), ("peer", "4"), ("budget", "3000"), ("mem", "24.5")];
@@ -419,7 +421,7 @@
         self.0.write_all(&request(id, class, attempt, token, body)).unwrap();
     }
 
-    /// Reads until all these parts have arrived one after the other; gives all bytes read.
+    /// Reads until all these parts have arrived one after the other. Returns all bytes read.
     pub fn read_until(&mut self, parts: &[&[u8]]) -> Vec<u8> {
         let mut all = Vec::new();
         loop {
@@ -439,7 +441,7 @@
         }
     }
 
-    /// Reads until the server closes the connection.
+    /// Reads until the server closes the connection. Returns all bytes read.
     pub fn read_to_end(&mut self) -> Vec<u8> {
         let mut all = Vec::new();
         self.0.read_to_end(&mut all).unwrap();
@@ -447,22 +449,22 @@
     }
 }
 
-/// How many responses to requests these bytes have.
+/// Counts the responses to requests in these bytes.
 pub fn count_responses(bytes: &[u8]) -> usize {
     bytes.windows(2).filter(|w| *w == [0x94, 1]).count()
 }
 
-/// The attempt id with this number.
+/// Returns the attempt id with this number.
 pub fn attempt(n: u32) -> String {
     format!("{n:016x}")
 }
 
-/// The membership service's response to a report.
+/// Returns the membership service's response to a report.
 pub fn report_accepted(_: &str) -> Option<String> {
     Some("HTTP/1.1 204 No Content\r\n\r\n".to_string())
 }
 
-/// A successful HTTP response.
+/// Returns a successful HTTP response with this body.
 pub fn ok(body: &str) -> Option<String> {
     Some(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
--- a/crates/aldercrank-server/tests/suite/main.rs
+++ b/crates/aldercrank-server/tests/suite/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the real backend; none needs the bench.
+//! Integration tests of the server. None of them needs the test bench.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Public items are used only by the modules of this test crate, so they need no docs; a scenario may be long.
 #![allow(
     missing_docs,
     unreachable_pub,
--- a/crates/aldercrank-server/tests/suite/tables.rs
+++ b/crates/aldercrank-server/tests/suite/tables.rs
@@ -31,7 +31,7 @@
         (deadlines.next(), deadlines.due(S / 2), deadlines.due(S * 2), deadlines.due(S * 2)),
         (Some(S), None, Some('a'), None)
     );
-    // The pool came up a second ago; the clock had counted two.
+    // The clock, which had counted two seconds, is set to count from the pool's start one second ago.
     deadlines.rebase(S * 2, S);
     assert_eq!((deadlines.due(S), deadlines.due(S * 2)), (None, Some('b')));
 }
@@ -42,17 +42,17 @@
     let (key, other) = (DedupKey::token("p", "t", b"x"), DedupKey::token("p", "u", b"x"));
     let (a, b, c) = (RequestId(1), RequestId(2), RequestId(3));
     let entry = table.store(&key, a, S * 10).unwrap().entry;
-    assert_eq!(table.find_original(&key, S * 11, S * 11), None, "came after the window");
+    assert_eq!(table.find_original(&key, S * 11, S * 11), None, "arrived after the window");
     assert!(table.run_started(&key, a).is_none());
     table.run_ended(&key, a, Some(Payload::Transient(b"12345678")));
-    assert_eq!(table.find_original(&key, S * 9, S * 12), Some(a), "came within the window, read late");
+    assert_eq!(table.find_original(&key, S * 9, S * 12), Some(a), "arrived within the window, read late");
     assert_eq!(table.outcome(&key), CachedOutcome::Completed(b"12345678".as_slice().into()));
-    // Another result evicts the first; its entry stays, so the request does not run again.
+    // Another result evicts the first one. The entry stays, so that the request does not run again.
     table.store(&other, c, S * 10).unwrap();
     table.run_started(&other, c);
     table.run_ended(&other, c, Some(Payload::Transient(b"123")));
     assert_eq!((table.outcome(&key), table.find_original(&key, S, S)), (CachedOutcome::Unavailable, Some(a)));
-    // A request after the window runs again; the entry refers to it alone.
+    // A request after the window runs again, and the entry then refers only to it.
     assert_eq!(table.store(&key, b, S * 30).unwrap().replaced, None);
     assert_eq!((table.run_started(&key, b), table.refers_to(&key, a)), (Some(a), false));
     table.forget(&key, b);
