--- a/crates/aldercrank-pacing/src/lib.rs
+++ b/crates/aldercrank-pacing/src/lib.rs
@@ -1,11 +1,11 @@
-//! When a server asks again for anything that it shares with others, and how much load it offers after a start.
+//! Backoff and jitter for periodic requests to a shared service, and slow start of a worker pool.
 //!
-//! A fleet that starts in one second would send its requests to a shared service in the same instant, and again at each
-//! interval after it. Servers do not know of each other here: their times are spread by random numbers seeded with the
-//! name of each, and the one sign of overload is that the service rejects requests.
+//! Without jitter, the servers of a fleet that start within the same second would send their requests to a shared
+//! service at the same instant, and again at every interval after it. Servers do not coordinate here: the times of each
+//! are spread by random numbers seeded with its name, and rejected requests are the only sign of overload.
 //!
-//! [`RetryPacer`] gives the time of the next attempt; [`SlowStart`] the share of load during warm-up. Both are state
-//! machines without I/O and without a clock.
+//! [`RetryPacer`] computes the time of the next attempt, [`SlowStart`] the share of load to offer during warm-up. Both
+//! are state machines that do no I/O and read no clock.
 
 mod retry_pacer;
 mod slow_start;
