--- a/crates/aldercrank-versioned-config/src/items.rs
+++ b/crates/aldercrank-versioned-config/src/items.rs
@@ -45,7 +45,7 @@
     pub(crate) setting: &'static str,
 }
 
-const DAY_MILLISECONDS: f64 = 86_400_000.0;
+const MILLISECONDS_PER_DAY: f64 = 86_400_000.0;
 
 /// Whether a request may run more than once: yes (idempotent), once within the deduplication window (keyed), or no.
 const EFFECTS: &[Choice] = &[
@@ -59,13 +59,13 @@
     Item {
         name: "sla-ms",
         consistency: Consistency::Free,
-        kind: ValueKind::TimeSpan { min: 1.0, max: DAY_MILLISECONDS },
+        kind: ValueKind::TimeSpan { min: 1.0, max: MILLISECONDS_PER_DAY },
         setting: "profiles.{}.goal_time",
     },
     Item {
         name: "give-up-ms",
         consistency: Consistency::Free,
-        kind: ValueKind::TimeSpan { min: 1.0, max: DAY_MILLISECONDS },
+        kind: ValueKind::TimeSpan { min: 1.0, max: MILLISECONDS_PER_DAY },
         setting: "profiles.{}.give_up",
     },
     Item {
@@ -95,7 +95,7 @@
     Item {
         name: "window-ms",
         consistency: Consistency::Fenced,
-        kind: ValueKind::TimeSpan { min: 0.0, max: DAY_MILLISECONDS },
+        kind: ValueKind::TimeSpan { min: 0.0, max: MILLISECONDS_PER_DAY },
         setting: "profiles.{}.window",
     },
     Item {
@@ -117,7 +117,7 @@
     Item {
         name: "retry-after-ms",
         consistency: Consistency::Free,
-        kind: ValueKind::TimeSpan { min: 0.0, max: DAY_MILLISECONDS },
+        kind: ValueKind::TimeSpan { min: 0.0, max: MILLISECONDS_PER_DAY },
         setting: "limits.max_retry_after",
     },
     Item {
--- a/crates/aldercrank-versioned-config/tests/golden.rs
+++ b/crates/aldercrank-versioned-config/tests/golden.rs
@@ -158,7 +158,7 @@
 
 /// Platform settings with these request classes: name, effect, and latency target, timeout and deduplication window in
 /// microseconds.
-fn platform(classes: &[(&str, &str, f64, f64, f64)]) -> Settings {
+fn platform_settings(classes: &[(&str, &str, f64, f64, f64)]) -> Settings {
     let mut settings = Settings::default();
     for (index, (name, effect, latency_target, timeout, window)) in classes.iter().enumerate() {
         let mut set = |field: &str, value: Setting| settings.set(&format!("profiles.{index}.{field}"), value);
@@ -181,11 +181,11 @@
     let rent = ("rent", "retryable", 1e6, 3e6, 1e6);
     vec![
         ("empty", Settings::default()),
-        ("buy and map", platform(&[buy, map])),
-        ("map, pay, rent and buy", platform(&[map, pay, rent, buy])),
+        ("buy and map", platform_settings(&[buy, map])),
+        ("map, pay, rent and buy", platform_settings(&[map, pay, rent, buy])),
         ("slow buy, pay, nothing and map", {
             let slow = ("licence-buy", "dedup", 6e6, 9.5e6, 9e6);
-            platform(&[slow, pay, ("nothing", "dedup", 2e6, 1e6, 5e5), map])
+            platform_settings(&[slow, pay, ("nothing", "dedup", 2e6, 1e6, 5e5), map])
         }),
     ]
 }
