--- a/crates/aldercrank-consensus/src/follower.rs
+++ b/crates/aldercrank-consensus/src/follower.rs
@@ -1,8 +1,9 @@
-//! A lease holder: which committed version a server knows, until when it may use it, and which member it asks next.
+//! The lease holder: tracks which committed version a server knows, until when the server may use it, and which member
+//! to ask next.
 //!
-//! It asks any one member of the committee, the same one while that responds. A lease counts from the sending of the
-//! request: the longer the response takes, the less of the lease is left, and one that arrives after the end of its
-//! lease grants nothing.
+//! It asks one member of the committee, and stays with it while it grants leases. A lease counts from the sending of
+//! the request: the longer the response takes, the less of the lease is left, and a response that arrives after the end
+//! of its lease grants nothing.
 
 use crate::error::ProposalError;
 use crate::messages::{
@@ -14,14 +15,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Backoff after the first pass over all members without a lease, as a multiple of the response timeout. It doubles
-/// with every further pass, up to the renewal interval.
-const FIRST_BACKOFF_OF_RESPONSE_TIMEOUT: f64 = 1.0;
-/// Most doublings of the backoff.
+/// Backoff after the first pass over all members without a lease, in response timeouts. It doubles with every further
+/// pass, up to the renewal interval.
+const FIRST_BACKOFF_RESPONSE_TIMEOUTS: f64 = 1.0;
+/// Limit on the doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// Jitter of a renewal, as a fraction of the renewal interval by which it may come earlier.
+/// How much earlier than the renewal interval a renewal may come at most, as a fraction of the interval.
 const RENEWAL_JITTER: f64 = 0.1;
-/// The same for the first renewal after a notification, which reaches many followers at one moment.
+/// The same for the renewal after one that a notification has triggered: notifications reach many followers at once.
 const JITTER_AFTER_NOTIFICATION: f64 = 0.6;
 
 /// What a follower needs from the server that it runs in.
@@ -30,14 +31,14 @@
     /// correlation id.
     fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest);
     /// Parses a text and compares it with its version id, with the version before it, and with what this server
-    /// supports. `None` where the text does not match its version id or can't be parsed.
+    /// supports. Returns `None` if the text does not match its version id or can't be parsed.
     fn read(
         &mut self,
         version_id: &VersionId,
         text: &str,
         before: Option<&ConfigVersion>,
     ) -> Option<VersionSummary>;
-    /// From now on the server uses this version, which has been committed for `committed_for` at least.
+    /// Makes this version the one that the server uses. It was committed at least `committed_for` ago.
     fn version_committed(
         &mut self,
         version: &ConfigVersion,
@@ -46,11 +47,11 @@
     );
 }
 
-/// A committed state as a response reported it.
+/// A committed state reported by a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ReportedState {
     committed: CommittedState,
-    /// How long its version has been committed at least.
+    /// Minimum time for which its version has been committed.
     committed_for: Duration,
     /// End of the lease granted with it, if one was.
     lease_until: Option<Duration>,
@@ -77,7 +78,7 @@
 struct KnownVersion {
     committed: CommittedState,
     version: ConfigVersion,
-    /// Why this server can't apply it.
+    /// Why this server can't apply it; `None` if it can.
     incompatibility: Option<String>,
 }
 
@@ -88,8 +89,8 @@
     summary: VersionSummary,
 }
 
-/// Follower state machine. [`Follower::level`] rises where a version becomes known (`apply`) or a lease is extended
-/// (`extend_lease`); it falls with time alone.
+/// State machine of a follower. [`Follower::level`] rises only when a version becomes known (`apply`) or a lease is
+/// extended (`extend_lease`). It falls as time passes, or when a newer version becomes known.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Follower {
     name: ServerName,
@@ -101,18 +102,18 @@
     outstanding: Option<OutstandingRequest>,
     known: Option<KnownVersion>,
     lease_until: Duration,
-    /// End of the last lease, or the restart from disk: idempotent requests go on for a limited time after it.
+    /// End of the last lease, or time of a restart from disk: idempotent requests go on for a limited time after it.
     isolated_since: Option<Duration>,
     renewal_due: Duration,
-    /// A notification has come since the last renewal.
+    /// Whether a notification has arrived since the last renewal.
     notified: bool,
-    /// Members asked in a row without a lease.
+    /// Number of requests in a row that led to no lease.
     failed_attempts: u32,
     evaluation: Option<Evaluation>,
-    /// A proposed version whose text did not come. It is not fetched again before the next renewal is due.
+    /// A proposed version whose text could not be fetched. It is not tried again before the next renewal is due.
     fetch_deferred: Option<VersionId>,
     ready_proposal: Option<ReadyProposal>,
-    /// Level at the last evaluation, for [`InjectedFault::StaleLevelAfterPause`].
+    /// The level at the last event, for [`InjectedFault::StaleLevelAfterPause`].
     last_level: PermissionLevel,
 }
 
@@ -142,7 +143,7 @@
     }
 
     /// Restores the version that an earlier incarnation stored. It allows idempotent requests without a lease, and its
-    /// text need not be fetched. Called once, before anything else; without effect where the text can't be parsed.
+    /// text need not be fetched. Must be called before anything else; does nothing if the text can't be parsed.
     pub fn restore(
         &mut self,
         now: Duration,
@@ -168,12 +169,12 @@
         self.known.as_ref().map(|known| &known.version)
     }
 
-    /// Why this server can't apply the version that it knows.
+    /// Why this server can't apply the version that it knows; `None` if it can.
     pub fn incompatibility(&self) -> Option<&str> {
         self.known.as_ref()?.incompatibility.as_deref()
     }
 
-    /// The member that it asks.
+    /// The member that the follower asks.
     pub fn current_member(&self) -> Option<&ServerName> {
         self.committee.get(self.current_member)
     }
@@ -186,7 +187,7 @@
         self.level_at(now)
     }
 
-    /// Until when the server may do everything, and until when idempotent requests.
+    /// Until when the server has each permission level.
     pub fn bounds(&self) -> PermissionBounds {
         let compatible = self.known.as_ref().is_some_and(|known| known.incompatibility.is_none());
         match (compatible, self.isolated_since) {
@@ -219,7 +220,7 @@
             .map_or(self.renewal_due, |request| request.sent_at + self.timing.response_timeout())
     }
 
-    /// Gives up a request without a response and sends the renewal that is due. May be called early.
+    /// Gives up a request that has timed out, and sends a renewal if one is due. May be called early.
     pub fn timer_fired(&mut self, now: Duration, environment: &mut impl FollowerEnvironment) {
         self.last_level = self.level_at(now);
         let timeout = self.timing.response_timeout();
@@ -233,7 +234,8 @@
         }
     }
 
-    /// A member has announced a proposed version to evaluate, or a new committed state.
+    /// Handles a member's notification: of a proposed version to evaluate or, with `None`, that leases can be granted
+    /// on the committed state.
     pub fn notify(
         &mut self,
         now: Duration,
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Fetches the text of a proposed version unless it was evaluated or deferred. Returns whether it did.
+    /// Fetches the text of a proposed version unless it was evaluated or deferred. Returns whether it is fetched.
     fn fetch_proposed(
         &mut self,
         proposed: Option<VersionId>,
@@ -300,7 +302,8 @@
         self.send(now, Purpose::Renew, request, environment);
     }
 
-    /// There will be no response to this request. The next member is asked, at once until all of them were.
+    /// Called when a request will get no response. Asks the next member: at once, or after a backoff if a pass over all
+    /// members is complete.
     pub fn request_lost(
         &mut self,
         now: Duration,
@@ -323,14 +326,14 @@
         if (self.failed_attempts as usize).is_multiple_of(members) {
             let doubled = f64::from(1u32 << passes.min(MAX_BACKOFF_DOUBLINGS));
             let backoff =
-                self.timing.response_timeout().mul_f64(FIRST_BACKOFF_OF_RESPONSE_TIMEOUT * doubled / 2.0);
+                self.timing.response_timeout().mul_f64(FIRST_BACKOFF_RESPONSE_TIMEOUTS * doubled / 2.0);
             self.renewal_due = now + backoff.min(self.timing.renewal_interval());
         } else {
             self.renew(now, environment);
         }
     }
 
-    /// Handles the response to a request. One to a request that was given up is ignored.
+    /// Handles a response. It is ignored if its request is no longer outstanding.
     pub fn handle_response(
         &mut self,
         now: Duration,
@@ -409,11 +412,11 @@
         environment: &mut impl FollowerEnvironment,
     ) {
         let (own, committed) = (self.committed(), state.committed);
-        // The committed state never goes back: a member that knows less grants no lease.
+        // The committed state never goes back: no lease is taken from a member that knows only an earlier state.
         if own.is_some_and(|own| own.last > committed.last) {
             return self.try_next_member(now, environment);
         }
-        // Two versions with one number: whichever server is wrong, this one does not follow.
+        // Two versions with the same number: one of the two servers is wrong, and this one keeps its version.
         if own.is_some_and(|own| own.last == committed.last && own.version_id != committed.version_id) {
             return self.try_next_member(now, environment);
         }
@@ -433,7 +436,7 @@
         }
     }
 
-    /// From now on this is the known version. A lease on the version before does not cover it.
+    /// Makes this the known version. Ends the lease, which was granted on the version before.
     fn apply(
         &mut self,
         state: &ReportedState,
@@ -470,7 +473,7 @@
                 self.isolated_since = Some(self.lease_until);
                 self.failed_attempts = 0;
             }
-            // The member has not confirmed its state; another one may have.
+            // The member has not confirmed its state, or the lease is over already; another member may grant one.
             None => self.try_next_member(now, environment),
         }
         self.last_level = self.level_at(now);
--- a/crates/aldercrank-consensus/src/member/acceptor.rs
+++ b/crates/aldercrank-consensus/src/member/acceptor.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a member must not forget over a restart.
+/// What a member must not lose in a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct AcceptorState {
     /// The committed state.
@@ -25,7 +25,7 @@
 pub(super) struct Acceptor {
     promised: Ballot,
     accepted: Option<AcceptedDecision>,
-    /// Since when an accepted decision has not been learnt to be chosen.
+    /// Since when a decision has been accepted without being known to be chosen.
     undecided_since: Option<Duration>,
 }
 
@@ -44,17 +44,17 @@
         self.accepted.as_ref()
     }
 
-    /// The number of the accepted decision.
+    /// Number of the accepted decision.
     pub(super) fn accepted_number(&self) -> Option<u64> {
         self.accepted.as_ref().map(|accepted| accepted.decision.version_id.number)
     }
 
-    /// Promises to accept nothing below this ballot, which is not below the present one.
+    /// Promises to accept nothing below this ballot. It must not be below the promised one.
     pub(super) fn promise(&mut self, ballot: Ballot) {
         self.promised = ballot;
     }
 
-    /// Accepts a decision under this ballot, which is not below the promised one.
+    /// Accepts a decision under this ballot. It must not be below the promised one.
     pub(super) fn accept(&mut self, now: Duration, ballot: Ballot, decision: Decision) {
         self.promised = ballot.clone();
         self.accepted = Some(AcceptedDecision { ballot, decision });
@@ -67,7 +67,7 @@
         self.accepted = accepted;
     }
 
-    /// The accepted decision, if it has been undecided for this long. The time starts anew then.
+    /// Returns the accepted decision if it has been undecided for at least `wait`, and restarts the wait.
     pub(super) fn take_overdue(&mut self, now: Duration, wait: Duration) -> Option<Decision> {
         let accepted = self.accepted.as_ref()?;
         self.undecided_since.filter(|since| now >= *since + wait)?;
--- a/crates/aldercrank-consensus/src/member/confirmation.rs
+++ b/crates/aldercrank-consensus/src/member/confirmation.rs
@@ -1,27 +1,27 @@
 //! Read confirmation (read index): confirms that the committed state is still the newest.
 //!
-//! A state is confirmed as of the moment at which a check was sent, once a majority has responded that it knows the
-//! same state and has accepted nothing that follows it. A later decision needs a majority, which shares a member with
-//! this one, and that member accepted it after its response.
+//! A state is confirmed as of the time at which a check was sent, once a majority has responded that it knows the same
+//! state and has accepted nothing that follows it. A later decision needs a majority too. The two majorities share a
+//! member, which can only have accepted that decision after its response to the check.
 
 use super::quorum::Quorum;
 use crate::messages::ServerName;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A check without a majority of responses, or with one.
+/// The current check, and the members that have confirmed the state in it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct CheckRound {
     sent_at: Duration,
     confirmed_by: BTreeSet<ServerName>,
 }
 
-/// Checks of this member and their result.
+/// The checks of a member and their result.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ReadConfirmation {
     check_due: Duration,
     check: Option<CheckRound>,
-    /// When the last check was sent that a majority confirmed.
+    /// When the last check that a majority has confirmed was sent.
     confirmed_at: Option<Duration>,
 }
 
@@ -38,18 +38,18 @@
         self.confirmed_at
     }
 
-    /// A check is sent now.
+    /// Begins a check that is sent now. The next one is due after `interval`.
     pub(super) fn begin_check(&mut self, now: Duration, interval: Duration) {
         self.check_due = now + interval;
         self.check = Some(CheckRound { sent_at: now, confirmed_by: BTreeSet::new() });
     }
 
-    /// The committed state has changed: what was confirmed is void.
+    /// Discards the check and the confirmation, after a change of the committed state.
     pub(super) fn reset(&mut self) {
         (self.check, self.confirmed_at) = (None, None);
     }
 
-    /// A member confirmed the state of the present check. Returns whether a majority has.
+    /// Records that a member has confirmed the state in the current check. Returns whether a majority has.
     pub(super) fn record(&mut self, from: &ServerName, quorum: Quorum) -> bool {
         let Some(check) = &mut self.check else { return false };
         check.confirmed_by.insert(from.clone());
--- a/crates/aldercrank-consensus/src/member/events.rs
+++ b/crates/aldercrank-consensus/src/member/events.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl CommitteeMember {
-    /// Handles a request of a follower or of another member.
+    /// Handles a request from a follower or another member.
     pub fn handle_request(
         &mut self,
         now: Duration,
@@ -45,12 +45,12 @@
                 }
                 PeerResponse::Acknowledged
             }
-            // The server answers this one itself.
+            // The server responds to status requests itself.
             PeerRequest::Status => PeerResponse::Unavailable,
         }
     }
 
-    /// Handles the response to a request. One to a request that was given up is ignored.
+    /// Handles a response. It is ignored if its request is no longer outstanding.
     pub fn handle_response(
         &mut self,
         now: Duration,
@@ -91,14 +91,14 @@
             }
             (Purpose::FetchProposed, PeerResponse::Text { version_id, text }) => {
                 let version = ConfigVersion { version_id, text: Arc::from(text) };
-                // A proposal that is not taken was decided or displaced meanwhile.
+                // The error is ignored: the version may have been decided meanwhile.
                 let _ = self.version_proposed(now, version, environment);
             }
             _ => {}
         }
     }
 
-    /// There will be no response to this request.
+    /// Called when a request will get no response.
     pub fn request_lost(&mut self, correlation_id: CorrelationId) {
         self.requests.remove(correlation_id);
     }
@@ -109,24 +109,24 @@
         self.proposer.round_deadline().map_or(check_due, |deadline| deadline.min(check_due))
     }
 
-    /// Ends a round that has timed out, and does what is due with each check. May be called early.
+    /// Ends a round that has timed out, and begins a check with the periodic work if one is due. May be called early.
     pub fn timer_fired(&mut self, now: Duration, environment: &mut impl MemberEnvironment) {
         self.proposer.expire_round(now);
         if now >= self.confirmation.check_due() {
             self.recover(now);
             self.check(now, environment);
-            self.finish_undecided(now, environment);
+            self.repropose_overdue(now, environment);
             self.review_proposal(now, environment);
             self.followers.remove_inactive(now, &self.timing);
         }
     }
 
-    /// A version is proposed: read at the membership service, submitted by an operator, or sent by another member.
-    /// A proposal that is known already is no error. One that arrives while a lower number is being decided is decided
-    /// after it.
+    /// Handles a proposed version, which was read at the membership service, submitted by an operator, or sent by
+    /// another member. A version that is already known or committed is no error. One that arrives while a lower number
+    /// is being decided is decided after it.
     ///
     /// # Errors
-    /// Why the version is not taken as a proposal.
+    /// The reason why the version is not taken as a proposal.
     pub fn version_proposed(
         &mut self,
         now: Duration,
@@ -159,7 +159,8 @@
         Ok(())
     }
 
-    /// The publisher has withdrawn the proposal of this number: it is refused unless it has been decided.
+    /// Called when the publisher has withdrawn the proposal of this number. It is refused or, if it was only kept for
+    /// later, dropped, unless it may have been chosen already.
     pub fn proposal_withdrawn(
         &mut self,
         now: Duration,
--- a/crates/aldercrank-consensus/src/member/followers.rs
+++ b/crates/aldercrank-consensus/src/member/followers.rs
@@ -1,22 +1,22 @@
-//! The registry of followers: which servers renew at this member, and what they reported.
+//! The registry of followers: the servers that renew their leases at this member, and what they last reported.
 
 use crate::messages::{Evaluation, ServerName, VersionId};
 use crate::timing::Timing;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Most followers in the registry.
+/// Capacity of the registry.
 const MAX_FOLLOWERS: usize = 4096;
-/// A follower is in contact until this many renewal intervals after its last renewal.
+/// How long a follower counts as in contact after its last renewal, in renewal intervals.
 const CONTACT_RENEWAL_INTERVALS: f64 = 1.6;
 
 /// A follower's last renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Renewal {
     pub(super) received_at: Duration,
-    /// It was granted a lease here. A follower that was not has gone on to another member.
+    /// Whether it was granted a lease here. A follower that was not goes on to another member.
     pub(super) lease_granted: bool,
-    /// The number decided last, as the follower knows it.
+    /// The number decided last that the follower knows of.
     pub(super) last_decided: u64,
     pub(super) evaluation: Option<Evaluation>,
 }
@@ -29,16 +29,16 @@
     }
 }
 
-/// A follower's state for operators.
+/// A follower's status for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FollowerStatus {
     /// The follower.
     pub name: ServerName,
-    /// The number decided last, as the follower knows it.
+    /// The number decided last that the follower knows of.
     pub last: u64,
     /// Time since its last renewal.
     pub since_last_seen: Duration,
-    /// What is left of its lease at most.
+    /// Upper bound on what is left of its lease.
     pub lease_left: Duration,
     /// Its evaluation of a proposed version.
     pub evaluation: Option<Evaluation>,
@@ -61,7 +61,7 @@
         self.followers.get(name)
     }
 
-    /// Whether the registry has the follower, or capacity for it.
+    /// Whether the follower is registered already or fits in.
     pub(super) fn has_capacity_for(&self, name: &ServerName) -> bool {
         self.followers.contains_key(name) || self.followers.len() < MAX_FOLLOWERS
     }
@@ -88,22 +88,22 @@
         last_seen + timing.activity_timeout() > now
     }
 
-    /// Removes followers that have stopped using their version.
+    /// Removes followers that have been silent for so long that they have stopped using their version.
     pub(super) fn remove_inactive(&mut self, now: Duration, timing: &Timing) {
         let timeout = timing.activity_timeout();
         self.followers.retain(|_, renewal| renewal.received_at + timeout > now);
     }
 
-    /// The followers in the order of their names.
-    pub(super) fn states(&self, now: Duration, timing: &Timing) -> Vec<FollowerStatus> {
+    /// The statuses of all followers, in the order of their names.
+    pub(super) fn statuses(&self, now: Duration, timing: &Timing) -> Vec<FollowerStatus> {
         let lease = timing.lease_duration();
-        let state = |(name, renewal): (&ServerName, &Renewal)| FollowerStatus {
+        let status = |(name, renewal): (&ServerName, &Renewal)| FollowerStatus {
             name: name.clone(),
             last: renewal.last_decided,
             since_last_seen: now.saturating_sub(renewal.received_at),
             lease_left: (renewal.received_at + lease).saturating_sub(now),
             evaluation: renewal.evaluation.clone(),
         };
-        self.followers.iter().map(state).collect()
+        self.followers.iter().map(status).collect()
     }
 }
--- a/crates/aldercrank-consensus/src/member/learning.rs
+++ b/crates/aldercrank-consensus/src/member/learning.rs
@@ -1,4 +1,4 @@
-//! A member as learner: checks of the committed state, texts from other members, and commits.
+//! A member as learner: confirms its committed state, fetches texts from other members, and commits decisions.
 
 use super::acceptor::Acceptor;
 use super::environment::MemberEnvironment;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most refusals kept for operators.
+/// Limit on the refusals kept for operators.
 const MAX_REFUSALS: usize = 8;
 
 impl CommitteeMember {
@@ -44,7 +44,7 @@
 
     /// Asks all other members whether the committed state is still the newest.
     pub(super) fn check(&mut self, now: Duration, environment: &mut impl MemberEnvironment) {
-        // A late response to the check before must not count for this one.
+        // A late response to the previous check must not count towards this one.
         self.requests.remove_stale(now, self.timing.round_timeout());
         self.confirmation.begin_check(now, self.timing.check_interval());
         let tally = self.tally(now);
@@ -61,8 +61,8 @@
         self.state_checked(now, &name, committed, nothing_newer, environment);
     }
 
-    /// A member has responded to the present check. Once a majority has confirmed the state, followers that could not
-    /// be granted a lease before are notified.
+    /// Handles a member's response to the current check. Once a majority has confirmed the state, notifies the
+    /// followers if they could not be granted a lease before.
     pub(super) fn state_checked(
         &mut self,
         now: Duration,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Another member has sent its committed state and its tally.
+    /// Handles the committed state and the tally of another member.
     pub(super) fn peer_state_received(
         &mut self,
         now: Duration,
@@ -108,12 +108,13 @@
         self.review_proposal(now, environment);
     }
 
-    /// Sends the other members a tally that has become complete, and begins a round once there is a verdict.
+    /// Sends the other members this member's tally once it is complete or has an objection, and begins a round once
+    /// there is a verdict.
     pub(super) fn review_proposal(&mut self, now: Duration, environment: &mut impl MemberEnvironment) {
         let Some(version_id) = self.proposals.first_id() else { return };
         let tally = self.tally(now);
-        let ready = tally.objection.is_some() || tally.complete();
-        if ready && self.proposals.announce_once(version_id) {
+        let ready = tally.objection.is_some() || tally.is_complete();
+        if ready && self.proposals.mark_announced(version_id) {
             self.check(now, environment);
         }
         if self.proposer.is_idle() && self.may_vote() {
@@ -138,7 +139,7 @@
         review.verdict()
     }
 
-    /// A decision is chosen. A member without the text fetches it after its next check.
+    /// Applies a chosen decision. Without the text of its version, the member catches up after its next check.
     pub(super) fn learn(
         &mut self,
         now: Duration,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// The text of a later committed version has come from another member.
+    /// Handles the text of a later committed version, fetched from another member.
     pub(super) fn committed_text_received(
         &mut self,
         now: Duration,
--- a/crates/aldercrank-consensus/src/member/proposals.rs
+++ b/crates/aldercrank-consensus/src/member/proposals.rs
@@ -1,15 +1,15 @@
-//! Proposed versions that are not decided, and this member's tally of its followers' evaluations.
+//! Proposed versions that have not been decided, and this member's tally of its followers' evaluations.
 //!
-//! The lowest number is decided first. A higher one that arrives meanwhile waits for its turn: its publisher does not
-//! send it again.
+//! The lowest number is decided first. A higher one that arrives meanwhile is kept for later, since its publisher does
+//! not send it again.
 
 use super::followers::FollowerRegistry;
 use crate::messages::{ConfigVersion, ProposalTally, ServerName, VersionId, VersionSummary};
 use crate::timing::Timing;
 use std::time::Duration;
 
-/// Most proposals of one number. Two contents for one number are refused anyway.
-const MAX_CONTENTS: usize = 2;
+/// Limit on the proposals of one number. Two are enough to refuse the number.
+const MAX_PROPOSALS_PER_NUMBER: usize = 2;
 
 /// A proposed version with its text.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -19,18 +19,18 @@
     pub(super) received_at: Duration,
 }
 
-/// Proposals in the order of their version ids: those of the number to decide, then those that wait for their turn.
+/// Proposals in the order of their version ids: those of the number to decide next, then those kept for later.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Proposals {
     proposals: Vec<Proposal>,
-    /// Number that its publisher has withdrawn.
+    /// Number whose proposal the publisher has withdrawn.
     withdrawn: Option<u64>,
-    /// Proposal whose complete tally was sent to the other members.
+    /// Proposal whose complete tally, or objection, was sent to the other members.
     announced: Option<VersionId>,
 }
 
 impl Proposals {
-    /// The proposal to decide on.
+    /// The proposal to decide on next.
     pub(super) fn first(&self) -> Option<&Proposal> {
         self.proposals.first()
     }
@@ -43,11 +43,11 @@
         self.proposals.iter().find(|proposal| proposal.version.version_id == *version_id)
     }
 
-    /// Adds a proposal unless there is no capacity for its number. Of the numbers that wait, the highest replaces the
-    /// others, except for the one that this member has accepted a decision on.
+    /// Adds a proposal, unless its number already has the most proposals kept for one. Of the numbers after the lowest,
+    /// keeps only the highest and the one on which this member has accepted a decision.
     pub(super) fn insert(&mut self, proposal: Proposal, accepted_number: Option<u64>) {
         let number = proposal.version.version_id.number;
-        if self.of_number(number).count() >= MAX_CONTENTS {
+        if self.of_number(number).count() >= MAX_PROPOSALS_PER_NUMBER {
             return;
         }
         self.proposals.push(proposal);
@@ -61,8 +61,8 @@
         self.proposals.iter().filter(move |proposal| proposal.version.version_id.number == number)
     }
 
-    /// Marks the proposal of this number as withdrawn if it is decided next, and removes it if it waits, unless this
-    /// member has accepted a decision on it. Returns whether it was marked.
+    /// Marks this number as withdrawn if it is the one to decide next. Removes a proposal kept for later, unless this
+    /// member has accepted a decision on it. Returns whether the number was marked.
     pub(super) fn withdraw(&mut self, number: u64, accepted_number: Option<u64>) -> bool {
         let is_decided_next = self.first_id().is_some_and(|version_id| version_id.number == number);
         if is_decided_next {
@@ -73,13 +73,13 @@
         is_decided_next
     }
 
-    /// Returns whether the proposal's complete tally has yet to be sent, and notes that it is now.
-    pub(super) fn announce_once(&mut self, version_id: VersionId) -> bool {
+    /// Marks the proposal's tally as sent to the other members. Returns whether it was not marked before.
+    pub(super) fn mark_announced(&mut self, version_id: VersionId) -> bool {
         self.announced.replace(version_id) != Some(version_id)
     }
 
-    /// Another number was decided: removes what is decided, and summarizes the rest against the new version. The time
-    /// for its evaluation begins now.
+    /// Called after a decision: removes the proposals up to its number, and summarizes the others against the
+    /// committed version. The time for their evaluation starts anew.
     pub(super) fn rebase(
         &mut self,
         now: Duration,
@@ -97,7 +97,7 @@
         self.announced = None;
     }
 
-    /// What this member knows of the first proposal. `servers` are those that the committed version names.
+    /// The tally of the proposal to decide on next. `servers` are those that the committed version names.
     pub(super) fn tally(
         &self,
         now: Duration,
@@ -111,16 +111,16 @@
             tally.followers += 1;
             match renewal.evaluation_of(&version_id) {
                 Some(Ok(())) => tally.ready_followers += 1,
-                Some(Err(reason)) => tally.object(&format!("{name} refuses it: {reason}")),
+                Some(Err(reason)) => tally.set_objection(&format!("{name} refuses it: {reason}")),
                 None => {}
             }
         }
         let other_content = self.of_number(version_id.number).nth(1);
         if let Some(other) = other_content {
             let (first, second) = (version_id, other.version.version_id);
-            tally.object(&format!("one number with two contents, {first} and {second}"));
+            tally.set_objection(&format!("one number with two contents, {first} and {second}"));
         } else if self.withdrawn == Some(version_id.number) {
-            tally.object("withdrawn");
+            tally.set_objection("withdrawn");
         }
         for (index, name) in servers.unwrap_or_default().iter().enumerate() {
             let renewal = followers.get(name);
--- a/crates/aldercrank-consensus/src/member/proposer.rs
+++ b/crates/aldercrank-consensus/src/member/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer: rounds of the Paxos instance that follows the committed state.
+//! The proposer: rounds of the Paxos instance that decides on the version after the committed state.
 
 use super::quorum::Quorum;
 use crate::messages::{AcceptedDecision, Ballot, Decision, ServerName};
@@ -11,7 +11,7 @@
     /// Phase 1.
     Preparing {
         started_at: Duration,
-        own: Decision,
+        own_decision: Decision,
         /// The accepted decision with the highest ballot among the promises.
         highest_accepted: Option<AcceptedDecision>,
         promised_by: BTreeSet<ServerName>,
@@ -24,11 +24,11 @@
     },
 }
 
-/// At most one round at a time.
+/// A member's proposer. It has at most one round in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Proposer {
     round: Round,
-    /// Of the present round, or of the last one.
+    /// Ballot of the current round, or of the last one if there is none.
     ballot: Ballot,
     round_timeout: Duration,
 }
@@ -47,15 +47,20 @@
         &self.ballot
     }
 
-    /// Begins a round above every ballot known here, and returns its ballot.
-    pub(super) fn begin_round(&mut self, now: Duration, own: Decision, promised: &Ballot) -> Ballot {
+    /// Begins a round with a ballot above every ballot known here, and returns the ballot. `own_decision` is proposed
+    /// unless a promise reports a decision that may have been chosen.
+    pub(super) fn begin_round(&mut self, now: Duration, own_decision: Decision, promised: &Ballot) -> Ballot {
         self.ballot.round = self.ballot.round.max(promised.round) + 1;
-        self.round =
-            Round::Preparing { started_at: now, own, highest_accepted: None, promised_by: BTreeSet::new() };
+        self.round = Round::Preparing {
+            started_at: now,
+            own_decision,
+            highest_accepted: None,
+            promised_by: BTreeSet::new(),
+        };
         self.ballot.clone()
     }
 
-    /// Another proposer has this ballot. A round above it follows if it decides nothing.
+    /// Notes the ballot of another proposer, so that the next round here gets a ballot above it.
     pub(super) fn observe_ballot(&mut self, ballot: &Ballot) {
         self.ballot.round = self.ballot.round.max(ballot.round);
     }
@@ -64,7 +69,7 @@
         self.round = Round::Idle;
     }
 
-    /// When the present round ends without a decision.
+    /// When the current round times out.
     pub(super) fn round_deadline(&self) -> Option<Duration> {
         match &self.round {
             Round::Idle => None,
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Records a promise. Once a majority has promised, phase 2 begins with the returned decision.
+    /// Records a promise. Once a majority has promised, begins phase 2 and returns the decision to propose in it.
     pub(super) fn record_promise(
         &mut self,
         now: Duration,
@@ -89,7 +94,8 @@
         accepted: Option<AcceptedDecision>,
         quorum: Quorum,
     ) -> Option<Decision> {
-        let Round::Preparing { highest_accepted, promised_by, own, started_at } = &mut self.round else {
+        let Round::Preparing { highest_accepted, promised_by, own_decision, started_at } = &mut self.round
+        else {
             return None;
         };
         if now >= *started_at + self.round_timeout {
@@ -103,13 +109,14 @@
         if !quorum.reached_by(promised_by.len()) {
             return None;
         }
-        let decision = highest_accepted.as_ref().map_or(&*own, |accepted| &accepted.decision).clone();
+        let decision =
+            highest_accepted.as_ref().map_or(&*own_decision, |accepted| &accepted.decision).clone();
         self.round =
             Round::Accepting { started_at: now, decision: decision.clone(), accepted_by: BTreeSet::new() };
         Some(decision)
     }
 
-    /// Records an acceptance. Returns the decision where a majority has accepted it: it is chosen.
+    /// Records an acceptance. Returns the decision once a majority has accepted it, that is, once it is chosen.
     pub(super) fn record_acceptance(
         &mut self,
         now: Duration,
@@ -117,8 +124,8 @@
         quorum: Quorum,
     ) -> Option<Decision> {
         let Round::Accepting { decision, accepted_by, started_at } = &mut self.round else { return None };
-        // A member that lost its acceptor state is silent for longer than a round; a later response may come from
-        // before that.
+        // A member that has lost its acceptor state abstains for longer than a round lasts. A response that arrives
+        // after the deadline may have been sent before the loss.
         if now >= *started_at + self.round_timeout {
             return None;
         }
--- a/crates/aldercrank-consensus/src/member/recovery.rs
+++ b/crates/aldercrank-consensus/src/member/recovery.rs
@@ -1,24 +1,24 @@
 //! Recovery of a member that has restarted without its acceptor state.
 //!
-//! It stays silent until every round and lease in which an earlier incarnation took part is over, and until it has
-//! reports from a majority of active members, or from all others.
+//! It neither votes nor grants leases until every round and lease in which an earlier incarnation took part is over
+//! (the quarantine), and until it has reports from a majority of active members, or from all other members.
 
 use super::quorum::Quorum;
 use crate::messages::{AcceptedDecision, CommittedState, ServerName};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What another member reported of itself.
+/// What another member reported about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PeerReport {
-    /// It has its whole acceptor state.
+    /// Whether it has its complete acceptor state and is on the committee.
     pub(super) active: bool,
-    /// The number decided last, as it knows it.
+    /// The number decided last that it knows of.
     pub(super) last_decided: u64,
     pub(super) accepted: Option<AcceptedDecision>,
 }
 
-/// Whether a member has its whole acceptor state.
+/// Whether a member has its complete acceptor state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Recovery {
     Recovering { quarantine_until: Duration, reports: BTreeMap<ServerName, PeerReport> },
@@ -26,7 +26,7 @@
 }
 
 impl Recovery {
-    /// A member that begins without acceptor state.
+    /// The state of a member that starts without acceptor state.
     pub(super) fn begin(quarantine_until: Duration) -> Recovery {
         Recovery::Recovering { quarantine_until, reports: BTreeMap::new() }
     }
@@ -35,7 +35,8 @@
         *self == Recovery::Active
     }
 
-    /// Records a report. One from the quarantine is ignored: it may be of a round that is not over.
+    /// Records a report. Reports during the quarantine are ignored: they may miss what a round still in progress
+    /// decides.
     pub(super) fn record_report(&mut self, now: Duration, from: &ServerName, report: PeerReport) {
         if let Recovery::Recovering { quarantine_until, reports } = self {
             if now >= *quarantine_until {
@@ -44,8 +45,9 @@
         }
     }
 
-    /// Becomes active if the reports suffice and nobody knows of a later decision. Returns whether it did, with the
-    /// decision that the others have accepted with the highest ballot.
+    /// Becomes active if the quarantine is over, the reports suffice, and none of them knows of a later decision.
+    /// Returns `None` if it does not; otherwise the decision that the others have accepted with the highest ballot, if
+    /// there is one.
     pub(super) fn try_finish(
         &mut self,
         now: Duration,
--- a/crates/aldercrank-consensus/src/member/requests.rs
+++ b/crates/aldercrank-consensus/src/member/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of a member to the others that have no response yet.
+//! A member's outstanding requests to the other members.
 
 use crate::messages::{CommittedState, CorrelationId, ServerName};
 use std::collections::BTreeMap;
@@ -58,7 +58,8 @@
         self.requests.values().any(|request| request.to == *to && request.purpose == *purpose)
     }
 
-    /// Before a new check: removes the one before it, and requests that have gone unanswered for `timeout`.
+    /// Called before a new check. Removes the requests of the previous check, and all others that have been outstanding
+    /// for `timeout`.
     pub(super) fn remove_stale(&mut self, now: Duration, timeout: Duration) {
         self.requests
             .retain(|_, request| request.purpose != Purpose::Check && request.sent_at + timeout > now);
--- a/crates/aldercrank-consensus/src/member/state.rs
+++ b/crates/aldercrank-consensus/src/member/state.rs
@@ -1,4 +1,4 @@
-//! The state of a committee member: how an incarnation begins, and what others can read of it.
+//! The state of a committee member, its initialization, and its accessors.
 
 use super::acceptor::{Acceptor, AcceptorState};
 use super::confirmation::ReadConfirmation;
@@ -24,7 +24,7 @@
     pub incarnation: u64,
 }
 
-/// A number that was used up without a committed version.
+/// A decided number whose version was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Refusal {
     /// The number.
@@ -33,13 +33,13 @@
     pub reason: String,
 }
 
-/// Member state machine. `committed` changes in `commit` alone.
+/// State machine of a committee member. `committed` changes only in `commit`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CommitteeMember {
     pub(super) name: ServerName,
     pub(super) timing: Timing,
     pub(super) committed: CommittedState,
-    /// Since when the committed version has been known here to be committed.
+    /// Since when this member has known the committed version as committed.
     pub(super) committed_since: Duration,
     pub(super) version: ConfigVersion,
     pub(super) summary: VersionSummary,
@@ -56,9 +56,9 @@
 }
 
 impl CommitteeMember {
-    /// Begins an incarnation. `version` is the fleet's first, or the one that names this server a member.
-    /// `acceptor_state` is what an earlier incarnation stored; without it the member has to recover first. `None` where
-    /// a text can't be parsed.
+    /// Begins an incarnation. `version` is the fleet's first version, or the one that made this server a member.
+    /// `acceptor_state` is the state stored by an earlier incarnation; without it the member has to recover first.
+    /// Returns `None` if the text of the committed version can't be parsed.
     pub fn new(
         now: Duration,
         identity: MemberIdentity,
@@ -105,14 +105,14 @@
         Some(member)
     }
 
-    /// Takes over the stored acceptor state. The accepted decision comes before its text, which begins a check: what may
-    /// have been chosen must not be reported as nothing.
+    /// Restores the stored acceptor state. The accepted decision has to be in place before its text is proposed again:
+    /// that begins a check, which must not miss a decision that may have been chosen.
     fn restore(&mut self, now: Duration, state: AcceptorState, environment: &mut impl MemberEnvironment) {
         let AcceptorState { accepted, accepted_text, promised, .. } = state;
         let accepted_id = accepted.as_ref().map(|accepted| accepted.decision.version_id);
         self.acceptor = Acceptor::new(now, promised, accepted);
         if let Some((version_id, text)) = accepted_id.zip(accepted_text) {
-            // A text that is refused here can still be fetched from another member.
+            // If the text is rejected, it can still be fetched from another member.
             let _ = self.version_proposed(now, ConfigVersion { version_id, text }, environment);
         }
     }
@@ -132,17 +132,17 @@
         &self.summary.committee
     }
 
-    /// Whether it has its whole acceptor state.
+    /// Whether the member has its complete acceptor state.
     pub fn is_active(&self) -> bool {
         self.recovery.is_active()
     }
 
-    /// Whether it grants leases on its committed state now.
+    /// Whether the member can grant leases on its committed state now.
     pub fn is_confirmed(&self, now: Duration) -> bool {
         self.confirmation_age(now).is_some()
     }
 
-    /// The proposed version that is decided next.
+    /// The proposed version to be decided next.
     pub fn proposed(&self) -> Option<&ConfigVersion> {
         self.proposals.first().map(|proposal| &proposal.version)
     }
@@ -160,23 +160,23 @@
         }
         let ready = tallies().fold(0, |sum, tally| sum + tally.ready_followers);
         let followers = tallies().fold(0, |sum, tally| sum + tally.followers);
-        let silent = if self.is_active() { "" } else { "; this member remembers nothing yet" };
-        Some(format!("{ready} of {followers} hold {}{silent}", version_id.number))
+        let recovering = if self.is_active() { "" } else { "; this member remembers nothing yet" };
+        Some(format!("{ready} of {followers} hold {}{recovering}", version_id.number))
     }
 
-    /// Members that have another version under the committed number.
+    /// Members that report another version under the number decided last.
     pub fn conflicting_members(&self) -> &BTreeMap<ServerName, VersionId> {
         &self.conflicting_members
     }
 
-    /// The last refusals, oldest first.
+    /// The most recent refusals, oldest first.
     pub fn refusals(&self) -> &[Refusal] {
         &self.refusals
     }
 
     /// The followers that renew at this member, in the order of their names.
     pub fn servers(&self, now: Duration) -> Vec<FollowerStatus> {
-        self.followers.states(now, &self.timing)
+        self.followers.statuses(now, &self.timing)
     }
 
     pub(super) fn is_on_committee(&self) -> bool {
@@ -203,7 +203,7 @@
         self.proposals.tally(now, &self.followers, self.summary.servers.as_deref(), &self.timing)
     }
 
-    /// Time since the committed state was confirmed, where leases can still be granted on it.
+    /// Time since the committed state was confirmed; `None` if no lease can be granted on it.
     pub(super) fn confirmation_age(&self, now: Duration) -> Option<Duration> {
         let confirmed_at = self.confirmation.confirmed_at().filter(|_| self.may_vote())?;
         let age = now.saturating_sub(confirmed_at);
--- a/crates/aldercrank-consensus/src/member/verdict.rs
+++ b/crates/aldercrank-consensus/src/member/verdict.rs
@@ -1,4 +1,4 @@
-//! Tallies of the other members, and the verdict on a proposed version that follows from all tallies.
+//! The tallies of the other members, and the verdict on a proposed version, which is derived from all tallies.
 
 use super::proposals::Proposal;
 use crate::messages::{abbreviated_list, ProposalTally, ServerName, Verdict};
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A tally counts for this many check intervals.
-const TALLY_CHECK_INTERVALS: u32 = 3;
+/// How long a peer's tally remains valid, in check intervals.
+const TALLY_VALIDITY_CHECK_INTERVALS: u32 = 3;
 
 /// The last tally of another member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -31,7 +31,7 @@
         self.tallies.clear();
     }
 
-    /// Tallies of any age.
+    /// All tallies, whatever their age.
     pub(super) fn all(&self) -> impl Iterator<Item = &ProposalTally> {
         self.tallies.values().map(|peer| &peer.tally)
     }
@@ -44,7 +44,7 @@
     pub(super) peer_tallies: &'a PeerTallies,
     pub(super) own_name: &'a ServerName,
     pub(super) committee: &'a [ServerName],
-    /// Place of this member on the committee: a later one waits longer, so that one member proposes as a rule.
+    /// Position of this member on the committee. Later members wait longer, so that usually only one proposes.
     pub(super) rank: u32,
     /// Servers that the committed version names.
     pub(super) servers: Option<&'a [ServerName]>,
@@ -53,36 +53,36 @@
 }
 
 impl ProposalReview<'_> {
-    /// The verdict to propose, once there is one.
+    /// The verdict to propose; `None` as long as there is none.
     pub(super) fn verdict(&self) -> Option<Verdict> {
         if let Some(reason) = self.tallies().find_map(|tally| tally.objection.clone()) {
             return Some(Verdict::Refused(reason));
         }
         let waited = self.now.saturating_sub(self.proposal.received_at);
         let rank_delay = self.timing.rank_delay() * self.rank;
-        let gather_ended = waited >= self.timing.gather_timeout() + rank_delay;
+        let evaluation_ended = waited >= self.timing.evaluation_timeout() + rank_delay;
         let own_turn = self.rank == 0 || waited >= rank_delay;
-        if !(gather_ended || (own_turn && self.own_tally.complete() && self.peers_complete())) {
+        if !(evaluation_ended || (own_turn && self.own_tally.is_complete() && self.peers_complete())) {
             return None;
         }
         match self.restriction_at_risk() {
-            Some(reason) => gather_ended.then_some(Verdict::Refused(reason)),
+            Some(reason) => evaluation_ended.then_some(Verdict::Refused(reason)),
             None => Some(Verdict::Committed),
         }
     }
 
     /// Recent tallies of this proposal, this member's first.
     fn tallies(&self) -> impl Iterator<Item = &ProposalTally> {
-        let peers = self.peer_tallies.tallies.values().filter(|peer| self.recent(peer));
+        let peers = self.peer_tallies.tallies.values().filter(|peer| self.is_recent(peer));
         let all = std::iter::once(self.own_tally).chain(peers.map(|peer| &peer.tally));
-        all.filter(|tally| self.is_of_proposal(tally))
+        all.filter(|tally| self.concerns_proposal(tally))
     }
 
-    fn recent(&self, peer: &PeerTally) -> bool {
-        peer.received_at + self.timing.check_interval() * TALLY_CHECK_INTERVALS > self.now
+    fn is_recent(&self, peer: &PeerTally) -> bool {
+        peer.received_at + self.timing.check_interval() * TALLY_VALIDITY_CHECK_INTERVALS > self.now
     }
 
-    fn is_of_proposal(&self, tally: &ProposalTally) -> bool {
+    fn concerns_proposal(&self, tally: &ProposalTally) -> bool {
         tally.proposed == Some(self.proposal.version.version_id)
     }
 
@@ -91,12 +91,13 @@
         let mut others = self.committee.iter().filter(|name| *name != self.own_name);
         others.all(|name| {
             self.peer_tallies.tallies.get(name).is_some_and(|peer| {
-                self.recent(peer) && self.is_of_proposal(&peer.tally) && peer.tally.complete()
+                self.is_recent(peer) && self.concerns_proposal(&peer.tally) && peer.tally.is_complete()
             })
         })
     }
 
-    /// Why the proposal can't be committed without an objection: a server that does not know it may violate it.
+    /// Why the proposal can't be committed although nobody objects: a server that may be active is not known to be
+    /// ready for it, and could violate one of its restrictions.
     fn restriction_at_risk(&self) -> Option<String> {
         let restriction = self.proposal.summary.restrictions.first()?;
         let Some(servers) = self.servers else {
--- a/crates/aldercrank-consensus/src/member/voting.rs
+++ b/crates/aldercrank-consensus/src/member/voting.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 impl CommitteeMember {
-    /// Why a ballot for the decision after `after` can't be considered, if it can't.
+    /// The response to a ballot that must be rejected; `None` if it can be considered. `after` is the number of the
+    /// decision that precedes the one to vote on.
     fn ballot_refusal(&self, after: u64, ballot: &Ballot) -> Option<PeerResponse> {
         if !self.may_vote() {
             Some(PeerResponse::Unavailable)
@@ -67,7 +68,7 @@
         });
     }
 
-    /// Begins a round with this decision.
+    /// Begins a round to propose this decision.
     pub(super) fn propose(
         &mut self,
         now: Duration,
@@ -85,7 +86,7 @@
         self.promise_received(now, &name, own_response, environment);
     }
 
-    /// Counts a promise of the present round, and begins phase 2 once a majority has promised.
+    /// Counts a promise of the current round, and begins phase 2 once a majority has promised.
     pub(super) fn promise_received(
         &mut self,
         now: Duration,
@@ -106,7 +107,7 @@
         self.acceptance_received(now, &name, &own_response, environment);
     }
 
-    /// Counts an acceptance of the present round. A decision that a majority has accepted is chosen.
+    /// Counts an acceptance of the current round. A decision that a majority has accepted is chosen.
     pub(super) fn acceptance_received(
         &mut self,
         now: Duration,
@@ -120,7 +121,7 @@
         let quorum = self.quorum();
         let Some(decision) = self.proposer.record_acceptance(now, from, quorum) else { return };
         let after = self.committed.last;
-        // Sent before the next check, so that the others confirm the state after this decision.
+        // Sent before the check that follows the commit, so that the others confirm the new state in it.
         for to in self.other_members() {
             let request = PeerRequest::Learn { after, decision: decision.clone() };
             self.send(now, &to, Purpose::Learn, request, environment);
@@ -128,8 +129,8 @@
         self.learn(now, decision, environment);
     }
 
-    /// Proposes an accepted decision again whose proposer has not brought it to an end.
-    pub(super) fn finish_undecided(&mut self, now: Duration, environment: &mut impl MemberEnvironment) {
+    /// Proposes the accepted decision again if its proposer has not completed it in time.
+    pub(super) fn repropose_overdue(&mut self, now: Duration, environment: &mut impl MemberEnvironment) {
         if !self.proposer.is_idle() {
             return;
         }
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Becomes active once the others' reports stand in for the lost acceptor state.
+    /// Becomes active once the reports of the other members can replace the lost acceptor state.
     pub(super) fn recover(&mut self, now: Duration) {
         let (others, quorum) = (self.other_members(), self.quorum());
         if let Some(accepted) = self.recovery.try_finish(now, &self.committed, &others, quorum) {
--- a/crates/aldercrank-consensus/src/messages.rs
+++ b/crates/aldercrank-consensus/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between servers: a request and its one response. Texts of versions travel in responses alone, so that a
-//! request is always small.
+//! Messages between servers: requests, each with one response. Only responses carry the texts of versions, so that
+//! requests are always small.
 //!
 //! The names on the wire and the order of variants and fields are part of the protocol: a name that differs from the
 //! Rust one is pinned with `#[serde(rename)]`.
@@ -27,7 +27,7 @@
     }
 }
 
-/// Matches a response to its request. A process never uses one twice.
+/// Matches a response to its request. Unique among the requests of the follower or member that assigned it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CorrelationId(pub u64);
 
@@ -59,27 +59,27 @@
 pub struct ConfigVersion {
     /// Number and digest of the text.
     pub version_id: VersionId,
-    /// The text in its canonical form.
+    /// The text in canonical form.
     pub text: Arc<str>,
 }
 
 /// The result of all decisions so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CommittedState {
-    /// The number decided last. It differs from the committed version's where that decision was a refusal.
+    /// The number decided last. It is above the committed version's number if that decision was a refusal.
     pub last: u64,
     /// The committed version.
     #[serde(rename = "book")]
     pub version_id: VersionId,
 }
 
-/// A Paxos ballot number. It is unique per member and incarnation: a member that has forgotten a round must not begin
-/// another one with the same ballot. Ordered by round, then member, then incarnation.
+/// A Paxos ballot number. The incarnation keeps ballots unique over restarts: a member that has lost its state must not
+/// begin another round with a ballot that it has used before. Ordered by round, then member, then incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     /// Number of the round.
     pub round: u64,
-    /// The proposer; `None` in the ballot below all others.
+    /// The proposer; `None` in the default ballot, which is below all others.
     #[serde(rename = "by")]
     pub proposer: Option<ServerName>,
     /// The proposer's incarnation.
@@ -93,7 +93,7 @@
     /// It is committed.
     #[serde(rename = "InForce")]
     Committed,
-    /// It is refused for this reason: its number is used up, and the version before it stays committed.
+    /// It is refused for this reason. Its number can't be used again, and the version before it stays committed.
     Refused(String),
 }
 
@@ -115,7 +115,7 @@
     }
 }
 
-/// A decision that an acceptor has accepted, which may therefore have been chosen. A pair on the wire.
+/// A decision that an acceptor has accepted, which may therefore have been chosen. Encoded as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(from = "(Ballot, Decision)")]
 pub struct AcceptedDecision {
@@ -137,13 +137,13 @@
     }
 }
 
-/// Whether a server can apply a proposed version. A pair on the wire.
+/// Whether a server can apply a proposed version. Encoded as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(from = "(VersionId, Result<(), String>)")]
 pub struct Evaluation {
     /// The proposed version.
     pub version_id: VersionId,
-    /// Why the server can't apply it, as text for operators.
+    /// `Err` holds the reason why the server can't apply it, as text for operators.
     pub result: Result<(), String>,
 }
 
@@ -159,7 +159,8 @@
     }
 }
 
-/// A bit set of servers: bit `n` is server `n` of those that the committed version names, in the order of names.
+/// A bit set of the servers that the committed version names: bit `n` stands for the `n`th of them in the order of
+/// names, from 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ServerSet(Vec<u8>);
 
@@ -181,19 +182,19 @@
 /// The longest objection that a tally carries, in characters.
 const MAX_OBJECTION_CHARS: usize = 240;
 
-/// What a member knows from its followers about one proposed version.
+/// What a member knows from its followers about the proposed version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ProposalTally {
-    /// The proposed version; `None` where the member knows of none.
+    /// The proposed version; `None` if the member knows of none.
     #[serde(rename = "draft")]
     pub proposed: Option<VersionId>,
     /// Number of followers in contact with the member.
     #[serde(rename = "attached")]
     pub followers: u32,
-    /// Number of those that have fetched the version and can apply it.
+    /// Number of those that have reported that they can apply the version.
     #[serde(rename = "hold")]
     pub ready_followers: u32,
-    /// Why a follower, or the version itself, rules the proposal out.
+    /// Why the proposal must be refused: a follower can't apply it, it was withdrawn, or its number has two contents.
     #[serde(rename = "refuses")]
     pub objection: Option<String>,
     /// Servers named by the committed version that can apply the proposed one.
@@ -205,13 +206,13 @@
 }
 
 impl ProposalTally {
-    /// Records an objection, cut so that it fits into any request.
-    pub(crate) fn object(&mut self, objection: &str) {
+    /// Sets the objection, truncated to keep requests small.
+    pub(crate) fn set_objection(&mut self, objection: &str) {
         self.objection = Some(objection.chars().take(MAX_OBJECTION_CHARS).collect());
     }
 
     /// Whether every follower in contact can apply the proposed version.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ready_followers >= self.followers
     }
 }
@@ -223,13 +224,13 @@
     Renew {
         /// The server.
         from: ServerName,
-        /// The number decided last, as the server knows it.
+        /// The number decided last that the server knows of.
         last: u64,
         /// Its evaluation of the proposed version.
         #[serde(rename = "weighed")]
         evaluation: Option<Evaluation>,
     },
-    /// Asks for the text of a version.
+    /// A server asks for the text of a version.
     Fetch {
         /// The version.
         #[serde(rename = "stamp")]
@@ -247,23 +248,23 @@
     },
     /// Paxos phase 1.
     Prepare {
-        /// The decision that precedes this one.
+        /// Number of the decision that precedes this one.
         after: u64,
         /// The proposer's ballot.
         ballot: Ballot,
     },
     /// Paxos phase 2.
     Accept {
-        /// The decision that precedes this one.
+        /// Number of the decision that precedes this one.
         after: u64,
         /// The proposer's ballot.
         ballot: Ballot,
         /// The value to accept.
         decision: Decision,
     },
-    /// Tells a learner the chosen value.
+    /// Notifies a learner of the chosen value.
     Learn {
-        /// The decision that precedes this one.
+        /// Number of the decision that precedes this one.
         after: u64,
         /// The chosen value.
         decision: Decision,
@@ -280,9 +281,9 @@
         /// The member's committed state.
         #[serde(rename = "standing")]
         committed: CommittedState,
-        /// Time since the state was confirmed to be the newest; `None` where it is not, and no lease is granted.
+        /// Time since the state was confirmed to be the newest; `None` if it is not confirmed, and no lease is granted.
         age: Option<Duration>,
-        /// How long the version has been committed at least.
+        /// Minimum time for which the version has been committed.
         #[serde(rename = "stood")]
         committed_for: Duration,
         /// A proposed version to evaluate.
@@ -305,17 +306,17 @@
         /// The member's committed state.
         #[serde(rename = "standing")]
         committed: CommittedState,
-        /// The member has its whole acceptor state.
+        /// Whether the member has its complete acceptor state and is on the committee.
         #[serde(rename = "sound")]
         active: bool,
-        /// What it has accepted, which may have been chosen.
+        /// The decision that it has accepted, which may have been chosen.
         accepted: Option<AcceptedDecision>,
         /// Its followers' evaluations of the proposed version.
         tally: ProposalTally,
     },
     /// Answers [`PeerRequest::Prepare`]: no lower ballot will be accepted.
     Promised {
-        /// What was accepted before.
+        /// The decision that was accepted before.
         accepted: Option<AcceptedDecision>,
     },
     /// Answers [`PeerRequest::Accept`].
@@ -326,14 +327,14 @@
         /// The promised ballot.
         ballot: Ballot,
     },
-    /// The member needs the text of the version before it can accept it.
+    /// The member needs the text of the version before it can accept the decision.
     #[serde(rename = "Lacks")]
     TextMissing {
         /// The version.
         #[serde(rename = "stamp")]
         version_id: VersionId,
     },
-    /// The request is for another decision than the one that follows the member's state.
+    /// The request concerns a decision other than the one that follows the member's committed state.
     #[serde(rename = "Elsewhere")]
     DifferentState {
         /// The member's committed state.
@@ -353,20 +354,21 @@
     },
 }
 
-/// What the protocol needs to know of a version's text. The caller parses the text.
+/// What the protocol needs to know from the text of a version, which the caller parses.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct VersionSummary {
-    /// Why this very server can't apply the version; `None` where it can.
+    /// Why this server can't apply the version; `None` if it can.
     pub incompatibility: Option<String>,
     /// The committee that decides on the next version, in the order of names.
     pub committee: Vec<ServerName>,
-    /// The servers in service, in the order of names; `None` where the text does not name them.
+    /// The servers in service, in the order of names; `None` if the text does not name them.
     pub servers: Option<Vec<ServerName>>,
-    /// Changes from the committed version that a server out of contact would violate, as text for operators.
+    /// Changes from the committed version that a server would violate if it did not learn of them, as text for
+    /// operators.
     pub restrictions: Vec<String>,
 }
 
-/// The first few names, and how many more there are.
+/// The first few names, and the number of those left out.
 pub(crate) fn abbreviated_list(names: &BTreeSet<&ServerName>) -> String {
     const SHOWN: usize = 5;
     let shown: Vec<&str> = names.iter().take(SHOWN).map(|name| &*name.0).collect();
--- a/crates/aldercrank-consensus/src/quota_handover.rs
+++ b/crates/aldercrank-consensus/src/quota_handover.rs
@@ -1,27 +1,28 @@
-//! Handover of quotas whose sum has a limit. A decrease takes effect at once. An increase waits until every server
-//! that may still use the version before has shrunk or lost its lease, and until the uses begun by then have ended:
-//! the agreement bound after the version was committed, plus the longest use of a quota.
+//! Handover of quotas between servers while their sum stays within a limit. A decrease takes effect at once. An
+//! increase waits until every server that may still use the previous version has decreased its quota or lost its
+//! lease, and until the uses begun by then have ended: the agreement bound after the version was committed, plus the
+//! longest use of a quota.
 
 use crate::timing::{InjectedFault, Timing};
 use std::time::Duration;
 
-/// Most quotas kept. Versions that arrive faster are folded into the smaller of the two oldest.
+/// Limit on the quotas kept. Beyond it, the two oldest are merged into the smaller one.
 const MAX_QUOTAS: usize = 8;
 
-/// A quota as one version gives it.
+/// The quota that one version gives this server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct VersionQuota<T> {
     quota: T,
-    /// Until when it limits the quota in use; `Duration::MAX` for the newest.
+    /// Until when it caps the quota that may be used; `Duration::MAX` for the newest.
     limits_until: Duration,
 }
 
-/// A quota at one moment.
+/// The quota that may be used at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AvailableQuota<T> {
-    /// What may be used.
+    /// The quota.
     pub quota: T,
-    /// When it may be more, if that is known.
+    /// When it may next increase; `None` if only the newest quota remains.
     pub grows_at: Option<Duration>,
 }
 
@@ -35,14 +36,14 @@
 }
 
 impl<T: PartialOrd + Copy + Default> QuotaHandover<T> {
-    /// A server that has just started has an empty quota: another server may still use its part.
+    /// Begins with an empty quota: until the handover time is over, another server may still use this server's part.
     /// `longest_use` is the longest duration of one use of a quota.
     pub fn new(timing: Timing, longest_use: Duration) -> QuotaHandover<T> {
         let empty = VersionQuota { quota: T::default(), limits_until: Duration::ZERO };
         QuotaHandover { timing, longest_use, quotas: vec![empty] }
     }
 
-    /// A version with this quota is committed, and has been for `committed_for` at least.
+    /// Adds the quota of a version that was committed at least `committed_for` ago.
     pub fn version_committed(&mut self, now: Duration, quota: T, committed_for: Duration) {
         self.remove_expired(now);
         let wait = if self.timing.injected_fault == Some(InjectedFault::NoHandoverWait) {
