--- a/crates/aldercrank-consensus/src/follower.rs
+++ b/crates/aldercrank-consensus/src/follower.rs
@@ -113,7 +113,7 @@
     /// A proposed version whose text could not be fetched. It is not tried again before the next renewal is due.
     fetch_deferred: Option<VersionId>,
     ready_proposal: Option<ReadyProposal>,
-    /// The level at the last event, for [`InjectedFault::StaleLevelAfterPause`].
+    /// The level when a timer last fired or the lease was last extended, for [`InjectedFault::StaleLevelAfterPause`].
     last_level: PermissionLevel,
 }
 
--- a/crates/aldercrank-consensus/tests/agreement_bound.rs
+++ b/crates/aldercrank-consensus/tests/agreement_bound.rs
@@ -1,7 +1,7 @@
-//! The agreement bound in a simulated fleet: under random faults, in the hard cases one by one, and what the protocol
-//! costs as a fleet grows.
+//! The agreement bound in a simulated fleet: under random faults and in single difficult cases. Also the number of
+//! messages that the protocol needs as the fleet grows.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Support code is private to this test, and some scenarios are long.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -21,7 +21,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Whether one member loses its acceptor state whenever it restarts.
+/// Which members keep their acceptor state over a restart.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Disks {
     AllMembers,
@@ -73,8 +73,8 @@
             fleet.broken_links.insert((index, to));
         }
         _ => {
-            let slow = fleet.random.below(400) as u32;
-            fleet.delay = (MILLISECOND / 5, MILLISECOND * (1 + slow));
+            let longest_ms = 1 + fleet.random.below(400) as u32;
+            fleet.delay = (MILLISECOND / 5, MILLISECOND * longest_ms);
             fleet.loss_one_in = if fleet.random.one_in(3) { 10 } else { 0 };
         }
     }
@@ -95,7 +95,7 @@
     }
     assert!(
         longest_overlap > AGREEMENT_BOUND / 4,
-        "the faults are hard enough to show an error: {longest_overlap:?}"
+        "the faults are too mild to reveal an error: longest overlap {longest_overlap:?}"
     );
 }
 
@@ -117,10 +117,10 @@
     for injected_fault in
         [InjectedFault::LeaseFromResponse, InjectedFault::StaleLevelAfterPause, InjectedFault::NoLeaseCheck]
     {
-        let found = (0..3000).find(|seed| {
+        let detecting_seed = (0..3000).find(|seed| {
             random_run(*seed, Some(injected_fault), Disks::AllMembers).longest_overlap > AGREEMENT_BOUND
         });
-        assert!(found.is_some(), "{injected_fault:?}");
+        assert!(detecting_seed.is_some(), "no seed below 3000 detects {injected_fault:?}");
     }
 }
 
@@ -133,7 +133,7 @@
     let mut fleet = SimulatedFleet::new(servers, &[0, 1, 2], 5, None);
     fleet.run_for(SECOND * 4);
     assert_eq!(fleet.servers_using(1), servers);
-    // By now every follower counts at one member alone.
+    // Until every follower is in the tally of only one member.
     fleet.run_for(SECOND * 3);
     fleet
 }
@@ -154,8 +154,8 @@
     let mut fleet = started_fleet(9);
     fleet.isolated.extend([2, 7, 8]);
     fleet.run_for(AGREEMENT_BOUND + MILLISECOND * 100);
-    for n in [2, 7, 8] {
-        assert_eq!(fleet.level(n), PermissionLevel::IdempotentOnly, "n{n}");
+    for index in [2, 7, 8] {
+        assert_eq!(fleet.level(index), PermissionLevel::IdempotentOnly, "n{index}");
     }
     fleet.propose(0, &version(2, &[0, 1, 2], "servers=9"));
     fleet.run_for(SECOND * 2);
@@ -169,30 +169,30 @@
 }
 
 #[test]
-fn losing_one_member_costs_no_server_its_lease() {
-    for lost in 0..3 {
+fn no_server_loses_its_lease_when_one_member_fails() {
+    for failed in 0..3 {
         let mut fleet = started_fleet(9);
-        fleet.kill(lost);
+        fleet.kill(failed);
         for _ in 0..40 {
             fleet.run_for(MILLISECOND * 100);
-            assert_eq!(fleet.servers_using(1), 8, "without n{lost}, at {:?}", fleet.now);
+            assert_eq!(fleet.servers_using(1), 8, "without n{failed}, at {:?}", fleet.now);
         }
     }
 }
 
 #[test]
-fn losing_the_whole_committee_stops_fenced_items_alone() {
+fn losing_the_whole_committee_stops_only_fenced_items() {
     let mut fleet = started_fleet(9);
-    (0..3).for_each(|n| fleet.kill(n));
+    (0..3).for_each(|index| fleet.kill(index));
     fleet.run_for(AGREEMENT_BOUND + MILLISECOND * 50);
-    assert!((3..9).all(|n| fleet.level(n) == PermissionLevel::IdempotentOnly));
-    (0..3).for_each(|n| fleet.restart(n));
+    assert!((3..9).all(|index| fleet.level(index) == PermissionLevel::IdempotentOnly));
+    (0..3).for_each(|index| fleet.restart(index));
     fleet.run_for(SECOND * 5);
     assert_eq!(fleet.servers_using(1), 9);
 }
 
 #[test]
-fn one_number_with_two_contents_is_refused_and_the_last_version_stays() {
+fn two_texts_with_one_number_are_refused_and_the_committed_version_stays() {
     let mut fleet = started_fleet(7);
     fleet.propose(0, &version(2, &[0, 1, 2], "servers=7 a"));
     fleet.propose(1, &version(2, &[0, 1, 2], "servers=7 b"));
@@ -207,9 +207,9 @@
 }
 
 #[test]
-fn a_version_that_one_server_can_not_apply_is_refused_with_its_name() {
+fn a_version_that_one_server_cannot_apply_is_refused_and_the_reason_names_the_server() {
     let mut fleet = started_fleet(7);
-    fleet.propose(1, &version(2, &[0, 1, 2], "servers=7 misfit=n0006"));
+    fleet.propose(1, &version(2, &[0, 1, 2], "servers=7 incompatible=n0006"));
     fleet.run_for(SECOND * 2);
     assert_eq!((fleet.servers_using(1), fleet.committed(6).unwrap().last), (7, 2));
     let refusals = refusals(&fleet, 2);
@@ -236,48 +236,52 @@
 }
 
 #[test]
-fn a_withdrawn_proposal_is_either_refused_or_committed() {
-    for late in 0..12 {
+fn a_withdrawn_proposal_is_decided_the_same_way_on_all_servers() {
+    for half_milliseconds in 0..12 {
         let mut fleet = started_fleet(7);
         fleet.propose(1, &version(2, &[0, 1, 2], "servers=7"));
-        fleet.run_for(MILLISECOND * late / 2);
+        fleet.run_for(MILLISECOND * half_milliseconds / 2);
         let now = fleet.now;
         if let Some(member) = &mut fleet.processes[0].member {
-            // Its messages about it are lost.
+            // The messages that the member sends now are lost.
             member.proposal_withdrawn(now, 2, &mut TestEnvironment::new(|_, _| None));
         }
         fleet.run_for(SECOND * 2);
-        assert!([1, 2].iter().any(|number| fleet.servers_using(*number) == 7), "{late}");
+        assert!(
+            [1, 2].iter().any(|number| fleet.servers_using(*number) == 7),
+            "withdrawn after {half_milliseconds} half milliseconds"
+        );
         assert_eq!(fleet.committed(4).unwrap().last, 2, "the number is decided");
     }
 }
 
-/// A version that arrives during a decision is not remembered as read and forgotten.
+/// Guards against losing a version that a member reads while a lower number is being decided: the member does not read
+/// it again.
 #[test]
 fn a_version_read_while_another_is_being_decided_is_decided_after_it() {
-    for late in 0..16 {
+    for delay in (0..16).map(|step| MILLISECOND * 10 * step) {
         let mut fleet = started_fleet(7);
         fleet.delay = (MILLISECOND * 15, MILLISECOND * 15);
         (0..3).for_each(|member| fleet.propose(member, &version(2, &[0, 1, 2], "servers=7")));
-        fleet.run_for(MILLISECOND * 10 * late);
-        // Each member reads it once.
+        fleet.run_for(delay);
+        // Each member reads the version only once.
         (0..3).for_each(|member| fleet.propose(member, &version(3, &[0, 1, 2], "servers=7")));
         let end = fleet.now + SECOND;
         while fleet.servers_using(2) < 7 && fleet.now < end {
             fleet.run_for(MILLISECOND);
         }
-        assert_eq!(fleet.servers_using(2), 7, "{late}");
+        assert_eq!(fleet.servers_using(2), 7, "version 3 read after {delay:?}");
         fleet.run_for(SECOND * 2);
-        assert_eq!(fleet.servers_using(3), 7, "{late}");
+        assert_eq!(fleet.servers_using(3), 7, "version 3 read after {delay:?}");
     }
 }
 
 #[test]
-fn a_version_changes_the_committee_and_the_new_one_decides() {
+fn the_committee_that_a_version_names_decides_on_the_next_version() {
     let mut fleet = started_fleet(9);
     fleet.propose(0, &version(2, &[0, 1, 5], "servers=9"));
     fleet.run_for(SECOND * 6);
-    // Nobody starts the new member n5 here; two of three members are a quorum.
+    // This test does not start the new member on n5; the other two members are a quorum.
     assert_eq!(fleet.servers_using(2), 9);
     fleet.propose(1, &version(3, &[0, 1, 5], "servers=9"));
     fleet.run_for(SECOND * 3);
@@ -289,11 +293,13 @@
 
 #[test]
 fn quotas_moved_during_a_partition_never_exceed_their_limit() {
-    for (injected_fault, most) in [(None, 100..=100), (Some(InjectedFault::NoHandoverWait), 101..=1000)] {
+    for (injected_fault, expected_sums) in
+        [(None, 100..=100), (Some(InjectedFault::NoHandoverWait), 101..=1000)]
+    {
         let mut fleet = SimulatedFleet::new(8, &[0, 1, 2], 9, injected_fault);
         fleet.quotas.borrow_mut().extend([(1, [20, 5]), (2, [5, 20]), (3, [20, 5])]);
         fleet.run_for(SECOND * 8);
-        // The servers whose quota shrinks do not learn of it.
+        // Two servers whose quota decreases do not learn of the new version.
         fleet.isolated.extend([4, 6]);
         fleet.run_for(MILLISECOND * 50);
         fleet.propose(0, &version(2, &[0, 1, 2], "servers=8"));
@@ -301,20 +307,21 @@
         fleet.isolated.clear();
         fleet.propose(0, &version(3, &[0, 1, 2], "servers=8"));
         fleet.run_for(SECOND * 8);
-        assert!(most.contains(&fleet.largest_quota_sum), "{injected_fault:?}: {}", fleet.largest_quota_sum);
+        let largest_quota_sum = fleet.largest_quota_sum;
+        assert!(expected_sums.contains(&largest_quota_sum), "{injected_fault:?}: {largest_quota_sum}");
     }
 }
 
 #[test]
-fn a_flapping_partition_costs_leases_but_never_exceeds_the_bound() {
+fn versions_overlap_within_the_bound_under_a_flapping_partition() {
     let mut fleet = started_fleet(9);
-    for n in 2..32 {
-        if n % 2 == 0 {
+    for number in 2..32 {
+        if number % 2 == 0 {
             fleet.isolated.extend([1, 6, 7]);
         } else {
             fleet.isolated.clear();
         }
-        fleet.propose(0, &version(n, &[0, 1, 2], "servers=9"));
+        fleet.propose(0, &version(number, &[0, 1, 2], "servers=9"));
         fleet.run_for(MILLISECOND * 300);
     }
     assert!(fleet.longest_overlap <= AGREEMENT_BOUND);
@@ -322,20 +329,20 @@
     fleet.run_for(SECOND * 3);
     let last = fleet.committed(0).unwrap().version_id.number;
     assert_eq!(fleet.servers_using(last), 9);
-    assert!(last > 20, "versions are committed nevertheless: {last}");
+    assert!(last > 20, "too few versions were committed meanwhile: the last is {last}");
 }
 
-/// What the protocol costs a fleet.
-struct Cost {
-    /// Per server and second, without a change of version.
-    messages: f64,
+/// Cost of the protocol in a fleet.
+struct ProtocolCost {
+    /// Messages per server and second while the version does not change.
+    message_rate: f64,
     /// Time from a proposal to its use on all servers, in message delays.
     delays_to_use: f64,
-    /// The most requests that one follower sent in that time.
+    /// Largest number of requests that one follower sent in that time.
     follower_requests: u32,
 }
 
-fn cost(servers: usize) -> Cost {
+fn measure_cost(servers: usize) -> ProtocolCost {
     let mut fleet = SimulatedFleet::new(servers, &[0, 1, 2], 3, None);
     let delay = MILLISECOND * 4;
     fleet.delay = (delay, delay);
@@ -343,7 +350,7 @@
     let (messages_before, from) = (fleet.messages, fleet.now);
     fleet.run_for(SECOND * 10);
     let messages = (fleet.messages - messages_before) as f64;
-    let messages = messages / servers as f64 / (fleet.now - from).as_secs_f64();
+    let message_rate = messages / servers as f64 / (fleet.now - from).as_secs_f64();
     let from = fleet.now;
     let before: Vec<u32> = fleet.processes.iter().map(|process| process.follower_requests).collect();
     fleet.propose(0, &version(2, &[0, 1, 2], &format!("servers={servers}")));
@@ -353,22 +360,24 @@
     let requests = fleet.processes.iter().zip(before);
     let requests = requests.map(|(process, before)| process.follower_requests - before);
     let delays_to_use = (fleet.now - from).as_secs_f64() / delay.as_secs_f64();
-    Cost { messages, delays_to_use, follower_requests: requests.max().unwrap() }
+    ProtocolCost { message_rate, delays_to_use, follower_requests: requests.max().unwrap() }
 }
 
 #[test]
 fn the_message_rate_per_server_does_not_grow_with_the_fleet() {
-    let (small, large) = (cost(10), cost(1000));
+    let (small, large) = (measure_cost(10), measure_cost(1000));
     for (servers, cost) in [(10, &small), (1000, &large)] {
-        let Cost { messages, delays_to_use, follower_requests } = cost;
-        println!("{servers} servers: {messages:.2} messages per server and second");
+        let ProtocolCost { message_rate, delays_to_use, follower_requests } = cost;
+        println!("{servers} servers: {message_rate:.2} messages per server and second");
         println!("in use after {delays_to_use} message delays, {follower_requests} requests");
     }
-    assert!(large.messages <= 2.0, "{}", large.messages);
-    assert!(large.messages <= small.messages, "{} {}", large.messages, small.messages);
-    // A follower sends three requests: for the text, with its evaluation, and for the committed state. One more where
-    // a renewal falls in between.
+    let (small_rate, large_rate) = (small.message_rate, large.message_rate);
+    assert!(large_rate <= 2.0, "{large_rate} messages per server and second");
+    assert!(large_rate <= small_rate, "{large_rate} with 1000 servers, {small_rate} with 10");
+    // A follower sends three requests: to fetch the text, to report its evaluation, and to renew on the committed
+    // state. A regular renewal in between adds one.
     let (small_requests, large_requests) = (small.follower_requests, large.follower_requests);
-    assert!(small_requests <= 4 && large_requests <= 4, "{small_requests} {large_requests}");
-    assert!(large.delays_to_use <= 20.0, "{} {}", large.delays_to_use, small.delays_to_use);
+    assert!(small_requests <= 4 && large_requests <= 4, "{small_requests} and {large_requests} requests");
+    let (small_delays, large_delays) = (small.delays_to_use, large.delays_to_use);
+    assert!(large_delays <= 20.0, "{large_delays} message delays with 1000 servers, {small_delays} with 10");
 }
--- a/crates/aldercrank-consensus/tests/committee_member.rs
+++ b/crates/aldercrank-consensus/tests/committee_member.rs
@@ -1,6 +1,6 @@
-//! A committee member alone: what it keeps over a decision and over a restart.
+//! A single committee member: what it retains over a decision and over a restart.
 
-// Support code is shared by several tests.
+// The support code is shared with other tests; this one does not use all of it.
 #![allow(dead_code)]
 
 mod support;
@@ -36,7 +36,7 @@
     CommittedState { last: number, version_id: version(number).version_id }
 }
 
-/// A restarted member with this acceptor state, on which version 1 is committed.
+/// A member that has restarted with version 1 committed and with this accepted decision.
 fn restarted_member(
     accepted: Option<AcceptedDecision>,
     environment: &mut TestEnvironment,
@@ -54,7 +54,7 @@
     CommitteeMember::new(START, identity, version(1), Some(state), timing, environment).unwrap()
 }
 
-/// Answers the checks that were sent to n3, which knows of nothing after version 1. With the member itself, it is a
+/// Responds to the checks sent to n3 that n3 knows of nothing after version 1. Together with the member itself, n3 is a
 /// majority.
 fn confirm_checks(member: &mut CommitteeMember, environment: &mut TestEnvironment) {
     for SentRequest { to, correlation_id, request } in std::mem::take(&mut environment.actions.requests) {
@@ -70,9 +70,10 @@
     }
 }
 
-/// A lease on the version before a decision that may have been chosen would outlast the agreement bound.
+/// Guards against leases on the version before a decision that may have been chosen: they could outlast the agreement
+/// bound.
 #[test]
-fn a_restarted_member_that_has_accepted_a_decision_confirms_nothing_before_it() {
+fn a_restarted_member_does_not_confirm_the_state_before_a_decision_that_it_has_accepted() {
     let mut environment = environment();
     let mut member = restarted_member(None, &mut environment);
     member.timer_fired(START, &mut environment);
@@ -87,7 +88,7 @@
     assert!(!member.is_confirmed(START), "version 2 may have been chosen");
 }
 
-/// A withdrawn version must not be committed because a lower number was decided meanwhile.
+/// Guards against committing a withdrawn version because the decision on a lower number has cleared the withdrawal.
 #[test]
 fn a_withdrawn_proposal_stays_withdrawn_after_the_decision_on_a_lower_number() {
     let mut environment = environment();
@@ -103,9 +104,10 @@
     assert_eq!(member.blocked_by(START).as_deref(), Some("withdrawn"));
 }
 
-/// Members that have recovered a decision without its text can't accept it anew before they have the text.
+/// A member can recover an accepted decision without its text. It can't accept the decision again before it has the
+/// text, so it must take the text as a proposal.
 #[test]
-fn a_member_takes_the_text_of_a_decision_that_it_has_accepted() {
+fn a_member_takes_the_missing_text_of_a_decision_that_it_has_accepted() {
     let mut environment = environment();
     let ballot = Ballot { round: 1, proposer: Some(committee()[1].clone()), incarnation: 1 };
     let decision = Decision { version_id: version(2).version_id, verdict: Verdict::Committed };
--- a/crates/aldercrank-consensus/tests/golden.rs
+++ b/crates/aldercrank-consensus/tests/golden.rs
@@ -1,7 +1,8 @@
-//! Golden files of the messages that servers send one another about the versioned configuration: MessagePack bytes, the names that
-//! stand in them, and what the receiver reads. Written only where `RECORD_GOLDEN_FILES` is set.
+//! Golden files of the messages that servers send one another about the versioned configuration: their MessagePack
+//! bytes, the values and names that the bytes hold, and what the receiver decodes. The files are written only if
+//! `RECORD_GOLDEN_FILES` is set.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Support code is private to this test, and some functions are long.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -23,7 +24,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Compares a text with the golden file of this name; a failure names the first line that differs.
+/// Compares a text with the golden file of this name. A failure shows the first line that differs.
 fn compare(name: &str, actual: &str) {
     compare::check(&format!("consensus/{name}"), actual);
 }
@@ -32,9 +33,9 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A version whose digest counts up from its number, so that the order of its bytes shows.
+/// A version whose digest counts up from its number, so that a change in the order of its bytes shows.
 fn version(number: u64) -> VersionId {
-    VersionId { number, digest: std::array::from_fn(|place| (number as u8).wrapping_add(place as u8)) }
+    VersionId { number, digest: std::array::from_fn(|index| (number as u8).wrapping_add(index as u8)) }
 }
 
 fn committed(last: u64, number: u64) -> CommittedState {
@@ -49,14 +50,14 @@
     Decision { version_id: version(number), verdict: Verdict::Committed }
 }
 
-fn refused(number: u64, why: &str) -> Decision {
-    Decision { version_id: version(number), verdict: Verdict::Refused(why.to_string()) }
+fn refused_decision(number: u64, reason: &str) -> Decision {
+    Decision { version_id: version(number), verdict: Verdict::Refused(reason.to_string()) }
 }
 
-fn bits(places: &[usize]) -> ServerSet {
-    let mut bits = ServerSet::default();
-    places.iter().for_each(|place| bits.insert(*place));
-    bits
+fn server_set(indices: &[usize]) -> ServerSet {
+    let mut servers = ServerSet::default();
+    indices.iter().for_each(|index| servers.insert(*index));
+    servers
 }
 
 fn full_tally() -> ProposalTally {
@@ -65,8 +66,8 @@
         followers: 70_000,
         ready_followers: 128,
         objection: Some("n7: product.rent: this server has no such product".to_string()),
-        ready_servers: bits(&[0, 7, 8, 21]),
-        possibly_active_servers: bits(&[31]),
+        ready_servers: server_set(&[0, 7, 8, 21]),
+        possibly_active_servers: server_set(&[31]),
     }
 }
 
@@ -94,9 +95,13 @@
         PeerRequest::Prepare { after: 8, ballot: Ballot::default() },
         PeerRequest::Prepare { after: 65_536, ballot: ballot() },
         PeerRequest::Accept { after: 8, ballot: ballot(), decision: committed_decision(9) },
-        PeerRequest::Accept { after: 8, ballot: ballot(), decision: refused(9, "its number is used up") },
+        PeerRequest::Accept {
+            after: 8,
+            ballot: ballot(),
+            decision: refused_decision(9, "its number is used up"),
+        },
         PeerRequest::Learn { after: 8, decision: committed_decision(9) },
-        PeerRequest::Learn { after: 8, decision: refused(9, "") },
+        PeerRequest::Learn { after: 8, decision: refused_decision(9, "") },
         PeerRequest::Status,
     ]
 }
@@ -137,7 +142,7 @@
             tally: full_tally(),
         },
         PeerResponse::Promised { accepted: None },
-        PeerResponse::Promised { accepted: accepted(refused(9, "n7 can't go by it")) },
+        PeerResponse::Promised { accepted: accepted(refused_decision(9, "n7 can't go by it")) },
         PeerResponse::Accepted,
         PeerResponse::BallotSuperseded { ballot: ballot() },
         PeerResponse::BallotSuperseded { ballot: Ballot::default() },
@@ -149,7 +154,7 @@
     ]
 }
 
-// ---- the meaning of a message, in the names of the protocol ----
+// Descriptions of decoded messages, which use the names on the wire.
 
 fn describe_version(version: &VersionId) -> String {
     format!("{} with digest {}", version.number, hex(&version.digest))
@@ -164,14 +169,14 @@
 }
 
 fn describe_ballot(ballot: &Ballot) -> String {
-    let by = ballot.proposer.as_ref().map(|name| name.to_string());
-    format!("round {}, by {by:?}, life {}", ballot.round, ballot.incarnation)
+    let proposer = ballot.proposer.as_ref().map(|name| name.to_string());
+    format!("round {}, by {proposer:?}, life {}", ballot.round, ballot.incarnation)
 }
 
 fn describe_decision(decision: &Decision) -> String {
     let verdict = match &decision.verdict {
         Verdict::Committed => "InForce".to_string(),
-        Verdict::Refused(why) => format!("Refused {why:?}"),
+        Verdict::Refused(reason) => format!("Refused {reason:?}"),
     };
     format!("{verdict} for {}", describe_version(&decision.version_id))
 }
@@ -183,23 +188,26 @@
     accepted.as_ref().map_or("none".to_string(), describe)
 }
 
-fn describe_servers(bits: &ServerSet) -> String {
-    let places: Vec<usize> = (0..256).filter(|place| bits.contains(*place)).collect();
-    format!("{places:?}")
+fn describe_servers(servers: &ServerSet) -> String {
+    let indices: Vec<usize> = (0..256).filter(|index| servers.contains(*index)).collect();
+    format!("{indices:?}")
 }
 
 fn describe_tally(tally: &ProposalTally) -> String {
-    let (holders, loud) =
-        (describe_servers(&tally.ready_servers), describe_servers(&tally.possibly_active_servers));
-    let proposed = describe_proposal(&tally.proposed);
-    let (followers, hold, refuses) = (tally.followers, tally.ready_followers, &tally.objection);
-    format!("draft {proposed}, attached {followers}, hold {hold}, refuses {refuses:?}, holders {holders}, loud {loud}")
+    let (proposed, followers) = (describe_proposal(&tally.proposed), tally.followers);
+    let (ready_followers, objection) = (tally.ready_followers, &tally.objection);
+    let ready = describe_servers(&tally.ready_servers);
+    let possibly_active = describe_servers(&tally.possibly_active_servers);
+    format!(
+        "draft {proposed}, attached {followers}, hold {ready_followers}, refuses {objection:?}, holders {ready}, \
+         loud {possibly_active}"
+    )
 }
 
 fn describe_evaluation(evaluation: &Option<Evaluation>) -> String {
     let describe = |Evaluation { version_id, result }: &Evaluation| match result {
         Ok(()) => format!("Ok for {}", describe_version(version_id)),
-        Err(why) => format!("Err {why:?} for {}", describe_version(version_id)),
+        Err(reason) => format!("Err {reason:?} for {}", describe_version(version_id)),
     };
     evaluation.as_ref().map_or("none".to_string(), describe)
 }
@@ -263,10 +271,10 @@
     }
 }
 
-/// Reads bytes and says what they mean.
+/// Decodes a message and describes it.
 type ReadMessage = fn(&[u8]) -> String;
 
-/// The reader's result; servers pass its error on to nobody, so that only that there is one counts.
+/// Describes a request. Servers do not pass the decoder's error on, so only the fact that there is one is recorded.
 fn read_request(bytes: &[u8]) -> String {
     rmp_serde::from_slice::<PeerRequest>(bytes)
         .map_or("not readable".to_string(), |request| describe_request(&request))
@@ -282,12 +290,12 @@
     read.map_or("not readable".to_string(), |proposed| format!("draft {}", describe_proposal(&proposed)))
 }
 
-/// One message: its bytes, the values and names that stand in them, and what the receiver reads; cut short it is not
-/// readable at all.
-fn block(out: &mut String, title: &str, message: &impl Serialize, read: ReadMessage) {
+/// Writes a message's bytes, the values and names that they hold, and what the receiver decodes. Checks that no proper
+/// prefix of the bytes can be decoded.
+fn write_message(out: &mut String, title: &str, message: &impl Serialize, read: ReadMessage) {
     let bytes = rmp_serde::to_vec(message).unwrap();
-    let plain: Json = rmp_serde::from_slice(&bytes).unwrap();
-    let _ = writeln!(out, "{title}\n  bytes {}\n  holds {plain}\n  read  {}\n", hex(&bytes), read(&bytes));
+    let values: Json = rmp_serde::from_slice(&bytes).unwrap();
+    let _ = writeln!(out, "{title}\n  bytes {}\n  holds {values}\n  read  {}\n", hex(&bytes), read(&bytes));
     for length in 0..bytes.len() {
         assert_eq!(read(&bytes[..length]), "not readable", "{title} cut to {length} bytes");
     }
@@ -299,20 +307,20 @@
     for request in requests() {
         let bytes = rmp_serde::to_vec(&request).unwrap();
         assert_eq!(rmp_serde::from_slice::<PeerRequest>(&bytes).unwrap(), request);
-        block(&mut out, "request", &request, read_request);
+        write_message(&mut out, "request", &request, read_request);
     }
     for response in responses() {
         let bytes = rmp_serde::to_vec(&response).unwrap();
         assert_eq!(rmp_serde::from_slice::<PeerResponse>(&bytes).unwrap(), response);
-        block(&mut out, "response", &response, read_response);
+        write_message(&mut out, "response", &response, read_response);
     }
     for proposed in [None, Some(version(9)), Some(version(u64::MAX))] {
-        block(&mut out, "notification", &proposed, read_notification);
+        write_message(&mut out, "notification", &proposed, read_notification);
     }
     compare("messages.txt", &out);
 }
 
-/// Values as another writer might send them, built without the program's own types.
+/// Requests as another implementation might encode them, built without the types of this crate. Some are invalid.
 fn odd_requests() -> Vec<Json> {
     let digest: Vec<u8> = (0..32).collect();
     let version_id = json!([9, digest]);
@@ -370,6 +378,7 @@
     ]
 }
 
+/// Responses as another implementation might encode them. Some are invalid.
 fn odd_responses() -> Vec<Json> {
     let digest: Vec<u8> = (0..32).collect();
     let version_id = json!([9, digest]);
@@ -405,6 +414,7 @@
     ]
 }
 
+/// Notifications as another implementation might encode them. Some are invalid.
 fn odd_notifications() -> Vec<Json> {
     let digest: Vec<u8> = (0..32).collect();
     vec![
@@ -420,7 +430,7 @@
     ]
 }
 
-/// Bytes that no JSON value stands for.
+/// Byte sequences that the encoding of a JSON value never yields.
 fn odd_bytes() -> Vec<(&'static str, Vec<u8>)> {
     let status = [&[0xa6][..], b"Status"].concat();
     vec![
--- a/crates/aldercrank-consensus/tests/model_checking.rs
+++ b/crates/aldercrank-consensus/tests/model_checking.rs
@@ -1,10 +1,11 @@
-//! The state machines under a model checker: three members, two followers, and faults, in steps of an eighth of the
-//! agreement bound. A message sent in a step arrives in it, in order, unless its link loses it, delays it (it comes
-//! later: once or twice, in order or reversed), or its recipient is paused.
+//! Model checking of the state machines: three members and two followers under faults, in steps of an eighth of the
+//! agreement bound. Messages arrive in order, in the step in which they were sent, unless their link loses or delays
+//! them or their recipient is paused. Delayed messages arrive later, once or twice, in order or reversed.
 //!
-//! Bounded by the number of steps, faults and proposals of one history; every history within these bounds is explored.
+//! The histories are bounded by their numbers of steps, faults and proposals, and explored breadth first, up to a limit
+//! on the number of generated states. Where that limit is reached first, the longest histories are not explored.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Support code is private to this test, and some scenarios are long.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -25,14 +26,14 @@
 use std::time::Duration;
 
 const ISOLATION_LIMIT: Duration = Duration::from_secs(60);
-/// Steps in which all followers have a lease on the first version.
+/// Steps after which all followers have a lease on the first version.
 const STEPS_TO_START: usize = 28;
 /// Sum of the two followers' quotas in each version.
 const QUOTA_LIMIT: u32 = 10;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    /// Time passes.
+    /// Time passes: timers fire, and messages are delivered.
     Step,
     Propose {
         member: usize,
@@ -44,14 +45,14 @@
     Reconnect,
     DelayLink(usize, usize),
     ReleaseDelayed(Release),
-    /// A member restarts at once, with its acceptor state or without it.
+    /// A member restarts at once; [`Disks`] says whether it keeps its acceptor state.
     Crash(usize),
     BreakLink(usize, usize),
     /// The member learns that the last proposal was withdrawn.
     Withdraw(usize),
-    /// The member is given the initial version again, and another one of its number.
+    /// The initial version is proposed to the member again, and then another version with the same number.
     ProposeOld(usize),
-    /// A follower is replaced by one that knows nothing.
+    /// A follower is replaced by a new one without a known version.
     ReplaceFollower(usize),
 }
 
@@ -77,7 +78,7 @@
     }
 
     /// A fleet in which all followers have a lease on version 1.
-    fn started(&self) -> State {
+    fn started_fleet(&self) -> State {
         let mut state = State {
             now: Duration::ZERO,
             members: vec![None; MEMBERS],
@@ -117,7 +118,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.started()]
+        vec![self.started_fleet()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
@@ -172,7 +173,7 @@
             Property::always(INVARIANT, |_, state: &State| state.violation.is_none()),
             Property::always(QUOTAS_WITHIN_LIMIT, |_, state: &State| state.largest_quota_sum <= QUOTA_LIMIT),
             Property::sometimes(VERSION_COMMITTED, |_, state: &State| state.first_use.contains_key(&2)),
-            Property::sometimes(NUMBER_USED_UP, |model: &FleetModel, state: &State| {
+            Property::sometimes(VERSION_REFUSED, |model: &FleetModel, state: &State| {
                 model.max_proposals < 2
                     || state.members[1]
                         .as_ref()
@@ -182,18 +183,18 @@
     }
 }
 
-/// Added to the content of a proposal that takes the number of the one before it.
+/// Added to the content of a proposal that reuses the number of the proposal before it.
 const SAME_NUMBER: u8 = 10;
-/// Content of a proposal that takes the number of the initial version.
+/// Content of a proposal that reuses the number of the initial version.
 const OTHER_INITIAL_CONTENT: u8 = 30;
 
 const INVARIANT: &str = "versions overlap within the bound, never go back, and are decided";
 const QUOTAS_WITHIN_LIMIT: &str = "quotas stay within their limit";
 const VERSION_COMMITTED: &str = "a version is committed";
-const NUMBER_USED_UP: &str = "a number is used up";
+const VERSION_REFUSED: &str = "a version is refused";
 
 impl FleetModel {
-    /// `None` where the action is not possible.
+    /// Performs an action. Returns `None` if it is not possible in this state.
     fn apply(&self, state: &mut State, action: Action) -> Option<()> {
         match action {
             Action::Step => state.step(),
@@ -211,7 +212,7 @@
             Action::Pause(process) => drop(state.paused.insert(process)),
             Action::Resume(process) => {
                 state.paused.remove(&process);
-                // It may use its version before it handles anything.
+                // It may use its version before it handles the messages that have arrived.
                 state.use_versions();
                 let messages = state.take_delayed(|message| message.to == process);
                 state.in_transit.extend(messages);
@@ -257,7 +258,7 @@
     }
 }
 
-/// Every kind of fault, but for the member that is always available.
+/// Faults of every kind. Member 1 stays available: it is never paused, isolated or crashed.
 fn all_faults() -> Vec<Action> {
     let processes = (0..PROCESSES).filter(|process| *process != 1);
     let mut faults: Vec<Action> =
@@ -276,18 +277,18 @@
     violated: Vec<&'static str>,
 }
 
-/// Explores this many states at most.
-fn explore(model: FleetModel, max_states: usize) -> Exploration {
-    let checker = model.checker().threads(4).target_state_count(max_states).spawn_bfs().join();
+/// Explores until the checker has generated about this many states, duplicates included.
+fn explore(model: FleetModel, target_states: usize) -> Exploration {
+    let checker = model.checker().threads(4).target_state_count(target_states).spawn_bfs().join();
     let found = checker.discoveries();
     let invariants = [INVARIANT, QUOTAS_WITHIN_LIMIT];
     let violated: Vec<&str> = invariants.into_iter().filter(|name| found.contains_key(name)).collect();
     let states = checker.unique_state_count();
     if violated.is_empty() {
-        let reached = [VERSION_COMMITTED, NUMBER_USED_UP];
-        let never: Vec<&str> = reached.into_iter().filter(|name| !found.contains_key(name)).collect();
+        let expected = [VERSION_COMMITTED, VERSION_REFUSED];
+        let never: Vec<&str> = expected.into_iter().filter(|name| !found.contains_key(name)).collect();
         println!("{states} states, {} deep, never reached: {never:?}", checker.max_depth());
-        assert!(never.is_empty(), "a model in which nothing happens shows nothing");
+        assert!(never.is_empty(), "the model exercises too little; never reached: {never:?}");
     }
     Exploration { states, violated }
 }
@@ -305,7 +306,7 @@
             faults,
         };
         let Exploration { states, violated } = explore(model, 200_000);
-        assert!(violated.is_empty() && states > 30_000, "{states} {violated:?}");
+        assert!(violated.is_empty() && states > 30_000, "{states} states, violated: {violated:?}");
     }
 }
 
@@ -315,7 +316,7 @@
     let model =
         FleetModel { injected_fault: None, disks, max_steps: 10, max_faults: 2, max_proposals: 2, faults };
     let Exploration { states, violated } = explore(model, 150_000);
-    assert!(violated.is_empty() && states > 50_000, "{states} {violated:?}");
+    assert!(violated.is_empty() && states > 50_000, "{states} states, violated: {violated:?}");
 }
 
 #[test]
--- a/crates/aldercrank-consensus/tests/modelled_fleet/mod.rs
+++ b/crates/aldercrank-consensus/tests/modelled_fleet/mod.rs
@@ -1,6 +1,6 @@
-//! State of the modelled fleet: its processes, the messages between them, and what has gone wrong.
+//! The state of the modelled fleet: its processes, the messages between them, and the invariants that it violates.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Support code is private to this test, and some scenarios are long.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -26,7 +26,7 @@
 /// Members come first, then followers.
 pub const PROCESSES: usize = 5;
 pub const FOLLOWERS: usize = PROCESSES - MEMBERS;
-/// Steps in which a proposal is decided while all processes are connected.
+/// Steps within which a proposal is decided while all processes are connected.
 pub const STEPS_TO_DECIDE: u8 = 6;
 
 pub fn server_name(index: usize) -> ServerName {
@@ -89,21 +89,21 @@
     /// Number of the version that each follower uses.
     pub versions_in_use: Vec<Option<u64>>,
     pub quotas: Vec<QuotaHandover<u32>>,
-    /// By follower: the member that it asked last, which notifies it.
+    /// For each follower, the member that it asked last and that notifies it.
     pub connections: BTreeMap<usize, usize>,
     pub paused: BTreeSet<usize>,
-    /// Processes that can exchange messages among themselves alone.
+    /// Processes that can exchange messages only among themselves.
     pub isolated: BTreeSet<usize>,
-    /// Links that lose everything: from, to.
+    /// Links that lose all messages, as sender and recipient.
     pub broken_links: BTreeSet<(usize, usize)>,
-    /// Links whose messages wait until they are released: from, to.
+    /// Links whose messages wait until they are released, as sender and recipient.
     pub delayed_links: BTreeSet<(usize, usize)>,
     pub in_transit: VecDeque<Message>,
     pub delayed: Vec<Message>,
     pub proposals: u8,
     pub faults: u8,
     pub steps: u8,
-    /// Steps since the last fault or proposal, while none is in effect.
+    /// Steps since the last other action, counted only while no fault is in effect and all members are active.
     pub quiet_steps: u8,
     /// When each version was first used.
     pub first_use: BTreeMap<u64, Duration>,
@@ -126,7 +126,7 @@
     Absent,
 }
 
-/// The quota that a version gives a follower.
+/// The quota that the version of this number gives a follower.
 pub fn quota(number: u64, process: usize) -> u32 {
     if (number as usize + process).is_multiple_of(2) {
         8
@@ -172,7 +172,7 @@
         if let Some(committed) = actions.committed {
             let (follower, number) = (from - MEMBERS, committed.number);
             if self.versions_in_use[follower].is_some_and(|before| before > number) {
-                self.violation = Some("a version went back");
+                self.violation = Some("a follower went back to an older version");
             }
             self.versions_in_use[follower] = Some(number);
             self.quotas[follower].version_committed(self.now, quota(number, from), committed.committed_for);
@@ -235,7 +235,7 @@
         self.perform(process, Role::Member, environment.actions);
     }
 
-    /// Calls a member and puts what it sends in transit.
+    /// Calls a member and performs its actions. Returns `None` if the member does not run.
     pub fn with_member(
         &mut self,
         member: usize,
@@ -266,7 +266,7 @@
         self.deliver();
     }
 
-    /// Every follower that may use its version does, and the invariants are checked.
+    /// Lets every follower use its version if it may, and checks the invariants.
     pub fn use_versions(&mut self) {
         let mut quota_sum = 0;
         for follower in 0..FOLLOWERS {
@@ -286,7 +286,7 @@
         self.largest_quota_sum = self.largest_quota_sum.max(quota_sum);
     }
 
-    /// Takes the delayed messages that the filter selects.
+    /// Removes and returns the delayed messages that the filter selects.
     pub fn take_delayed(&mut self, selected: impl Fn(&Message) -> bool) -> Vec<Message> {
         let (taken, kept) = self.delayed.drain(..).partition(selected);
         self.delayed = kept;
--- a/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
+++ b/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Servers and their committee in virtual time, with faults between them, and the invariant checker: at each moment
-//! every server that may use its version does, and no server uses an older version for longer than the agreement bound
-//! after another one has used a newer one.
+//! A simulated fleet in virtual time: servers, their committee, faults, and the data for the invariant checks. Every
+//! server that may use its version does. The invariant is that no server uses an older version for longer than the
+//! agreement bound after another one has used a newer one; [`SimulatedFleet::longest_overlap`] records that time.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Support code is private to this test, and some scenarios are long.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -29,7 +29,7 @@
 pub const AGREEMENT_BOUND: Duration = Duration::from_secs(2);
 const ISOLATION_LIMIT: Duration = Duration::from_secs(60);
 
-/// A generator of its own, so that a seed gives the same run everywhere.
+/// A self-contained random generator, so that a seed gives the same run on every platform.
 pub struct RandomGenerator(u64);
 
 impl RandomGenerator {
@@ -47,7 +47,8 @@
     ServerName::new(&format!("n{index:04}"))
 }
 
-/// A version whose text is its number, its committee, and properties (`incompatibility=NAME`, `restrictions`, `servers=N`).
+/// A version whose text is its number, its committee, and its properties, separated by spaces: `servers=COUNT`,
+/// `incompatible=NAME` (that server can't apply it), and `restrictions` (the version restricts what servers may do).
 pub fn version(number: u64, committee: &[usize], properties: &str) -> ConfigVersion {
     let members: Vec<String> = committee.iter().map(|index| server_name(*index).to_string()).collect();
     let text = format!("{number};{};{properties}", members.join(","));
@@ -62,12 +63,12 @@
 /// Parses the text of a version for one server.
 fn summarize(own_name: &ServerName, version_id: &VersionId, text: &str) -> Option<VersionSummary> {
     let parts: Vec<&str> = text.split(';').collect();
-    if version_of_text(text).version_id != *version_id {
+    if parse_version(text).version_id != *version_id {
         return None;
     }
     let property = |key: &str| parts[2].split(' ').find_map(|property| property.strip_prefix(key));
     let servers = property("servers=").map(|count| (0..count.parse().unwrap()).map(server_name).collect());
-    let incompatibility = property("misfit=").filter(|name| **name == *own_name.0);
+    let incompatibility = property("incompatible=").filter(|name| **name == *own_name.0);
     let restrictions = property("restrictions").map(|_| "a request class may not run again".to_string());
     Some(VersionSummary {
         incompatibility: incompatibility.map(|_| "it has no such request class".to_string()),
@@ -77,7 +78,7 @@
     })
 }
 
-fn version_of_text(text: &str) -> ConfigVersion {
+fn parse_version(text: &str) -> ConfigVersion {
     let parts: Vec<&str> = text.split(';').collect();
     let members: Vec<usize> = parts[1].split(',').map(|member| member[1..].parse().unwrap()).collect();
     version(parts[0].parse().unwrap(), &members, parts[2])
@@ -107,15 +108,16 @@
     pub member: Option<CommitteeMember>,
     incarnation: u64,
     running: bool,
-    /// Nothing of it runs until it is resumed.
+    /// Whether it is paused: it handles no events until it is resumed.
     paused: bool,
     /// Events that arrived while it was paused.
     deferred_events: Vec<Event>,
-    /// Its clock's rate, in thousandths, and its reading at the start of the run: no two clocks show the same time.
+    /// The rate of its clock, in thousandths, and the clock's reading at the start of the run. No two clocks show the
+    /// same time.
     clock_rate: u32,
     clock_offset: Duration,
     stored_acceptor_state: Option<AcceptorState>,
-    /// Its acceptor state outlives the process.
+    /// Whether its acceptor state survives a restart.
     pub has_disk: bool,
     quota: QuotaHandover<u32>,
     /// Number of the version that it uses.
@@ -132,27 +134,27 @@
     pub processes: Vec<Process>,
     committee: Vec<usize>,
     initial_version: ConfigVersion,
-    /// Time and index of events to come.
+    /// Times and indices of future events.
     queue: BinaryHeap<Reverse<(Duration, usize)>>,
     events: Vec<Option<Event>>,
     pub random: RandomGenerator,
-    /// Servers that can exchange messages among themselves alone.
+    /// Servers that can exchange messages only among themselves.
     pub isolated: BTreeSet<usize>,
-    /// Links that lose everything: from, to.
+    /// Links that lose all messages, as sender and recipient.
     pub broken_links: BTreeSet<(usize, usize)>,
     /// Shortest and longest delay of a message.
     pub delay: (Duration, Duration),
-    /// One message in so many is lost; 0 for none.
+    /// One message out of this many is lost; with 0, none.
     pub loss_one_in: u64,
     pub messages: u64,
     /// When each version was first used, by number.
     first_use: BTreeMap<u64, Duration>,
     /// The longest time from the first use of a version to a use of an older one.
     pub longest_overlap: Duration,
-    /// Servers whose version went back.
+    /// Descriptions of the events in which a server went back to an older version.
     pub regressions: Vec<String>,
     pub largest_quota_sum: u32,
-    /// By version number: the quota of each even and each odd server.
+    /// By version number: the quota of each server with an even index, and of each with an odd one.
     pub quotas: Rc<RefCell<BTreeMap<u64, [u32; 2]>>>,
 }
 
@@ -186,7 +188,7 @@
             quotas: Rc::default(),
         };
         for index in 0..servers {
-            let process = fleet.process(index, 1, false);
+            let process = fleet.new_process(index, 1, false);
             fleet.processes.push(process);
         }
         for index in 0..servers {
@@ -195,10 +197,10 @@
         fleet
     }
 
-    fn process(&self, index: usize, incarnation: u64, has_disk: bool) -> Process {
+    fn new_process(&self, index: usize, incarnation: u64, has_disk: bool) -> Process {
         let committee: Vec<ServerName> = self.committee.iter().map(|index| server_name(*index)).collect();
-        let own_place = self.committee.iter().position(|member| *member == index);
-        let spread = own_place.unwrap_or(index) as u64;
+        let committee_index = self.committee.iter().position(|member| *member == index);
+        let spread = committee_index.unwrap_or(index) as u64;
         Process {
             follower: Follower::new(server_name(index), committee, spread, self.timing.clone()),
             member: None,
@@ -217,7 +219,7 @@
         }
     }
 
-    /// Starts a process. A member with a disk finds its acceptor state there.
+    /// Starts a process. A member with a disk restores its acceptor state from it.
     fn begin_incarnation(&mut self, index: usize) {
         let clock_rate = 995 + self.random.below(11) as u32;
         let process = &mut self.processes[index];
@@ -254,7 +256,7 @@
         }
         let (incarnation, has_disk) = (old.incarnation + 1, old.has_disk);
         let acceptor_state = old.stored_acceptor_state.take().filter(|_| has_disk);
-        let mut process = self.process(index, incarnation, has_disk);
+        let mut process = self.new_process(index, incarnation, has_disk);
         process.stored_acceptor_state = acceptor_state;
         self.processes[index] = process;
         self.begin_incarnation(index);
@@ -264,10 +266,10 @@
         self.processes[index].paused = true;
     }
 
-    /// Resumes a process. The events that arrived meanwhile come all at once.
+    /// Resumes a process, which then handles the events that have arrived meanwhile all at once.
     pub fn resume(&mut self, index: usize) {
         if std::mem::take(&mut self.processes[index].paused) {
-            // It may use its version before it handles anything.
+            // It may use its version before it handles the events that have arrived.
             self.use_version(index);
             for event in std::mem::take(&mut self.processes[index].deferred_events) {
                 self.schedule(self.now, event);
@@ -275,7 +277,7 @@
         }
     }
 
-    /// The member learns of a version that was published.
+    /// Proposes a version to a member, unless it does not run or is paused.
     pub fn propose(&mut self, member: usize, version: &ConfigVersion) {
         let now = self.local_now(member);
         let process = &mut self.processes[member];
@@ -335,7 +337,7 @@
             let (now, number) = (self.local_now(index), committed.number);
             let quota = self.quotas.borrow().get(&number).map_or(0, |quotas| quotas[index % 2]);
             if self.processes[index].version_in_use.is_some_and(|before| before > number) {
-                self.regressions.push(format!("n{index} went back to {number} at {:?}", self.now));
+                self.regressions.push(format!("n{index} went back to version {number} at {:?}", self.now));
             }
             self.processes[index].version_in_use = Some(number);
             self.processes[index].quota.version_committed(now, quota, committed.committed_for);
@@ -350,7 +352,7 @@
             process.member.as_ref().map_or(follower_due, |member| member.next_timeout().min(follower_due));
         let elapsed = due.saturating_sub(process.clock_offset).as_nanos() as u64;
         let at = Duration::from_nanos(elapsed.saturating_mul(1000) / u64::from(process.clock_rate));
-        // A moment later, since a clock's rate is rounded.
+        // Slightly later, since the conversion from the local time rounds down.
         let at = at.max(self.now + MILLISECOND / 20) + MILLISECOND / 1000;
         self.schedule(at, Event::Timer { server: index });
     }
@@ -420,7 +422,7 @@
         self.use_version(index);
     }
 
-    /// A follower has one connection, to the member that it asks.
+    /// Moves the follower's only connection to the member that it asks.
     fn connect(&mut self, follower: usize, member: usize) {
         for process in &mut self.processes {
             process.connected_followers.remove(&follower);
@@ -439,7 +441,7 @@
         }
     }
 
-    /// The server uses its version if it may, and the invariant is checked.
+    /// Lets the server use its version if it may, and updates the longest overlap.
     fn use_version(&mut self, index: usize) {
         let now = self.local_now(index);
         let process = &self.processes[index];
@@ -455,7 +457,7 @@
         }
     }
 
-    fn sum_quotas(&mut self) {
+    fn update_largest_quota_sum(&mut self) {
         let mut sum = 0;
         for index in 0..self.processes.len() {
             let now = self.local_now(index);
@@ -468,7 +470,7 @@
         self.largest_quota_sum = self.largest_quota_sum.max(sum);
     }
 
-    /// Lets time pass. At regular intervals every server uses its version if it may.
+    /// Advances the time by this span. Every server uses its version at regular intervals, as long as it may.
     pub fn run_for(&mut self, span: Duration) {
         const USE_INTERVAL: Duration = Duration::from_millis(20);
         let end = self.now + span;
@@ -478,7 +480,7 @@
             if next_use <= next_event {
                 self.now = self.now.max(next_use);
                 (0..self.processes.len()).for_each(|index| self.use_version(index));
-                self.sum_quotas();
+                self.update_largest_quota_sum();
                 next_use += USE_INTERVAL;
                 continue;
             }
--- a/crates/aldercrank-consensus/tests/support/mod.rs
+++ b/crates/aldercrank-consensus/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! The environment of followers and members under test: records what they do.
+//! An environment for followers and members under test, which records their actions.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Support code is private to the tests.
 #![allow(missing_docs, unreachable_pub)]
 
 use aldercrank_consensus::follower::FollowerEnvironment;
@@ -24,7 +24,7 @@
 #[derive(Default)]
 pub struct RecordedActions {
     pub requests: Vec<SentRequest>,
-    /// The last notification; a proposed version in it comes with the committed state.
+    /// The last notification: of a proposed version or, with `None` in it, of a confirmed committed state.
     pub notification: Option<Option<VersionId>>,
     pub acceptor_state: Option<AcceptorState>,
     pub committed: Option<CommittedVersion>,
@@ -32,7 +32,7 @@
 
 type Summarize = Box<dyn Fn(&VersionId, &str) -> Option<VersionSummary>>;
 
-/// Records actions, and parses texts with a function of the test's own.
+/// Records actions, and parses texts with the given function.
 pub struct TestEnvironment {
     pub actions: RecordedActions,
     summarize: Summarize,
