--- a/crates/aldercrank-consensus/src/member/events.rs
+++ b/crates/aldercrank-consensus/src/member/events.rs
@@ -106,7 +106,7 @@
     /// When [`CommitteeMember::timer_fired`] is to be called next.
     pub fn next_timeout(&self) -> Duration {
         let check_due = self.confirmation.check_due();
-        self.proposer.round_deadline().map_or(check_due, |deadline| deadline.min(check_due))
+        self.proposer.phase_deadline().map_or(check_due, |deadline| deadline.min(check_due))
     }
 
     /// Ends a round that has timed out, and begins a check with the periodic work if one is due. May be called early.
--- a/crates/aldercrank-consensus/src/member/learning.rs
+++ b/crates/aldercrank-consensus/src/member/learning.rs
@@ -45,7 +45,7 @@
     /// Asks all other members whether the committed state is still the newest.
     pub(super) fn check(&mut self, now: Duration, environment: &mut impl MemberEnvironment) {
         // A late response to the previous check must not count towards this one.
-        self.requests.remove_stale(now, self.timing.round_timeout());
+        self.requests.remove_stale(now, self.timing.phase_timeout());
         self.confirmation.begin_check(now, self.timing.check_interval());
         let tally = self.tally(now);
         for to in self.other_members() {
--- a/crates/aldercrank-consensus/src/member/proposals.rs
+++ b/crates/aldercrank-consensus/src/member/proposals.rs
@@ -43,7 +43,7 @@
         self.proposals.iter().find(|proposal| proposal.version.version_id == *version_id)
     }
 
-    /// Adds a proposal, unless its number already has the most proposals kept for one. Of the numbers after the lowest,
+    /// Adds a proposal, unless its number already has `MAX_PROPOSALS_PER_NUMBER`. Of the numbers after the lowest,
     /// keeps only the highest and the one on which this member has accepted a decision.
     pub(super) fn insert(&mut self, proposal: Proposal, accepted_number: Option<u64>) {
         let number = proposal.version.version_id.number;
--- a/crates/aldercrank-consensus/src/member/proposer.rs
+++ b/crates/aldercrank-consensus/src/member/proposer.rs
@@ -30,13 +30,13 @@
     round: Round,
     /// Ballot of the current round, or of the last one if there is none.
     ballot: Ballot,
-    round_timeout: Duration,
+    phase_timeout: Duration,
 }
 
 impl Proposer {
-    pub(super) fn new(name: ServerName, incarnation: u64, round_timeout: Duration) -> Proposer {
+    pub(super) fn new(name: ServerName, incarnation: u64, phase_timeout: Duration) -> Proposer {
         let ballot = Ballot { round: 0, proposer: Some(name), incarnation };
-        Proposer { round: Round::Idle, ballot, round_timeout }
+        Proposer { round: Round::Idle, ballot, phase_timeout }
     }
 
     pub(super) fn is_idle(&self) -> bool {
@@ -69,19 +69,19 @@
         self.round = Round::Idle;
     }
 
-    /// When the current round times out.
-    pub(super) fn round_deadline(&self) -> Option<Duration> {
+    /// When the current phase of the round times out, which ends the round.
+    pub(super) fn phase_deadline(&self) -> Option<Duration> {
         match &self.round {
             Round::Idle => None,
             Round::Preparing { started_at, .. } | Round::Accepting { started_at, .. } => {
-                Some(*started_at + self.round_timeout)
+                Some(*started_at + self.phase_timeout)
             }
         }
     }
 
-    /// Ends a round that has reached its deadline.
+    /// Ends the round if its current phase has timed out.
     pub(super) fn expire_round(&mut self, now: Duration) {
-        if self.round_deadline().is_some_and(|deadline| now >= deadline) {
+        if self.phase_deadline().is_some_and(|deadline| now >= deadline) {
             self.round = Round::Idle;
         }
     }
@@ -98,7 +98,7 @@
         else {
             return None;
         };
-        if now >= *started_at + self.round_timeout {
+        if now >= *started_at + self.phase_timeout {
             return None;
         }
         promised_by.insert(from.clone());
@@ -124,9 +124,9 @@
         quorum: Quorum,
     ) -> Option<Decision> {
         let Round::Accepting { decision, accepted_by, started_at } = &mut self.round else { return None };
-        // A member that has lost its acceptor state abstains for longer than a round lasts. A response that arrives
-        // after the deadline may have been sent before the loss.
-        if now >= *started_at + self.round_timeout {
+        // A member that has lost its acceptor state does not vote until any round that it took part in is over. A
+        // response that arrives after the deadline may have been sent before the loss.
+        if now >= *started_at + self.phase_timeout {
             return None;
         }
         accepted_by.insert(from.clone());
--- a/crates/aldercrank-consensus/src/member/state.rs
+++ b/crates/aldercrank-consensus/src/member/state.rs
@@ -82,7 +82,7 @@
         };
         let summary = environment.read(&version.version_id, &version.text, None)?;
         let mut member = CommitteeMember {
-            proposer: Proposer::new(name.clone(), incarnation, timing.round_timeout()),
+            proposer: Proposer::new(name.clone(), incarnation, timing.phase_timeout()),
             name,
             timing,
             committed,
--- a/crates/aldercrank-consensus/src/member/voting.rs
+++ b/crates/aldercrank-consensus/src/member/voting.rs
@@ -134,7 +134,7 @@
         if !self.proposer.is_idle() {
             return;
         }
-        let wait = self.timing.round_timeout() + self.timing.rank_delay() * self.rank();
+        let wait = self.timing.phase_timeout() + self.timing.rank_delay() * self.rank();
         if let Some(decision) = self.acceptor.take_overdue(now, wait) {
             self.propose(now, decision, environment);
         }
--- a/crates/aldercrank-consensus/src/quota_handover.rs
+++ b/crates/aldercrank-consensus/src/quota_handover.rs
@@ -6,7 +6,8 @@
 use crate::timing::{InjectedFault, Timing};
 use std::time::Duration;
 
-/// Limit on the quotas kept. Beyond it, the two oldest are merged into the smaller one.
+/// Limit on the quotas kept. If versions arrive so fast that there would be more, the two oldest are merged into the
+/// smaller one.
 const MAX_QUOTAS: usize = 8;
 
 /// The quota that one version gives this server.
--- a/crates/aldercrank-consensus/src/timing.rs
+++ b/crates/aldercrank-consensus/src/timing.rs
@@ -10,8 +10,8 @@
 const RESPONSE_TIMEOUT_FRACTION: f64 = 0.08;
 /// Time that followers have to evaluate a proposed version, as a fraction of the agreement bound.
 const EVALUATION_TIMEOUT_FRACTION: f64 = 0.25;
-/// Longest duration of a Paxos round, as a fraction of the agreement bound.
-const ROUND_TIMEOUT_FRACTION: f64 = 0.25;
+/// Longest duration of each of the two phases of a Paxos round, as a fraction of the agreement bound.
+const PHASE_TIMEOUT_FRACTION: f64 = 0.25;
 /// Extra delay before a member begins a round, per position on the committee, as a fraction of the agreement bound.
 const RANK_DELAY_FRACTION: f64 = 0.08;
 /// How long a member that has lost its acceptor state neither votes nor grants leases, as a fraction of the agreement
@@ -95,9 +95,9 @@
         self.agreement_bound.mul_f64(EVALUATION_TIMEOUT_FRACTION)
     }
 
-    /// Longest duration of a Paxos round.
-    pub fn round_timeout(&self) -> Duration {
-        self.agreement_bound.mul_f64(ROUND_TIMEOUT_FRACTION)
+    /// Longest duration of each of the two phases of a Paxos round.
+    pub fn phase_timeout(&self) -> Duration {
+        self.agreement_bound.mul_f64(PHASE_TIMEOUT_FRACTION)
     }
 
     /// Extra delay before a member begins a round, per position on the committee.
