--- a/crates/aldercrank-server/tests/suite/crossings.rs
+++ b/crates/aldercrank-server/tests/suite/crossings.rs
@@ -7,11 +7,14 @@
     EdgeConnection, PoolConnection, Program, TIMEOUT,
 };
 use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
 /// The length of a result, in bytes.
 const RESULT_BYTES: usize = 4096;
+/// How long an edge node waits for the answer to an attempt before it tries another server.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Replaces the value at a JSON pointer.
 fn set(config: &mut serde_json::Value, path: &str, value: impl Into<serde_json::Value>) {
@@ -385,6 +388,38 @@
     }
 }
 
+/// Connects, sends a request and waits for its answer. Returns how long all of that took.
+fn time_to_answer(server: SocketAddr, attempt_number: u32) -> Duration {
+    let started_at = Instant::now();
+    let stream = TcpStream::connect(server).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let mut edge = EdgeConnection(stream);
+    edge.send_request(1, "map", &attempt(attempt_number), None, b"");
+    edge.read_until(&[&[0x94, 1]]);
+    started_at.elapsed()
+}
+
+/// The kernel drops connection requests beyond the length of the accept queue, and a client repeats its request only
+/// after a second, which is longer than edge nodes wait. Fewer connections than the server's limit must not cause that.
+#[test]
+fn requests_on_a_burst_of_new_connections_are_answered_before_edge_nodes_give_up() {
+    const CONNECTIONS: u32 = 200;
+    let mut program = Program::start_with(Some(|_: &str| None), |config| {
+        set(config, "/limits/sockets", 400);
+    });
+    let pool = program.wait_until_serving();
+    std::thread::spawn(move || pool.serve(b"done"));
+    program.pause();
+    let server = program.edge;
+    let callers: Vec<_> =
+        (1..=CONNECTIONS).map(|number| std::thread::spawn(move || time_to_answer(server, number))).collect();
+    std::thread::sleep(Duration::from_millis(100));
+    program.resume();
+    let times: Vec<Duration> = callers.into_iter().map(|caller| caller.join().unwrap()).collect();
+    let late = times.iter().filter(|time| **time > ATTEMPT_TIMEOUT).count();
+    assert_eq!(late, 0, "{late} of {CONNECTIONS} answers took longer, the last {:?}", times.iter().max());
+}
+
 /// Neither an unavailable nor a silent membership service delays the shutdown.
 #[test]
 fn a_membership_service_that_does_not_answer_does_not_delay_the_shutdown() {
