--- a/crates/aldercrank-json-settings/src/lib.rs
+++ b/crates/aldercrank-json-settings/src/lib.rs
@@ -1,10 +1,11 @@
-//! Converts settings from JSON into the plain map that admission control reads.
+//! Flattens JSON settings into the map of dotted names that admission control reads.
 
 use aldercrank::{Settings, Value};
 use serde_json::Value as Json;
 
-/// Joins nested names with dots and numbers list items from 0. A null is left out, an empty list or object too. A number
-/// that a float cannot hold becomes NaN, which no setting accepts.
+/// Flattens a JSON document into settings. Nested names are joined with dots, and list items are named by their index,
+/// from 0. Nulls, empty lists and empty objects are left out. A number that an `f64` cannot represent becomes NaN,
+/// which no setting accepts.
 pub fn settings(json: &Json) -> Settings {
     let mut settings = Settings::default();
     flatten("", json, &mut settings);
--- a/crates/aldercrank-json-settings/tests/golden.rs
+++ b/crates/aldercrank-json-settings/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden file of JSON settings turned into dotted names: the document, then each name with its value.
+//! Compares flattened JSON settings with a golden file, which lists each document and then its names and values.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Support code is private to this test binary, so it needs no documentation; functions with many cases may be long.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -32,29 +32,29 @@
     ("a list alone", "[1, [2]]"),
 ];
 
-/// A value with its kind, as JSON writes it.
-fn written(value: &Value) -> String {
+/// The type of a value, and the value.
+fn describe(value: &Value) -> String {
     match value {
-        Value::Number(n) => format!("number {n:?}"),
+        Value::Number(number) => format!("number {number:?}"),
         Value::Text(text) => format!("text {text:?}"),
         Value::Flag(flag) => format!("flag {flag}"),
     }
 }
 
-fn decoded(document: &str) -> String {
+fn flattened(document: &str) -> String {
     let json = serde_json::from_str(document).unwrap();
     let mut lines = String::new();
     for (name, value) in &aldercrank_json_settings::settings(&json).0 {
-        writeln!(lines, "  {name:?} = {}", written(value)).unwrap();
+        writeln!(lines, "  {name:?} = {}", describe(value)).unwrap();
     }
     lines
 }
 
 #[test]
-fn json_settings_become_the_recorded_names_and_values() {
-    let mut built = String::new();
+fn flattened_json_settings_match_the_golden_file() {
+    let mut text = String::new();
     for (title, document) in DOCUMENTS {
-        writeln!(built, "== {title}\n{document}\n{}", decoded(document)).unwrap();
+        writeln!(text, "== {title}\n{document}\n{}", flattened(document)).unwrap();
     }
-    compare::check("config/flattened-json.txt", &built);
+    compare::check("config/flattened-json.txt", &text);
 }
--- a/crates/aldercrank-simulator-adapter/src/actions.rs
+++ b/crates/aldercrank-simulator-adapter/src/actions.rs
@@ -8,9 +8,9 @@
 #[derive(Default)]
 pub struct ActionBuffer(pub Vec<Json>);
 
-/// The protocol's unit of time.
-fn micros(span: Duration) -> u64 {
-    span.as_micros().min(u128::from(u64::MAX)) as u64
+/// A duration in microseconds, the protocol's unit of time.
+fn micros(duration: Duration) -> u64 {
+    duration.as_micros().min(u128::from(u64::MAX)) as u64
 }
 
 impl Host for ActionBuffer {
@@ -22,8 +22,8 @@
     }
     fn reject(&mut self, request_id: RequestId, retry_after: Option<Duration>, last: bool) {
         let mut action = json!({"t": "SayNo", "request_id": request_id.0});
-        if let Some(span) = retry_after {
-            action["hold_off"] = micros(span).into();
+        if let Some(delay) = retry_after {
+            action["hold_off"] = micros(delay).into();
         }
         if last {
             action["last"] = true.into();
@@ -48,8 +48,8 @@
     fn skip_call(&mut self, request_id: RequestId) {
         self.0.push(json!({"t": "Skip", "request_id": request_id.0}));
     }
-    fn set_health(&mut self, good: bool, stored: bool) {
-        self.0.push(json!({"t": "Fitness", "enable": good, "stored": stored}));
+    fn set_health(&mut self, healthy: bool, stored: bool) {
+        self.0.push(json!({"t": "Fitness", "enable": healthy, "stored": stored}));
     }
     fn close_idle(&mut self, span: Duration) {
         self.0.push(json!({"t": "CloseIdle", "for_time": micros(span)}));
--- a/crates/aldercrank-simulator-adapter/src/adapter.rs
+++ b/crates/aldercrank-simulator-adapter/src/adapter.rs
@@ -1,7 +1,7 @@
 //! The simulated instances of one process and the dispatch of their events.
 
 use crate::actions::ActionBuffer;
-use crate::error::{BatchError, MissingPart};
+use crate::error::{BatchError, InvalidPart};
 use crate::events::Event;
 use aldercrank::Admission;
 use serde_json::{json, Value as Json};
@@ -10,37 +10,39 @@
 
 struct Instance {
     admission: Admission<ActionBuffer>,
-    /// The simulator's clock at its start, in microseconds.
+    /// The simulator's clock at the start of the instance, in microseconds.
     started_at_micros: u64,
 }
 
-/// All simulated instances of one process, by their number. They share nothing.
+/// All simulated instances of one process, by number. They share no state.
 #[derive(Default)]
 pub struct SimulatorAdapter {
     instances: BTreeMap<u64, Instance>,
 }
 
 impl SimulatorAdapter {
-    /// Handles the events of one line and returns the line of the reply.
+    /// Handles the events of one batch, which is a line of input, and returns the reply, which is a line of output.
+    /// Both are without their line end.
     ///
     /// # Errors
-    /// If the line is not a batch. Groups before the malformed one have been handled then.
-    pub fn batch(&mut self, line: &str) -> Result<String, BatchError> {
+    ///
+    /// If the line is not a valid batch. The groups before the invalid one have been handled by then.
+    pub fn handle_batch(&mut self, line: &str) -> Result<String, BatchError> {
         let batch: Json = serde_json::from_str(line).map_err(|source| {
             let byte = source.column().saturating_sub(1).min(line.len());
             BatchError::Json { source, byte }
         })?;
-        let missing = |part| BatchError::Missing { part, byte: line.len() };
+        let invalid = |part| BatchError::InvalidPart { part, byte: line.len() };
         let clock_micros =
-            batch.get("ts").and_then(Json::as_u64).ok_or_else(|| missing(MissingPart::Clock))?;
+            batch.get("ts").and_then(Json::as_u64).ok_or_else(|| invalid(InvalidPart::Timestamp))?;
         let groups =
-            batch.get("groups").and_then(Json::as_array).ok_or_else(|| missing(MissingPart::Groups))?;
+            batch.get("groups").and_then(Json::as_array).ok_or_else(|| invalid(InvalidPart::Groups))?;
         let mut replies = Vec::new();
         for group in groups {
             let (Some(instance), Some(items)) =
                 (group.get("i").and_then(Json::as_u64), group.get("items").and_then(Json::as_array))
             else {
-                return Err(missing(MissingPart::GroupFields));
+                return Err(invalid(InvalidPart::GroupFields));
             };
             for item in items {
                 self.handle_event(instance, clock_micros, item);
@@ -58,8 +60,8 @@
         instance.map(|instance| std::mem::take(&mut instance.admission.host.0)).unwrap_or_default()
     }
 
-    /// Starts or ends an instance, or passes the event on to it. Unknown events and events of instances that do not
-    /// run are ignored.
+    /// Starts or ends an instance, or passes the event on to it. Unknown events, and events of instances that are not
+    /// running, are ignored.
     fn handle_event(&mut self, instance: u64, clock_micros: u64, item: &Json) {
         let name = item.get("t").and_then(Json::as_str).unwrap_or_default();
         match name {
--- a/crates/aldercrank-simulator-adapter/src/error.rs
+++ b/crates/aldercrank-simulator-adapter/src/error.rs
@@ -1,39 +1,39 @@
-//! Errors of batches and of the program around them.
+//! Errors in batches, and errors that end the program.
 
 use std::io;
 use thiserror::Error;
 
-/// A part of a batch without which it cannot be read.
+/// The part of a batch that is missing or has the wrong type.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum MissingPart {
-    /// The time of the batch.
-    #[error("a clock under ts")]
-    Clock,
-    /// The events by instance.
-    #[error("a list under groups")]
+pub enum InvalidPart {
+    /// The simulator's clock.
+    #[error("`ts` is missing, or not an unsigned 64-bit integer")]
+    Timestamp,
+    /// The events, grouped by instance.
+    #[error("`groups` is missing, or not an array")]
     Groups,
-    /// The number of the instance, or its events.
-    #[error("i and items in a group")]
+    /// The number of a group's instance, or its events.
+    #[error("a group lacks an unsigned integer `i` or an array `items`")]
     GroupFields,
 }
 
-/// Why a line is not a batch.
+/// Why a line is not a valid batch.
 #[derive(Debug, Error)]
 pub enum BatchError {
     /// It is not a JSON document.
-    #[error("not a batch: {source} (byte {byte})")]
+    #[error("invalid batch: {source} (byte {byte})")]
     Json {
-        /// What the JSON parser found.
+        /// The error of the JSON parser.
         source: serde_json::Error,
-        /// Byte of the line, counted from 0.
+        /// Position in the line, in bytes, counted from 0.
         byte: usize,
     },
-    /// A part is missing or has another type.
-    #[error("not a batch: {part} is missing (byte {byte})")]
-    Missing {
+    /// A part is missing or has the wrong type.
+    #[error("invalid batch: {part} (byte {byte})")]
+    InvalidPart {
         /// The part.
-        part: MissingPart,
-        /// Length of the line in bytes.
+        part: InvalidPart,
+        /// Length of the line, in bytes.
         byte: usize,
     },
 }
@@ -42,18 +42,18 @@
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// Standard input cannot be read.
-    #[error("cannot read: {0}")]
+    #[error("cannot read standard input: {0}")]
     Read(#[source] io::Error),
     /// A line is not UTF-8.
-    #[error("not a batch: not UTF-8 (byte {byte})")]
+    #[error("invalid batch: not UTF-8 (byte {byte})")]
     NotUtf8 {
-        /// The first byte of the line that is not UTF-8, counted from 0.
+        /// Position of the first byte in the line that is not UTF-8, counted from 0.
         byte: usize,
     },
-    /// A line is not a batch.
+    /// A line is not a valid batch.
     #[error(transparent)]
     Batch(#[from] BatchError),
     /// Standard output cannot be written.
-    #[error("cannot write: {0}")]
+    #[error("cannot write standard output: {0}")]
     Write(#[source] io::Error),
 }
--- a/crates/aldercrank-simulator-adapter/src/events.rs
+++ b/crates/aldercrank-simulator-adapter/src/events.rs
@@ -4,7 +4,12 @@
 use serde_json::Value as Json;
 use std::time::Duration;
 
-/// An event of one instance. Times are since its start.
+// Bits of a request's `bitmap`: `estimate` is valid, the request is a retry, and the request writes.
+const FLAG_ESTIMATE: u64 = 1;
+const FLAG_RETRY: u64 = 2;
+const FLAG_WRITE: u64 = 4;
+
+/// An event of one instance. Its times are relative to the start of the instance.
 pub(crate) struct Event<'a> {
     item: &'a Json,
     /// The simulator's clock at the start of the instance, in microseconds.
@@ -28,7 +33,7 @@
         self.item.get(field).and_then(Json::as_f64).unwrap_or_default()
     }
 
-    /// The time since the start of the instance, where the clock may be before it.
+    /// The time from the start of the instance to this reading of the clock; 0 if the clock is before the start.
     pub(crate) fn since_start(&self, clock_micros: u64) -> Duration {
         Duration::from_micros(clock_micros.saturating_sub(self.started_at_micros))
     }
@@ -38,12 +43,12 @@
         u32::try_from(id).ok().map(RequestId)
     }
 
-    /// How long the run or the call took that has ended.
+    /// How long the run or call that has ended took.
     pub(crate) fn duration(&self) -> Duration {
         Duration::from_micros(self.integer("duration"))
     }
 
-    /// The deadline of a request, or the time of the stop; 0 stands for none.
+    /// The deadline of a request, or the time at which a draining instance stops; `None` if the field is 0.
     pub(crate) fn deadline(&self) -> Option<Duration> {
         Some(self.integer("drop_dead")).filter(|clock| *clock > 0).map(|clock| self.since_start(clock))
     }
@@ -57,7 +62,7 @@
 
     pub(crate) fn incoming_request(&self) -> IncomingRequest<'a> {
         let flags = self.integer("bitmap");
-        let work = Some(self.integer("estimate")).filter(|micros| *micros > 0 && flags & 1 != 0);
+        let work = Some(self.integer("estimate")).filter(|micros| *micros > 0 && flags & FLAG_ESTIMATE != 0);
         let repeats = Some(self.integer("dup_of")).filter(|id| *id > 0);
         IncomingRequest {
             class: self.text("cls").unwrap_or_default(),
@@ -67,8 +72,8 @@
             work: work.map(Duration::from_micros),
             memory_kb: self.number("footprint"),
             rank: self.number("precedence"),
-            retry: flags & 2 != 0,
-            write: flags & 4 != 0,
+            retry: flags & FLAG_RETRY != 0,
+            write: flags & FLAG_WRITE != 0,
             caller: CallerId(self.integer("by")),
             unread_time: Duration::from_micros(self.integer("lay")),
             repeats: repeats.and_then(|id| u32::try_from(id).ok()).map(RequestId),
--- a/crates/aldercrank-simulator-adapter/src/lib.rs
+++ b/crates/aldercrank-simulator-adapter/src/lib.rs
@@ -1,7 +1,7 @@
-//! The simulator's protocol: batches of events in, batches of actions out, one JSON document a line.
+//! The simulator's protocol: batches of events as input, batches of actions as output, one JSON document per line.
 //!
 //! [`SimulatorAdapter`] holds the simulated instances of one process. It decodes each event into a call of
-//! [`aldercrank::Admission`] and encodes the actions that follow. It makes no decisions.
+//! [`aldercrank::Admission`], and encodes the actions that result. It makes no decisions of its own.
 
 mod actions;
 mod adapter;
@@ -10,4 +10,4 @@
 
 pub use actions::ActionBuffer;
 pub use adapter::SimulatorAdapter;
-pub use error::{AdapterError, BatchError, MissingPart};
+pub use error::{AdapterError, BatchError, InvalidPart};
--- a/crates/aldercrank-simulator-adapter/src/main.rs
+++ b/crates/aldercrank-simulator-adapter/src/main.rs
@@ -1,17 +1,17 @@
-//! The program `aldercrank-drill`: reads one batch a line from standard input and writes one reply a line to standard
-//! output, until the end of the input.
+//! The program `aldercrank-drill`: reads batches from standard input, one per line, and writes the reply to each as a
+//! line of standard output, until the end of the input.
 
 use aldercrank_simulator_adapter::{AdapterError, SimulatorAdapter};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::process::ExitCode;
 
-/// The name of the program, before each error.
+/// The name of the program, which precedes error messages.
 const PROGRAM: &str = "aldercrank-drill";
-/// Batches of a large fleet are long lines.
+/// Size of the input buffer. The batches of a large fleet are long lines.
 const INPUT_BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
-    match answer_batches() {
+    match reply_to_batches() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{PROGRAM}: {error}");
@@ -20,7 +20,7 @@
     }
 }
 
-fn answer_batches() -> Result<(), AdapterError> {
+fn reply_to_batches() -> Result<(), AdapterError> {
     let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut adapter = SimulatorAdapter::default();
@@ -32,7 +32,7 @@
         }
         let text = std::str::from_utf8(&line)
             .map_err(|error| AdapterError::NotUtf8 { byte: error.valid_up_to() })?;
-        let reply = adapter.batch(text.trim_end())?;
+        let reply = adapter.handle_batch(text.trim_end())?;
         writeln!(output, "{reply}").and_then(|()| output.flush()).map_err(AdapterError::Write)?;
     }
 }
--- a/crates/aldercrank-simulator-adapter/tests/golden/batches.rs
+++ b/crates/aldercrank-simulator-adapter/tests/golden/batches.rs
@@ -1,9 +1,9 @@
-//! Batches with every event, from the start of a server to its end, and the reply to each.
+//! Batches with every kind of event, from the start of an instance to its end, and the reply to each.
 
 use aldercrank_simulator_adapter::SimulatorAdapter;
 use std::fmt::Write;
 
-/// Records the batches that a simulator adapter is given, and its replies.
+/// Records the batches sent to a simulator adapter, and its replies.
 #[derive(Default)]
 pub struct Transcript {
     adapter: SimulatorAdapter,
@@ -11,27 +11,28 @@
 }
 
 impl Transcript {
+    /// Starts a section with a new adapter.
     pub fn section(&mut self, title: &str) {
         let _ = writeln!(self.text, "== {title}\n");
         self.adapter = SimulatorAdapter::default();
     }
 
-    /// One line in, and the reply or the error.
+    /// Sends one line, and records it with the reply or the error.
     pub fn line(&mut self, title: &str, line: &str) {
-        let reply = match self.adapter.batch(line) {
+        let reply = match self.adapter.handle_batch(line) {
             Ok(reply) => format!("reply: {reply}"),
             Err(error) => format!("error: {error}"),
         };
         let _ = writeln!(self.text, "# {title}\nbatch: {line}\n{reply}\n");
     }
 
-    /// A batch for instance 3 alone.
-    pub fn items(&mut self, title: &str, clock: u64, items: &str) {
-        self.line(title, &format!(r#"{{"ts":{clock},"groups":[{{"i":3,"items":[{items}]}}]}}"#));
+    /// Sends a batch of events for instance 3.
+    pub fn items(&mut self, title: &str, clock_micros: u64, items: &str) {
+        self.line(title, &format!(r#"{{"ts":{clock_micros},"groups":[{{"i":3,"items":[{items}]}}]}}"#));
     }
 }
 
-/// Settings under which every kind of action comes; `extra` goes into `family_info` too.
+/// The start of an instance with settings under which every kind of action occurs. `extra` is added to `family_info`.
 pub fn power_on(extra: &str) -> String {
     let profiles = r#"[{"name":"look","effect":"retryable","goal_time":1000000,"give_up":3000000,"points":1.0,"late_worth":0.2,"window":5000000},{"name":"pay","effect":"dedup","goal_time":1000000,"give_up":3000000,"points":2.0,"late_worth":0.0,"window":5000000},{"name":"send","effect":"fragile","goal_time":1000000,"give_up":3000000,"points":1.0,"late_worth":0.0,"window":5000000}]"#;
     let info = format!(
@@ -45,18 +46,19 @@
     )
 }
 
-/// A request with these fields beside its id and class.
+/// A request with this id and class. `extra` is added to its fields.
 fn request(id: u64, class: &str, extra: &str) -> String {
     format!(
         r#"{{"t":"NewRequest","request_id":{id},"cls":"{class}","footprint":9.0,"precedence":0.5{extra}}}"#
     )
 }
 
-/// An event about a request that has a result.
+/// The end of a request's run or call, with this result.
 fn ended(event: &str, id: u64, result: &str) -> String {
     format!(r#"{{"t":"{event}","request_id":{id},"result":"{result}","duration":18500}}"#)
 }
 
+/// An event about a request, without further fields.
 fn about(event: &str, id: u64) -> String {
     format!(r#"{{"t":"{event}","request_id":{id}}}"#)
 }
@@ -104,8 +106,8 @@
     transcript.items("a run ends without a result", 1_300_000, &about("WoundUp", 1));
 }
 
-/// Long runs: one that is completed is logged as far too slow.
-fn runs(transcript: &mut Transcript) {
+/// Ends of runs with a duration of 9 s. A completed one is logged as far too slow.
+fn run_ends(transcript: &mut Transcript) {
     for result in RESULTS {
         transcript.section(&format!("a run ends: {result}"));
         transcript.items("PowerOn", 0, &power_on(""));
@@ -136,8 +138,8 @@
     transcript.items("an end of a call that is not known", 2_000_000, &ended("CallEnded", 99, "completed"));
 }
 
-/// Calls that took longer than there is time for another.
-fn long_calls(transcript: &mut Transcript) {
+/// Ends of calls after 9 s, which leaves no time for another call.
+fn long_call_ends(transcript: &mut Transcript) {
     for result in RESULTS {
         transcript.section(&format!("a long call ends: {result}"));
         transcript.items("PowerOn", 0, &power_on(""));
@@ -163,8 +165,8 @@
     );
     transcript.items("the first ends", 120_000, &ended("WoundUp", 1, "completed"));
     transcript.items("the repeat ends", 120_000, &ended("WoundUp", 2, "completed"));
-    let many: Vec<String> = (20..40).map(|id| request(id, "pay", "")).collect();
-    transcript.items("more than can run", 200_000, &many.join(","));
+    let overload: Vec<String> = (20..40).map(|id| request(id, "pay", "")).collect();
+    transcript.items("more than can run", 200_000, &overload.join(","));
     transcript.items("a repeat takes the place of one held", 210_000, &repeat(40, "pay", 39));
     transcript.items("nobody waits for one held", 210_000, &about("ClientGone", 38));
     transcript.items("nobody waits for one running", 210_000, &about("ClientGone", 20));
@@ -215,9 +217,12 @@
         2_500_000,
         r#"{},{"t":7},{"t":"Sunrise"},5,null"#,
     );
-    let two =
+    let two_starts =
         format!(r#"{{"i":9,"items":[{0}]}},{{"i":1,"items":[]}},{{"i":5,"items":[{0}]}}"#, power_on(""));
-    transcript.line("two instances and one without events", &format!(r#"{{"ts":2600000,"groups":[{two}]}}"#));
+    transcript.line(
+        "two instances and one without events",
+        &format!(r#"{{"ts":2600000,"groups":[{two_starts}]}}"#),
+    );
     let extra = format!(r#"{{"i":5,"items":[{}]}},{{"i":9,"items":[{ALARM}]}}"#, request(1, "look", ""));
     transcript
         .line("in the order that they come", &format!(r#"{{"ts":2700000,"more":1,"groups":[{extra}]}}"#));
@@ -234,15 +239,15 @@
     transcript.text
 }
 
-/// Ends of runs, and of calls that took long.
+/// The ends of runs and of long calls.
 pub fn ends_text() -> String {
     let mut transcript = Transcript::default();
-    runs(&mut transcript);
-    long_calls(&mut transcript);
+    run_ends(&mut transcript);
+    long_call_ends(&mut transcript);
     transcript.text
 }
 
-/// Calls made for requests of one class.
+/// Dependency calls for requests of one class.
 pub fn calls_text(class: &str) -> String {
     let mut transcript = Transcript::default();
     calls(&mut transcript, class);
--- a/crates/aldercrank-simulator-adapter/tests/golden/malformed.rs
+++ b/crates/aldercrank-simulator-adapter/tests/golden/malformed.rs
@@ -1,4 +1,4 @@
-//! Malformed lines: the error of each, and how the program ends.
+//! Malformed lines: the error for each, and the output and exit code of the program.
 
 use crate::batches::Transcript;
 use std::fmt::Write;
@@ -54,32 +54,33 @@
     transcript.text
 }
 
-/// Runs the program on this input. Returns exit code, standard output, and standard error without the program's name.
+/// Runs the program on this input. Returns its exit code, its standard output, and its standard error without the name
+/// of the program.
 fn run(input: &[u8]) -> (Option<i32>, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_aldercrank-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
-    child.stdin.take().expect("its input").write_all(input).expect("the input is taken");
-    let out = child.wait_with_output().expect("the program ends");
-    let errors = String::from_utf8(out.stderr).expect("text");
+        .expect("cannot start the program");
+    child.stdin.take().expect("standard input is piped").write_all(input).expect("cannot write the input");
+    let out = child.wait_with_output().expect("cannot read the output");
+    let errors = String::from_utf8(out.stderr).expect("output in UTF-8");
     let errors = errors.split_once(": ").map_or(errors.clone(), |(_, rest)| rest.to_string());
-    (out.status.code(), String::from_utf8(out.stdout).expect("text"), errors)
+    (out.status.code(), String::from_utf8(out.stdout).expect("output in UTF-8"), errors)
 }
 
 pub fn program_text() -> String {
-    let good = "{\"ts\":5,\"groups\":[]}\n";
+    let valid = "{\"ts\":5,\"groups\":[]}\n";
     let inputs: [(&str, Vec<u8>); 8] = [
         ("no input", Vec::new()),
-        ("one batch", good.into()),
-        ("two batches, the last without a line end", good.repeat(2).trim_end().into()),
+        ("one batch", valid.into()),
+        ("two batches, the last without a line end", valid.repeat(2).trim_end().into()),
         ("a carriage return before the line end", b"{\"ts\":5,\"groups\":[]}\r\n".to_vec()),
-        ("a batch and an empty line", format!("{good}\n").into()),
-        ("a batch and a stray sign", format!("{good}{{\"ts\":5,!\n{good}").into()),
-        ("a batch and one without a clock", format!("{good}{{\"groups\":[]}}\n").into()),
-        ("a batch and bytes that are not UTF-8", [good.as_bytes(), b"{\"ts\":\xff}\n"].concat()),
+        ("a batch and an empty line", format!("{valid}\n").into()),
+        ("a batch and a stray sign", format!("{valid}{{\"ts\":5,!\n{valid}").into()),
+        ("a batch and one without a clock", format!("{valid}{{\"groups\":[]}}\n").into()),
+        ("a batch and bytes that are not UTF-8", [valid.as_bytes(), b"{\"ts\":\xff}\n"].concat()),
     ];
     let mut text = String::new();
     for (title, input) in inputs {
--- a/crates/aldercrank-simulator-adapter/tests/golden/settings.rs
+++ b/crates/aldercrank-simulator-adapter/tests/golden/settings.rs
@@ -1,11 +1,12 @@
-//! Settings in PowerOn: none, of other kinds, and each with the log lines about it and what follows.
+//! Instances started with usual, missing and invalid settings: the log lines about the settings, and the actions that
+//! follow.
 
 use crate::batches::{power_on, Transcript};
 
 const REQUEST: &str =
     r#"{"t":"NewRequest","request_id":1,"cls":"look","user_group":"a","by":17,"footprint":9.0}"#;
 
-/// A server's start with the settings given, a request, and the timer.
+/// Records the start of an instance, a request, and the timer.
 fn instance_start(transcript: &mut Transcript, title: &str, start: &str) {
     transcript.section(title);
     transcript.items("PowerOn", 1_000_000, start);
@@ -13,11 +14,12 @@
     transcript.items("the timer", 2_500_000, r#"{"t":"Alarm","tag":"tick","pressure":[0.62,3]}"#);
 }
 
-fn with_settings(env: &str) -> String {
+/// The start of an instance with these settings.
+fn power_on_with(env: &str) -> String {
     format!(r#"{{"t":"PowerOn","salt":5,"env":{env}}}"#)
 }
 
-const OTHERS: [(&str, &str); 16] = [
+const OTHER_SETTINGS: [(&str, &str); 16] = [
     ("empty settings", "{}"),
     ("settings of null", "null"),
     ("settings that are a list", "[1,2]"),
@@ -51,11 +53,11 @@
     ),
 ];
 
-/// One after another with and without a tenant, so that those beyond the tenant's share go first.
+/// Requests with and without a tenant in turn, more than can run: those beyond their tenant's share are rejected first.
 fn tenants(transcript: &mut Transcript) {
     transcript.section("tenants, under load");
     let env = r#"{"over_share_worth":0.01,"peers_total":2,"tenants":[{"name":"a","quota_per_s":2}],"family_info":{"cores":1},"profiles":[{"name":"look","effect":"retryable","goal_time":1000000,"give_up":3000000}]}"#;
-    transcript.items("PowerOn", 0, &with_settings(env));
+    transcript.items("PowerOn", 0, &power_on_with(env));
     for id in 1..12 {
         let tenant = ["", r#","user_group":"a""#, r#","user_group":"b""#][id % 3];
         let item = format!(r#"{{"t":"NewRequest","request_id":{id},"cls":"look","precedence":0.5{tenant}}}"#);
@@ -73,8 +75,8 @@
         &power_on(r#","never_heard_of":[1,{"x":null}]"#),
     );
     instance_start(&mut transcript, "no settings at all", r#"{"t":"PowerOn"}"#);
-    for (title, env) in OTHERS {
-        instance_start(&mut transcript, title, &with_settings(env));
+    for (title, env) in OTHER_SETTINGS {
+        instance_start(&mut transcript, title, &power_on_with(env));
     }
     tenants(&mut transcript);
     transcript.text
--- a/crates/aldercrank-simulator-adapter/tests/wire.rs
+++ b/crates/aldercrank-simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
-//! The adapter through the text of the protocol, malformed input included.
+//! Tests of the adapter and its program through the text of the protocol, including malformed input.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Support code is private to this test binary, so it needs no documentation; functions with many cases may be long.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -23,26 +23,27 @@
     json!({"t": "PowerOn", "salt": 5, "env": {"family_info": info, "rules": rules, "profiles": profiles}})
 }
 
-fn send(adapter: &mut SimulatorAdapter, ts: u64, items: Value) -> Vec<Value> {
-    let line = json!({"ts": ts, "groups": [{"i": 3, "items": items}]}).to_string();
-    let reply: Value = serde_json::from_str(&adapter.batch(&line).unwrap()).unwrap();
+/// Sends a batch of events for one instance. Returns its actions, without log lines.
+fn send(adapter: &mut SimulatorAdapter, clock_micros: u64, items: Value) -> Vec<Value> {
+    let line = json!({"ts": clock_micros, "groups": [{"i": 3, "items": items}]}).to_string();
+    let reply: Value = serde_json::from_str(&adapter.handle_batch(&line).unwrap()).unwrap();
     let groups = reply["groups"].as_array().unwrap().iter();
-    let actions = groups.flat_map(|g| g["actions"].as_array().unwrap().clone());
-    actions.filter(|a| a["t"] != "WriteLog").collect()
+    let actions = groups.flat_map(|group| group["actions"].as_array().unwrap().clone());
+    actions.filter(|action| action["t"] != "WriteLog").collect()
 }
 
 #[test]
-fn a_request_is_started_and_one_past_its_deadline_rejected_wherever_the_clock_starts() {
+fn a_request_is_started_and_an_expired_one_rejected_when_the_clock_does_not_start_at_0() {
     let mut adapter = SimulatorAdapter::default();
-    let base = 8_000_000_000_000u64;
-    let up = send(&mut adapter, base, json!([power_on()]));
-    assert!(up.iter().any(|a| a["t"] == "Remind"));
-    let read = |id: u64, end: u64| {
-        json!({"t": "NewRequest", "request_id": id, "cls": "look", "drop_dead": end, "footprint": 9.0,
+    let start = 8_000_000_000_000u64;
+    let start_actions = send(&mut adapter, start, json!([power_on()]));
+    assert!(start_actions.iter().any(|action| action["t"] == "Remind"));
+    let request = |id: u64, deadline: u64| {
+        json!({"t": "NewRequest", "request_id": id, "cls": "look", "drop_dead": deadline, "footprint": 9.0,
             "precedence": 0.5, "unheard": 1})
     };
     let actions =
-        send(&mut adapter, base + 5, json!([read(4294967295, base + 2_000_000), read(2, base + 1)]));
+        send(&mut adapter, start + 5, json!([request(4294967295, start + 2_000_000), request(2, start + 1)]));
     assert_eq!(actions[0], json!({"t": "Process", "request_id": 4294967295u64}));
     assert_eq!((&actions[1]["t"], &actions[1]["request_id"]), (&json!("SayNo"), &json!(2)));
 }
@@ -52,14 +53,15 @@
     let mut adapter = SimulatorAdapter::default();
     assert!(send(&mut adapter, 1, json!([{"t": "Alarm", "tag": "x", "pressure": []}])).is_empty());
     send(&mut adapter, 1, json!([power_on()]));
-    let odd = json!([{"t": "Sunrise"}, {"t": "WoundUp", "request_id": 77, "result": "completed", "duration": 1},
+    let ignored = json!([{"t": "Sunrise"}, {"t": "WoundUp", "request_id": 77, "result": "completed", "duration": 1},
         {"t": "ClientGone", "request_id": 99}, {"t": "CallEnded", "request_id": -1}]);
-    assert!(send(&mut adapter, 2, odd).is_empty());
+    assert!(send(&mut adapter, 2, ignored).is_empty());
     send(&mut adapter, 3, json!([{"t": "Kill"}]));
     assert!(send(&mut adapter, 4, json!([{"t": "Alarm", "tag": "tick", "pressure": [0.1, 1]}])).is_empty());
-    assert_eq!(adapter.batch(r#"{"ts":5,"groups":[]}"#).unwrap(), r#"{"groups":[]}"#);
+    assert_eq!(adapter.handle_batch(r#"{"ts":5,"groups":[]}"#).unwrap(), r#"{"groups":[]}"#);
 }
 
+/// Runs the program on this input. Returns whether it succeeded, its standard output, and its standard error.
 fn run(input: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_aldercrank-drill"))
         .stdin(Stdio::piped())
@@ -69,17 +71,19 @@
         .unwrap();
     child.stdin.take().unwrap().write_all(input.as_bytes()).unwrap();
     let out = child.wait_with_output().unwrap();
-    let text = |b: Vec<u8>| String::from_utf8(b).unwrap();
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     (out.status.success(), text(out.stdout), text(out.stderr))
 }
 
 #[test]
-fn the_program_ends_cleanly_with_its_input_and_names_the_byte_of_a_malformed_line() {
+fn the_program_succeeds_at_the_end_of_input_and_fails_with_one_error_line_on_a_malformed_batch() {
     let good = "{\"ts\":5,\"groups\":[]}\n";
     assert_eq!(run(good), (true, "{\"groups\":[]}\n".into(), String::new()));
-    for (malformed, expected) in
-        [("{\"ts\":5,!", "byte 8"), ("{\"groups\":[]}", "ts"), ("{\"ts\":1,\"groups\":[{\"i\":1}]}", "items")]
-    {
+    for (malformed, expected) in [
+        ("{\"ts\":5,!", "byte 8"),
+        ("{\"groups\":[]}", "`ts`"),
+        ("{\"ts\":1,\"groups\":[{\"i\":1}]}", "`items`"),
+    ] {
         let (succeeded, out, err) = run(&format!("{good}{malformed}\n"));
         assert!(!succeeded && out == "{\"groups\":[]}\n", "{malformed}");
         assert!(err.contains(expected) && err.lines().count() == 1, "{malformed}: {err}");
