--- a/crates/aldercrank-server/src/operator_commands/client.rs
+++ b/crates/aldercrank-server/src/operator_commands/client.rs
@@ -11,9 +11,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long connecting, and each read of a response, may take.
-const TIMEOUT: Duration = Duration::from_secs(3);
-const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Limit for connecting, and for each read of a response.
+const IO_TIMEOUT: Duration = Duration::from_secs(3);
+pub(super) const MAX_RESPONSE_BYTES: usize = 4 << 20;
 const READ_BYTES: usize = 16 * 1024;
 
 /// A response of the membership service.
@@ -29,12 +29,12 @@
 }
 
 fn connect(at: SocketAddr) -> std::io::Result<TcpStream> {
-    let stream = TcpStream::connect_timeout(&at, TIMEOUT)?;
-    stream.set_read_timeout(Some(TIMEOUT))?;
+    let stream = TcpStream::connect_timeout(&at, IO_TIMEOUT)?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
     Ok(stream)
 }
 
-/// Sends a request and reads until `parse` finds the response complete.
+/// Sends a request and reads until `parse` returns the complete response.
 fn exchange<T>(
     at: SocketAddr,
     request: &[u8],
@@ -56,26 +56,26 @@
     Err(ResponseError::TooLong)
 }
 
-/// Takes the first response of a server.
+/// The response of a server to a status request, as far as it was received.
 #[derive(Default)]
-enum StatusHandler {
+enum StatusResponse {
     #[default]
-    Waiting,
+    Pending,
     Received(Box<PeerResponse>),
-    /// Rejected, failed or not understood.
+    /// The server rejected the request or failed to serve it, or its result can't be decoded.
     Unusable,
 }
 
-impl ResponseHandler for StatusHandler {
+impl ResponseHandler for StatusResponse {
     fn completed(&mut self, _: MessageId, result: &[u8], _: ReceivedFields) {
         *self = rmp_serde::from_slice(result)
-            .map_or(StatusHandler::Unusable, |response| StatusHandler::Received(Box::new(response)));
+            .map_or(StatusResponse::Unusable, |response| StatusResponse::Received(Box::new(response)));
     }
     fn rejected(&mut self, _: MessageId, _: ReceivedFields) {
-        *self = StatusHandler::Unusable;
+        *self = StatusResponse::Unusable;
     }
     fn failed(&mut self, _: MessageId, _: &str, _: ReceivedFields) {
-        *self = StatusHandler::Unusable;
+        *self = StatusResponse::Unusable;
     }
     fn health_reported(&mut self, _: MessageId, _: bool, _: ReceivedFields) {}
     fn closing(&mut self) {}
@@ -93,13 +93,13 @@
         &body,
     );
     let response = exchange(at, &request, |received| {
-        let mut handler = StatusHandler::default();
+        let mut handler = StatusResponse::default();
         msgpack_rpc::read_response(received, MAX_RESPONSE_BYTES, &mut handler)
             .map_err(ResponseError::InvalidMessage)?;
         Ok(match handler {
-            StatusHandler::Waiting => None,
-            StatusHandler::Received(response) => Some(Some(response)),
-            StatusHandler::Unusable => Some(None),
+            StatusResponse::Pending => None,
+            StatusResponse::Received(response) => Some(Some(response)),
+            StatusResponse::Unusable => Some(None),
         })
     });
     let status = response.and_then(|response| match response.as_deref() {
--- a/crates/aldercrank-server/src/operator_commands/command_line.rs
+++ b/crates/aldercrank-server/src/operator_commands/command_line.rs
@@ -6,48 +6,48 @@
 /// A subcommand of `aldercrank rules`.
 #[derive(Clone, Debug)]
 pub enum RulesCommand {
-    /// Checks whether a version can be read, and applied on the server of a configuration.
+    /// Checks whether a version is valid and, given a server's configuration, whether that server can apply it.
     Check {
-        /// The platform's file of the server.
+        /// The platform's configuration file of the server.
         config: Option<String>,
-        /// The version.
+        /// The file of the version.
         file: String,
     },
     /// Prints a version in its canonical form.
     Show {
-        /// The server whose version is shown.
+        /// The server whose version in force is printed.
         at: Option<SocketAddr>,
-        /// The file of the version, if no server is named.
+        /// The file of the version, in place of a server.
         file: Option<String>,
     },
     /// Prints the differences between two versions.
     Diff {
-        /// Whether the output is a JSON document.
+        /// Whether the output is one JSON document.
         json: bool,
-        /// The earlier version.
+        /// The file of the earlier version.
         old: String,
-        /// The later version.
+        /// The file of the later version.
         new: String,
     },
     /// Proposes a version to the committee.
     Propose {
-        /// The membership service.
+        /// The address of the membership service.
         to: SocketAddr,
-        /// A member of the committee, which is polled until the version is decided on.
+        /// The address of a committee member, which is polled until the version is decided on.
         at: Option<SocketAddr>,
-        /// The version.
+        /// The file of the version.
         file: String,
     },
     /// Withdraws the proposed version.
     Withdraw {
-        /// The membership service.
+        /// The address of the membership service.
         to: SocketAddr,
     },
     /// Prints the status of servers.
     Status {
-        /// The servers.
+        /// The addresses of the servers.
         at: Vec<SocketAddr>,
-        /// Whether the output is a JSON document.
+        /// Whether the output is one JSON document.
         json: bool,
     },
 }
@@ -129,7 +129,7 @@
         .command("status")
 }
 
-/// Parses the arguments after `aldercrank rules`.
+/// The parser of the arguments after `aldercrank rules`.
 pub fn commands() -> OptionParser<RulesCommand> {
     let (check, show, diff) = (check(), show(), diff());
     let (propose, withdraw, status) = (propose(), withdraw(), status());
--- a/crates/aldercrank-server/src/operator_commands/error.rs
+++ b/crates/aldercrank-server/src/operator_commands/error.rs
@@ -1,5 +1,6 @@
-//! Errors of the operators' commands, with their exit codes. Their texts are shown to operators.
+//! Errors of the operator commands, with their exit codes. Operators see their texts.
 
+use super::client::MAX_RESPONSE_BYTES;
 use crate::config::ConfigError;
 use aldercrank_protocol::http::HttpError;
 use aldercrank_protocol::msgpack_rpc::ProtocolError;
@@ -8,32 +9,32 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// What is wrong with a response.
+/// Why there is no valid response to a request.
 #[derive(Debug, Error)]
 pub enum ResponseError {
-    /// The connection failed.
+    /// Connecting or sending the request failed.
     #[error(transparent)]
     Connection(io::Error),
-    /// No response was received, or none in time.
-    #[error("no answer: {0}")]
+    /// Reading the response failed or timed out.
+    #[error("no response: {0}")]
     NoResponse(io::Error),
     /// The connection was closed before the response was complete.
-    #[error("it closed without an answer; is there a rule book in its service file?")]
+    #[error("connection closed before the response was complete; does the server's service file have a rules block?")]
     Closed,
     /// The response is longer than any valid one.
-    #[error("an answer without end")]
+    #[error("response too long: {} MiB or more", MAX_RESPONSE_BYTES >> 20)]
     TooLong,
-    /// The response is no valid message.
-    #[error("it said what is no answer: {0}")]
+    /// The response is not a valid MessagePack-RPC message.
+    #[error("invalid MessagePack-RPC response: {0}")]
     InvalidMessage(ProtocolError),
-    /// The response is no valid HTTP.
-    #[error("it said what is no answer: {0}")]
+    /// The response is not valid HTTP.
+    #[error("invalid HTTP response: {0}")]
     InvalidHttp(HttpError),
-    /// The server's status is no JSON.
-    #[error(transparent)]
+    /// The server's status is not valid JSON.
+    #[error("status is not valid JSON: {0}")]
     InvalidStatus(serde_json::Error),
-    /// The server takes no part in the versioned configuration.
-    #[error("it has no rule book")]
+    /// The server sent no status, as one does that takes no part in the versioned configuration.
+    #[error("no status received; is the versioned configuration enabled on this server?")]
     NoVersionedConfig,
 }
 
@@ -46,9 +47,9 @@
     /// There was no valid response.
     #[error("{at}: {error}")]
     Response {
-        /// Who was asked.
+        /// The address that the request was sent to.
         at: SocketAddr,
-        /// What is wrong.
+        /// Why there is no valid response.
         error: ResponseError,
     },
 }
@@ -59,11 +60,11 @@
     /// A version or a configuration can't be read.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// One of the versions to be compared can't be read.
+    /// One of the versions that `diff` compares can't be read.
     #[error(transparent)]
-    Compared(ConfigError),
+    DiffInput(ConfigError),
     /// The version can't be applied on the server.
-    #[error("{server} can't go by it:\n{}", .incompatibilities.join("\n"))]
+    #[error("{server} can't apply this version:\n{}", .incompatibilities.join("\n"))]
     Incompatible {
         /// The server's name.
         server: String,
@@ -71,50 +72,50 @@
         incompatibilities: Vec<String>,
     },
     /// The server has no version in force.
-    #[error("{at} goes by no version yet")]
+    #[error("{at} has no version in force yet")]
     NoVersion {
         /// The server.
         at: SocketAddr,
     },
-    /// The server's version can't be read by this program.
-    #[error("{at} has a text that can't be read here")]
+    /// This program can't parse the server's version.
+    #[error("this program can't parse the version in force on {at}")]
     UnreadableVersion {
         /// The server.
         at: SocketAddr,
     },
-    /// Neither a file nor a server is named, or both.
-    #[error("name a FILE, or a server with --at ADDR")]
-    NothingNamed,
+    /// `show` needs either a file or a server.
+    #[error("name either a FILE or a server with --at ADDR")]
+    InvalidSource,
     /// The membership service refused the request.
-    #[error("the list service refuses it ({status}): {reason}")]
+    #[error("the membership service refused the request with HTTP status {status}: {reason}")]
     Refused {
         /// The HTTP status.
         status: u16,
         /// The response's body.
         reason: String,
     },
-    /// The server that was asked for the decision is not a member of the committee.
-    #[error("{at} is not on the committee; ask a member")]
+    /// The server that was polled for the decision is not on the committee.
+    #[error("{at} is not on the committee; name a member with --at")]
     NotOnCommittee {
         /// The server.
         at: SocketAddr,
     },
-    /// The committee decided otherwise.
+    /// The committee refused the version, or decided on another one.
     #[error("version {version} is not in force: {reason}")]
     NotInForce {
         /// The proposed version.
         version: String,
-        /// Why.
+        /// Why it is not in force.
         reason: String,
     },
-    /// The committee has not decided in time.
-    #[error("version {version} is not decided on after {waited:?}: {reason}")]
+    /// The committee did not decide in time.
+    #[error("version {version} was not decided on within {waited:?}: {reason}")]
     Undecided {
         /// The proposed version.
         version: String,
-        /// How long the decision was waited for.
+        /// How long the command waited for the decision.
         waited: Duration,
-        /// What holds it up.
+        /// What delays the decision.
         reason: String,
     },
     /// No server responded.
@@ -126,7 +127,7 @@
 }
 
 impl CommandError {
-    /// The program's exit code: 1 if the answer is no, 2 if there is no answer.
+    /// The program's exit code: 1 if the command has a negative result, 2 if it has no result.
     pub fn exit_code(&self) -> u8 {
         match self {
             CommandError::Config(_)
@@ -136,8 +137,8 @@
             | CommandError::Refused { .. }
             | CommandError::NotInForce { .. }
             | CommandError::Undecided { .. } => 1,
-            CommandError::Compared(_)
-            | CommandError::NothingNamed
+            CommandError::DiffInput(_)
+            | CommandError::InvalidSource
             | CommandError::NotOnCommittee { .. }
             | CommandError::NoResponses(_)
             | CommandError::Request(_) => 2,
--- a/crates/aldercrank-server/src/operator_commands/mod.rs
+++ b/crates/aldercrank-server/src/operator_commands/mod.rs
@@ -1,6 +1,7 @@
-//! The operators' commands on the versioned configuration: `aldercrank rules ...`.
+//! Operator commands for the versioned configuration: `aldercrank rules ...`.
 //!
-//! Each sends its requests to servers and to the membership service one at a time, and waits for each response.
+//! Each command sends its requests to servers and to the membership service one at a time, and blocks until it has
+//! the response.
 
 mod client;
 mod command_line;
@@ -21,15 +22,15 @@
 
 /// How long `propose --at` waits for a decision.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long it waits between two polls of the committee member.
+/// How long `propose --at` waits between two polls of the committee member.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The exit code of a command that did its work.
+/// The exit code of a command that completed; that of a failed one is [`CommandError::exit_code`].
 type CommandResult = Result<u8, CommandError>;
 
 const SUCCESS: u8 = 0;
 
-/// Runs a command: prints its output, and gives the program's exit code.
+/// Runs a command, prints its output and returns the program's exit code.
 pub fn run(command: &RulesCommand) -> CommandResult {
     match command {
         RulesCommand::Check { config, file } => check(config.as_deref(), file),
@@ -75,7 +76,7 @@
             VersionedConfig::parse(text).map_err(|_| CommandError::UnreadableVersion { at })?
         }
         (None, Some(file)) => read_version(file)?,
-        _ => return Err(CommandError::NothingNamed),
+        _ => return Err(CommandError::InvalidSource),
     };
     print!("{}", version.text());
     println!("// digest {}", version.digest());
@@ -89,8 +90,8 @@
 }
 
 fn diff(json: bool, old: &str, new: &str) -> CommandResult {
-    let old = read_version(old).map_err(CommandError::Compared)?;
-    let new = read_version(new).map_err(CommandError::Compared)?;
+    let old = read_version(old).map_err(CommandError::DiffInput)?;
+    let new = read_version(new).map_err(CommandError::DiffInput)?;
     let (changes, restrictions) = (changes(&old, &new), restrictions(&old, &new));
     if json {
         let as_json: Vec<Json> = changes.iter().map(change_as_json).collect();
@@ -119,7 +120,7 @@
     let version = read_version(file)?;
     request_membership(to, &membership::write_version_proposal(&to.to_string(), &version.text()))?;
     let Some(at) = at else {
-        println!("version {} ({}) is with the list service", version.number, version.digest());
+        println!("version {} ({}) submitted to the membership service", version.number, version.digest());
         return Ok(SUCCESS);
     };
     let (started_at, mut pending_reason) = (Instant::now(), String::new());
@@ -134,7 +135,8 @@
             println!("version {} is in force", version.number);
             return Ok(SUCCESS);
         }
-        pending_reason = committee["held_up"].as_str().unwrap_or("not read yet").to_string();
+        pending_reason =
+            committee["held_up"].as_str().unwrap_or("the committee member has not read it yet").to_string();
         std::thread::sleep(POLL_INTERVAL);
     }
     Err(CommandError::Undecided {
@@ -144,7 +146,7 @@
     })
 }
 
-/// What the committee decided on a version; none while it has not.
+/// Returns whether the committee put a version in force or why not, or `None` while it has not decided.
 fn decision(committee: &Json, version: &VersionedConfig) -> Option<Result<(), CommandError>> {
     let (committed, number) = (&committee["standing"], version.number.0);
     if committed["last"].as_u64() < Some(number) {
@@ -158,17 +160,17 @@
         .filter(|refusal| refusal["version"].as_u64() == Some(number))
         .filter_map(|refusal| refusal["why"].as_str())
         .next_back()
-        .unwrap_or("another version has this number, or a higher one");
+        .unwrap_or("another version with this number or a higher one was decided on");
     Some(Err(CommandError::NotInForce { version: version.number.to_string(), reason: reason.to_string() }))
 }
 
 fn withdraw(to: SocketAddr) -> CommandResult {
     request_membership(to, &membership::write_version_withdrawal(&to.to_string()))?;
-    println!("taken back");
+    println!("proposed version withdrawn");
     Ok(SUCCESS)
 }
 
-/// What a server responded to a request for its status.
+/// The response of a server to a status request.
 struct ServerStatus {
     at: SocketAddr,
     status: Result<Json, RequestError>,
--- a/crates/aldercrank-server/src/operator_commands/status_report.rs
+++ b/crates/aldercrank-server/src/operator_commands/status_report.rs
@@ -1,9 +1,9 @@
-//! Prints the status of a server for people. The fields are those that `net` writes into the status.
+//! Prints the status of a server as text. Its JSON fields are written by `net::config_agreement::status`.
 
 use serde_json::Value as Json;
 
-/// A text without quotes; any other value as JSON.
-fn plain(value: &Json) -> String {
+/// A string without its quotes; any other value as JSON.
+fn unquoted(value: &Json) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
 
@@ -17,13 +17,18 @@
 
 /// Prints a server's status to standard output.
 pub(super) fn print_status(status: &Json) {
-    println!("{}: {}, {}", plain(&status["server"]), version(status), permission(status));
+    println!("{}: {}, {}", unquoted(&status["server"]), version(status), permission(status));
     let start = &status["start"];
     if let Some(share) = start["share"].as_f64().filter(|share| *share < 1.0) {
-        println!("  {}, offers {:.0} %: {}", plain(&start["phase"]), share * 100.0, plain(&start["why"]));
+        println!(
+            "  {}, offers {:.0} %: {}",
+            unquoted(&start["phase"]),
+            share * 100.0,
+            unquoted(&start["why"])
+        );
     }
     if let Some(why) = status["misfit"].as_str() {
-        println!("  can't go by it: {why}");
+        println!("  can't apply this version: {why}");
     }
     let committee = &status["committee"];
     if !committee.is_null() {
@@ -39,7 +44,7 @@
     format!(
         "version {} ({}) since {}",
         committed["version"],
-        plain(&committed["digest"]),
+        unquoted(&committed["digest"]),
         seconds(&status["since_ms"])
     )
 }
@@ -53,21 +58,21 @@
 }
 
 fn print_committee(committee: &Json) {
-    let members: Vec<String> = elements(&committee["members"]).map(plain).collect();
+    let members: Vec<String> = elements(&committee["members"]).map(unquoted).collect();
     let state = match (committee["sound"].as_bool(), committee["vouches"].as_bool()) {
         (Some(true), Some(true)) => "vouches for what stands",
-        (Some(true), _) => "hears no majority",
+        (Some(true), _) => "not confirmed by a majority",
         _ => "remembers nothing yet, and is silent",
     };
     println!("  on the committee of {}: {state}", members.join(", "));
     if let Some(proposed) = committee["draft"].as_u64() {
-        println!("  version {proposed} to come: {}", plain(&committee["held_up"]));
+        println!("  version {proposed} proposed: {}", unquoted(&committee["held_up"]));
     }
     for conflict in elements(&committee["at_odds"]) {
-        println!("  the same number with another content: {}", plain(conflict));
+        println!("  member with a different version of the same number: {}", unquoted(conflict));
     }
     for refused in elements(&committee["refused"]) {
-        println!("  version {} refused: {}", refused["version"], plain(&refused["why"]));
+        println!("  version {} refused: {}", refused["version"], unquoted(&refused["why"]));
     }
     elements(&committee["servers"]).for_each(print_follower);
 }
@@ -81,7 +86,7 @@
     };
     println!(
         "  {:<12} version {}, heard {} ago, lease {}{confirmation}",
-        plain(&server["name"]),
+        unquoted(&server["name"]),
         server["last"],
         seconds(&server["heard_ms"]),
         seconds(&server["lease_ms"])
--- a/crates/aldercrank-server/tests/suite/golden_command_line.rs
+++ b/crates/aldercrank-server/tests/suite/golden_command_line.rs
@@ -1,5 +1,5 @@
-//! Golden file of the program's command line: output and exit codes of `check-config` and `version`, and which flags
-//! and subcommands are accepted. Help texts are not recorded.
+//! Golden files of the program's command line: output and exit codes of `version`, `check-config` and failed starts of
+//! `serve`, and the flags and subcommands that are accepted. Help texts are not recorded here.
 
 use crate::compare;
 use crate::golden_config::changed;
@@ -8,25 +8,25 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A flag that no subcommand knows; it is the last word, so an error that names it means all before it was accepted.
-const UNKNOWN: &str = "--no-such-flag";
+/// A flag that no subcommand has. As the last argument, it is named in the error only if all before it were accepted.
+const UNKNOWN_FLAG: &str = "--no-such-flag";
 
-fn program(words: &[&str]) -> Command {
+fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_aldercrank"));
-    command.args(words);
+    command.args(arguments);
     for variable in ["ROUTER_CONFIG", "ROUTER_NAME", "ROUTER_LISTEN"] {
         command.env_remove(variable);
     }
     command
 }
 
-/// A directory with configurations and service files, which is removed when it is dropped.
-struct Folder(PathBuf);
+/// A directory with configurations and service files, removed on drop.
+struct ConfigDir(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
-        let folder = std::env::temp_dir().join(format!("golden-command-line-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
+impl ConfigDir {
+    fn new() -> ConfigDir {
+        let dir = std::env::temp_dir().join(format!("golden-command-line-{}", std::process::id()));
+        std::fs::create_dir_all(&dir).unwrap();
         let nameless = changed(&[("/name", json!(null)), ("/listen", json!(null))]);
         let files = [
             ("good.json", changed(&[])),
@@ -36,27 +36,27 @@
             ("good.kdl", "log { json #true }\n".to_string()),
             ("bad.kdl", "lgo { json #true }\nresults { longest-kb 0 }\n".to_string()),
         ];
-        files.iter().for_each(|(name, text)| std::fs::write(folder.join(name), text).unwrap());
-        Folder(folder)
+        files.iter().for_each(|(name, text)| std::fs::write(dir.join(name), text).unwrap());
+        ConfigDir(dir)
     }
 
-    /// Runs the program beside these files, and writes down all that came of it.
-    fn run(&self, variables: &[(&str, &str)], words: &[&str]) -> String {
-        let mut command = program(words);
+    /// Runs the program in this directory and returns the command, its exit code and its output.
+    fn run(&self, variables: &[(&str, &str)], arguments: &[&str]) -> String {
+        let mut command = program(arguments);
         let output = command.current_dir(&self.0).envs(variables.iter().copied()).output().unwrap();
         let set: String = variables.iter().map(|(name, value)| format!("{name}={value} ")).collect();
-        format!("== {set}{}\n{}\n", words.join(" "), written(&output))
+        format!("== {set}{}\n{}\n", arguments.join(" "), transcript(&output))
     }
 }
 
-impl Drop for Folder {
+impl Drop for ConfigDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Exit code and output, with the version's number left out.
-fn written(output: &Output) -> String {
+/// Exit code and output, with the program's version number replaced.
+fn transcript(output: &Output) -> String {
     let mut lines = format!("  exit {:?}\n", output.status.code());
     for (name, bytes) in [("stdout", &output.stdout), ("stderr", &output.stderr)] {
         let text = String::from_utf8(bytes.clone()).unwrap().replace(env!("CARGO_PKG_VERSION"), "VERSION");
@@ -66,33 +66,33 @@
 }
 
 #[test]
-fn check_config_and_version_output_is_as_recorded() {
-    let folder = Folder::new();
+fn version_check_config_and_serve_output_matches_golden_file() {
+    let dir = ConfigDir::new();
     let none: [(&str, &str); 0] = [];
     let both = [("ROUTER_NAME", "n7"), ("ROUTER_LISTEN", "127.0.0.1:7007")];
-    let mut built = String::new();
-    built += &folder.run(&none, &["version"]);
-    built += &folder.run(&none, &["check-config", "good.json"]);
-    built += &folder.run(&none, &["check-config", "bad.json"]);
-    built += &folder.run(&none, &["check-config", "no-json.json"]);
-    built += &folder.run(&none, &["check-config", "absent.json"]);
-    built += &folder.run(&none, &["check-config", "nameless.json"]);
-    built += &folder.run(&both, &["check-config", "nameless.json"]);
-    built += &folder.run(&both, &["check-config", "good.json"]);
-    built += &folder.run(&none, &["check-config"]);
-    built += &folder.run(&[("ROUTER_CONFIG", "")], &["check-config"]);
-    built += &folder.run(&[("ROUTER_CONFIG", "good.json")], &["check-config"]);
-    built += &folder.run(&[("ROUTER_CONFIG", "absent.json")], &["check-config", "good.json"]);
-    built += &folder.run(&none, &["check-config", "--service", "good.kdl", "good.json"]);
-    built += &folder.run(&none, &["check-config", "--service", "bad.kdl", "good.json"]);
-    built += &folder.run(&none, &["check-config", "--service", "absent.kdl", "good.json"]);
-    built += &folder.run(&none, &["check-config", "--service", "bad.kdl", "bad.json"]);
-    built += &folder.run(&none, &["serve", "--verbose", "--json-log", "--log-txns", "bad.json"]);
-    built += &folder.run(&none, &["serve", "-v", "--service", "bad.kdl", "good.json"]);
-    compare::check("command-line/program.txt", &built);
+    let mut transcripts = String::new();
+    transcripts += &dir.run(&none, &["version"]);
+    transcripts += &dir.run(&none, &["check-config", "good.json"]);
+    transcripts += &dir.run(&none, &["check-config", "bad.json"]);
+    transcripts += &dir.run(&none, &["check-config", "no-json.json"]);
+    transcripts += &dir.run(&none, &["check-config", "absent.json"]);
+    transcripts += &dir.run(&none, &["check-config", "nameless.json"]);
+    transcripts += &dir.run(&both, &["check-config", "nameless.json"]);
+    transcripts += &dir.run(&both, &["check-config", "good.json"]);
+    transcripts += &dir.run(&none, &["check-config"]);
+    transcripts += &dir.run(&[("ROUTER_CONFIG", "")], &["check-config"]);
+    transcripts += &dir.run(&[("ROUTER_CONFIG", "good.json")], &["check-config"]);
+    transcripts += &dir.run(&[("ROUTER_CONFIG", "absent.json")], &["check-config", "good.json"]);
+    transcripts += &dir.run(&none, &["check-config", "--service", "good.kdl", "good.json"]);
+    transcripts += &dir.run(&none, &["check-config", "--service", "bad.kdl", "good.json"]);
+    transcripts += &dir.run(&none, &["check-config", "--service", "absent.kdl", "good.json"]);
+    transcripts += &dir.run(&none, &["check-config", "--service", "bad.kdl", "bad.json"]);
+    transcripts += &dir.run(&none, &["serve", "--verbose", "--json-log", "--log-txns", "bad.json"]);
+    transcripts += &dir.run(&none, &["serve", "-v", "--service", "bad.kdl", "good.json"]);
+    compare::check("command-line/program.txt", &transcripts);
 }
 
-/// Each flag with a value, where it takes one.
+/// Command lines with each flag and subcommand; a flag that takes a value has one.
 const ACCEPTED: [&str; 22] = [
     "serve",
     "serve --verbose",
@@ -118,18 +118,18 @@
     "rules status --json --at 127.0.0.1:1",
 ];
 
-fn words(line: &str) -> Vec<&str> {
+fn arguments(line: &str) -> Vec<&str> {
     line.split_whitespace().collect()
 }
 
 #[test]
-fn the_recorded_flags_and_subcommands_are_accepted() {
+fn recorded_flags_and_subcommands_are_accepted() {
     for line in ACCEPTED {
-        let refused = program(&words(line)).arg(UNKNOWN).output().unwrap();
-        let stderr = String::from_utf8_lossy(&refused.stderr).into_owned();
-        assert_eq!(refused.status.code(), Some(1), "{line}: {stderr}");
-        assert!(stderr.contains(UNKNOWN), "{line}: not accepted: {stderr}");
-        let help = program(&words(line)).arg("--help").output().unwrap();
+        let rejected = program(&arguments(line)).arg(UNKNOWN_FLAG).output().unwrap();
+        let stderr = String::from_utf8_lossy(&rejected.stderr).into_owned();
+        assert_eq!(rejected.status.code(), Some(1), "{line}: {stderr}");
+        assert!(stderr.contains(UNKNOWN_FLAG), "{line}: not accepted: {stderr}");
+        let help = program(&arguments(line)).arg("--help").output().unwrap();
         assert_eq!(help.status.code(), Some(0), "{line} --help");
     }
     assert_eq!(program(&["--help"]).output().unwrap().status.code(), Some(0));
@@ -137,13 +137,13 @@
     compare::check("command-line/program-accepts.txt", &list);
 }
 
-/// The way of asking above tells a flag that is not known from one that is.
+/// Guards the check above: with a misspelt word before [`UNKNOWN_FLAG`], the error does not name that flag.
 #[test]
-fn a_flag_or_subcommand_that_is_not_known_is_not_accepted() {
+fn unknown_flags_and_subcommands_are_rejected() {
     for line in ["serve --verbos", "serve --log", "check-config --json-log", "versions", "rules chek FILE"] {
-        let refused = program(&words(line)).arg(UNKNOWN).output().unwrap();
-        let stderr = String::from_utf8_lossy(&refused.stderr).into_owned();
-        assert_eq!(refused.status.code(), Some(1), "{line}: {stderr}");
-        assert!(!stderr.contains(UNKNOWN), "{line}: {stderr}");
+        let rejected = program(&arguments(line)).arg(UNKNOWN_FLAG).output().unwrap();
+        let stderr = String::from_utf8_lossy(&rejected.stderr).into_owned();
+        assert_eq!(rejected.status.code(), Some(1), "{line}: {stderr}");
+        assert!(!stderr.contains(UNKNOWN_FLAG), "{line}: {stderr}");
     }
 }
--- a/crates/aldercrank-service-config/src/fault.rs
+++ b/crates/aldercrank-service-config/src/fault.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a KDL file, and where.
+//! Faults of a KDL file, with their positions.
 
 use std::cmp::Ordering;
 use std::fmt;
 use thiserror::Error;
 
-/// A fault at its position; displayed as `line:column: what`. Faults are ordered by position.
+/// A fault and its position, displayed as `line:column: what`. Faults are ordered by position.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 #[error("{line}:{column}: {what}")]
 pub struct Fault {
@@ -16,67 +16,67 @@
     pub what: FaultKind,
 }
 
-/// What is wrong at a position. Kinds with the same text are equal.
+/// What is wrong at a position. Kinds that are displayed alike are equal.
 #[derive(Clone, Debug)]
 pub enum FaultKind {
-    /// The text is no KDL.
+    /// The file is not valid KDL.
     InvalidKdl {
-        /// The parser's message.
+        /// The message of the KDL parser.
         message: String,
-        /// The parser's advice.
+        /// The parser's hint on how to fix it.
         help: Option<String>,
     },
-    /// A name is not known.
+    /// The name of a node or value is unknown.
     UnknownName {
         /// The name.
         name: String,
-        /// The known name that was probably meant.
-        meant: Option<String>,
-        /// All known names.
+        /// The most similar known name, if one is similar enough.
+        suggestion: Option<String>,
+        /// All names that are known at this place.
         known: Vec<String>,
     },
-    /// A name occurs a second time.
+    /// A name occurs more than once.
     Duplicate {
         /// The name.
         name: String,
     },
-    /// A block of settings has a value before it.
+    /// A node that only takes a block has a value.
     UnexpectedValue {
-        /// The block's name.
+        /// The node's name.
         name: String,
     },
-    /// The block of settings is missing.
+    /// A node that takes a block has none.
     MissingBlock {
-        /// The block's name.
+        /// The node's name.
         name: String,
     },
-    /// A setting with a value has a block too.
+    /// A setting that only takes a value has a block.
     UnexpectedBlock {
         /// What was expected.
         expected: String,
     },
-    /// A setting has another number of values than one.
-    WrongCount {
+    /// A setting does not have exactly one value.
+    WrongValueCount {
         /// What was expected.
         expected: String,
-        /// How many values there are.
+        /// The number of values.
         found: usize,
     },
-    /// A setting's value has a name.
-    NamedValue {
+    /// A setting has a KDL property (`name=value`) in place of a plain value.
+    UnexpectedProperty {
         /// What was expected.
         expected: String,
-        /// The name.
+        /// The property's name.
         name: String,
     },
-    /// A setting has a value of another type, or out of its bounds.
+    /// A setting has a value of the wrong type, or one that is out of bounds.
     WrongValue {
         /// What was expected.
         expected: String,
-        /// The value as `kind` displays it.
+        /// The value, described by [`kind`](crate::kind).
         found: String,
     },
-    /// A fault that the user of the reader found, as a text.
+    /// A fault that is found by the code that uses the reader.
     Other(String),
 }
 
@@ -85,22 +85,24 @@
         match self {
             FaultKind::InvalidKdl { message, help: None } => f.write_str(message),
             FaultKind::InvalidKdl { message, help: Some(help) } => write!(f, "{message} ({help})"),
-            FaultKind::UnknownName { name, meant: Some(meant), .. } => {
-                write!(f, "{name} is not known; did you mean {meant}?")
+            FaultKind::UnknownName { name, suggestion: Some(suggestion), .. } => {
+                write!(f, "{name} is not known; did you mean {suggestion}?")
             }
-            FaultKind::UnknownName { name, meant: None, known } => {
+            FaultKind::UnknownName { name, suggestion: None, known } => {
                 write!(f, "{name} is not known; known here: {}", known.join(", "))
             }
             FaultKind::Duplicate { name } => {
-                write!(f, "{name} stands here a second time; it may stand once")
+                write!(f, "{name} is repeated; it may occur only once")
             }
             FaultKind::UnexpectedValue { name } => {
-                write!(f, "{name} takes no value, but a block of settings")
+                write!(f, "{name} takes a block of settings and no value")
             }
             FaultKind::MissingBlock { name } => write!(f, "{name} needs a block of settings in braces"),
             FaultKind::UnexpectedBlock { expected } => write!(f, "{expected}, and no block"),
-            FaultKind::WrongCount { expected, found } => write!(f, "{expected}, found {found}"),
-            FaultKind::NamedValue { expected, name } => write!(f, "{expected}, found one named {name}"),
+            FaultKind::WrongValueCount { expected, found } => write!(f, "{expected}, found {found} values"),
+            FaultKind::UnexpectedProperty { expected, name } => {
+                write!(f, "{expected}, found a property named {name}")
+            }
             FaultKind::WrongValue { expected, found } => write!(f, "{expected}, found {found}"),
             FaultKind::Other(text) => f.write_str(text),
         }
@@ -128,7 +130,7 @@
 }
 
 impl Ord for FaultKind {
-    /// Faults at one position are reported in the order of their texts.
+    /// Orders faults at the same position by the text that is displayed for them.
     fn cmp(&self, other: &FaultKind) -> Ordering {
         self.to_string().cmp(&other.to_string())
     }
--- a/crates/aldercrank-service-config/src/lib.rs
+++ b/crates/aldercrank-service-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The service file: the program's own settings in KDL, apart from the platform's configuration.
+//! The service file: a server's own settings in KDL, separate from the platform's configuration.
 //!
-//! The file is read completely or not at all, and all its faults are reported at once, each with its line and column.
-//! What the file does not name is off or has its default. This package does no I/O.
+//! A file with any fault is rejected as a whole, and all its faults are reported at once, each with its line and
+//! column. A setting that is left out is off or has its default. This crate does no I/O.
 
 mod fault;
 mod parser;
--- a/crates/aldercrank-service-config/src/parser.rs
+++ b/crates/aldercrank-service-config/src/parser.rs
@@ -1,4 +1,4 @@
-//! Reads the text of a service file.
+//! Parses a service file.
 
 use crate::fault::{Fault, FaultKind};
 use crate::reader::Reader;
@@ -8,14 +8,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A result is kept in memory at least once, so it is bounded by what one connection may take of it.
+/// Each result is held in memory at least once, so this limits how much memory one connection can take.
 const MAX_RESULT_KB: i128 = 64 * 1024;
-/// Shorter pauses would spare the membership service nothing.
+/// A shorter backoff would not reduce the load on the membership service.
 const MIN_REPORT_BACKOFF_MS: i128 = 250;
-/// After longer pauses the membership service would not know the server any more.
+/// With a longer backoff, the membership service would no longer know the server.
 const MAX_REPORT_BACKOFF_MS: i128 = 60_000;
 
-/// Reads a service file. An error has all faults in the order of the file.
+/// Parses a service file.
+///
+/// # Errors
+/// All faults, in the order of the file.
 pub fn parse(text: &str) -> Result<ServiceConfig, Vec<Fault>> {
     let mut reader = Reader::new(text);
     let mut service = ServiceConfig::default();
@@ -84,7 +87,7 @@
         }
     });
     if options.version_file.is_empty() {
-        let what = "rules needs book \"FILE\", the version that the fleet starts from";
+        let what = "rules needs book \"FILE\", the file of the initial version";
         reader.fault(node.name().span().offset(), FaultKind::Other(what.to_string()));
     }
     options
@@ -93,12 +96,12 @@
 fn member_addresses(reader: &mut Reader, node: &KdlNode, addresses: &mut BTreeMap<String, SocketAddr>) {
     reader.no_values(node);
     for member in reader.children(node).into_iter().flat_map(KdlDocument::nodes) {
-        let Some(text) = reader.text(member, "an address with a port") else { continue };
+        let Some(text) = reader.text(member, "an IP address with a port") else { continue };
         match text.parse() {
             Ok(address) => drop(addresses.insert(member.name().value().to_string(), address)),
             Err(_) => {
                 let offset = member.name().span().offset();
-                reader.fault(offset, format!("{text:?} is no address with a port"));
+                reader.fault(offset, format!("{text:?} is not an IP address with a port"));
             }
         }
     }
--- a/crates/aldercrank-service-config/src/reader.rs
+++ b/crates/aldercrank-service-config/src/reader.rs
@@ -1,19 +1,19 @@
-//! Reads nodes of a KDL document, and collects all faults with their positions.
+//! Reads the nodes of a KDL document and collects all faults with their positions.
 
 use crate::fault::{Fault, FaultKind};
 use kdl::{KdlDocument, KdlNode, KdlValue};
 
-/// The least similarity, from 0 to 1, at which a known name is suggested for an unknown one.
+/// The lowest similarity, from 0 to 1, at which a known name is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.6;
 
-/// Reads one KDL text. Its methods give what can be read, and record a fault for what can't.
+/// Reads one KDL document. Its methods return what can be read, and record a fault for what can't.
 pub struct Reader<'a> {
     text: &'a str,
     faults: Vec<Fault>,
 }
 
 /// A value and its byte offset in the text.
-struct PlacedValue<'a> {
+struct LocatedValue<'a> {
     value: &'a KdlValue,
     offset: usize,
 }
@@ -23,19 +23,19 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Creates a reader of this text.
+    /// Creates a reader of `text`.
     pub fn new(text: &'a str) -> Reader<'a> {
         Reader { text, faults: Vec::new() }
     }
 
-    /// All faults so far in the order of the text, each once.
+    /// Returns the recorded faults in the order of the text, without duplicates.
     pub fn faults(mut self) -> Vec<Fault> {
         self.faults.sort();
         self.faults.dedup();
         self.faults
     }
 
-    /// Records a fault at this byte offset of the text.
+    /// Records a fault at a byte offset of the text.
     pub fn fault(&mut self, offset: usize, what: impl Into<FaultKind>) {
         let bytes = self.text.as_bytes();
         let before = String::from_utf8_lossy(&bytes[..offset.min(bytes.len())]);
@@ -44,13 +44,13 @@
         self.faults.push(Fault { line, column, what: what.into() });
     }
 
-    /// The document; none, with a fault for each position, if the text is no KDL.
+    /// Parses the text. If it is not valid KDL, records a fault for each diagnostic of the parser and returns `None`.
     pub fn document(&mut self) -> Option<KdlDocument> {
         let error = match KdlDocument::parse_v2(self.text) {
             Ok(document) => return Some(document),
             Err(error) => error,
         };
-        let invalid = || "not KDL".to_string();
+        let invalid = || "invalid KDL".to_string();
         for diagnostic in &error.diagnostics {
             let message = diagnostic.message.clone().or(diagnostic.label.clone()).unwrap_or_else(invalid);
             let help = diagnostic.help.as_ref().map(ToString::to_string);
@@ -62,7 +62,7 @@
         None
     }
 
-    /// Calls `each` with the first node of each known name; other nodes are faults.
+    /// Calls `each` with the first node of each known name, and records a fault for each repeated or unknown one.
     pub fn nodes(&mut self, of: &KdlDocument, known: &[&str], mut each: impl FnMut(&mut Self, &KdlNode)) {
         let mut seen: Vec<&str> = Vec::new();
         for node in of.nodes() {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Records an unknown name as a fault, with the known name that was probably meant, or else all known names.
+    /// Records a fault for an unknown name. It suggests the most similar known name, or lists all if none is similar.
     pub fn unknown(&mut self, offset: usize, name: &str, known: &[&str]) {
         let similarities = known.iter().map(|k| (strsim::normalized_damerau_levenshtein(name, k), k));
         let nearest = similarities
@@ -87,20 +87,20 @@
             .max_by(|a, b| a.0.total_cmp(&b.0));
         let fault = FaultKind::UnknownName {
             name: name.to_string(),
-            meant: nearest.map(|(_, meant)| meant.to_string()),
+            suggestion: nearest.map(|(_, suggestion)| suggestion.to_string()),
             known: known.iter().map(ToString::to_string).collect(),
         };
         self.fault(offset, fault);
     }
 
-    /// Records each value of the node as a fault.
+    /// Records a fault for each value of the node.
     pub fn no_values(&mut self, node: &KdlNode) {
         for entry in node.entries() {
             self.fault(entry.span().offset(), FaultKind::UnexpectedValue { name: name_of(node) });
         }
     }
 
-    /// The node's block; a fault if it has none.
+    /// Returns the node's block, or records a fault if it has none.
     pub fn children<'n>(&mut self, node: &'n KdlNode) -> Option<&'n KdlDocument> {
         let children = node.children();
         if children.is_none() {
@@ -109,8 +109,9 @@
         children
     }
 
-    /// The node's one value; a fault if it has another number of values, a named one or a block.
-    fn single_value<'n>(&mut self, node: &'n KdlNode, expected: &str) -> Option<PlacedValue<'n>> {
+    /// Returns the node's value, or records a fault if there isn't exactly one or if it is a property. A block is a
+    /// fault as well.
+    fn single_value<'n>(&mut self, node: &'n KdlNode, expected: &str) -> Option<LocatedValue<'n>> {
         let expected = expected.to_string();
         if let Some(children) = node.children() {
             let fault = FaultKind::UnexpectedBlock { expected: expected.clone() };
@@ -118,25 +119,25 @@
         }
         let [entry] = node.entries() else {
             let span = node.entries().get(1).map_or(node.name().span(), |second| second.span());
-            self.fault(span.offset(), FaultKind::WrongCount { expected, found: node.entries().len() });
+            self.fault(span.offset(), FaultKind::WrongValueCount { expected, found: node.entries().len() });
             return None;
         };
         let offset = entry.span().offset();
         if let Some(name) = entry.name() {
-            self.fault(offset, FaultKind::NamedValue { expected, name: name.value().to_string() });
+            self.fault(offset, FaultKind::UnexpectedProperty { expected, name: name.value().to_string() });
             return None;
         }
-        Some(PlacedValue { value: entry.value(), offset })
+        Some(LocatedValue { value: entry.value(), offset })
     }
 
-    /// The node's one value, converted; a fault if `convert` gives none.
+    /// Returns the node's value as `convert` returns it, or records a fault if that is `None`.
     fn converted<T>(
         &mut self,
         node: &KdlNode,
         expected: String,
         convert: impl FnOnce(&KdlValue) -> Option<T>,
     ) -> Option<T> {
-        let PlacedValue { value, offset } = self.single_value(node, &expected)?;
+        let LocatedValue { value, offset } = self.single_value(node, &expected)?;
         let converted = convert(value);
         if converted.is_none() {
             self.fault(offset, FaultKind::WrongValue { expected, found: kind(value) });
@@ -144,26 +145,26 @@
         converted
     }
 
-    /// The node's one value: a whole number from `least` to `most`.
-    pub fn whole(&mut self, node: &KdlNode, least: i128, most: i128) -> Option<i128> {
-        let expected = format!("{} takes one whole number from {least} to {most}", node.name().value());
-        self.converted(node, expected, |value| value.as_integer().filter(|n| (least..=most).contains(n)))
+    /// Returns the node's value, which must be a whole number from `min` to `max`.
+    pub fn whole(&mut self, node: &KdlNode, min: i128, max: i128) -> Option<i128> {
+        let expected = format!("{} takes one whole number from {min} to {max}", node.name().value());
+        self.converted(node, expected, |value| value.as_integer().filter(|n| (min..=max).contains(n)))
     }
 
-    /// The node's one value: `#true` or `#false`.
+    /// Returns the node's value, which must be `#true` or `#false`.
     pub fn flag(&mut self, node: &KdlNode) -> Option<bool> {
         let expected = format!("{} takes #true or #false", node.name().value());
         self.converted(node, expected, KdlValue::as_bool)
     }
 
-    /// The node's one value: a text. `what` names its meaning in a fault.
+    /// Returns the node's value, which must be a string. `what` describes the expected value in a fault.
     pub fn text(&mut self, node: &KdlNode, what: &str) -> Option<String> {
         let expected = format!("{} takes {what}", node.name().value());
         self.converted(node, expected, |value| value.as_string().map(str::to_string))
     }
 }
 
-/// Displays a value as faults name it.
+/// Describes a value in the text of a fault.
 pub fn kind(value: &KdlValue) -> String {
     match value {
         KdlValue::String(text) => format!("the text \"{}\"", text.chars().take(40).collect::<String>()),
--- a/crates/aldercrank-service-config/src/service.rs
+++ b/crates/aldercrank-service-config/src/service.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The program's own settings, a field for each block of the file.
+/// A server's own settings, with a field for each block of the file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceConfig {
     /// The block `results`.
@@ -13,7 +13,7 @@
     pub reports: ReportConfig,
     /// The block `log`.
     pub log: LogConfig,
-    /// The block `rules`; without it there is no versioned configuration.
+    /// The block `rules`. Without it, the server takes no part in the versioned configuration.
     pub versioned_config: Option<VersionedConfigOptions>,
     /// The block `start`.
     pub start: Start,
@@ -22,40 +22,40 @@
 /// How a server starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Start {
-    /// Whether the progress of the slow start is followed, logged and added to load reports.
+    /// Whether the progress of the slow start is tracked, logged and included in load reports.
     pub report_share: bool,
 }
 
 /// How a server takes part in the versioned configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VersionedConfigOptions {
-    /// The file of the version that the fleet starts from.
+    /// The file of the initial version of the fleet.
     pub version_file: String,
-    /// The directory of the server's durable state; without it nothing outlasts a restart.
+    /// The directory of the server's durable state. Without it, no state survives a restart.
     pub state_dir: Option<String>,
     /// Whether proposed versions are read from the membership service.
     pub read_proposals: bool,
-    /// Addresses of committee members that differ from those in the version, by member.
+    /// Addresses of committee members, by member name, where they differ from those in the version.
     pub member_addresses: BTreeMap<String, SocketAddr>,
 }
 
-/// The log.
+/// How a server logs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogConfig {
-    /// A JSON document a line, in place of text.
+    /// Whether each log record is one line of JSON in place of text.
     pub json: bool,
 }
 
-/// Load reports to the membership service.
+/// How a server reports its load to the membership service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReportConfig {
     /// The longest backoff between failed reports. The default is well under the lifetime of an endpoint's entry.
     pub max_backoff: Option<Duration>,
 }
 
-/// Results of runs.
+/// Limits on the results of runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResultConfig {
-    /// The longest result of a run in KB. The default is the server's own bound.
+    /// The largest result of a run in KB. The default is the server's built-in limit.
     pub max_kb: Option<u32>,
 }
--- a/crates/aldercrank-service-config/tests/golden.rs
+++ b/crates/aldercrank-service-config/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden file of the service file: the KDL text, then its decoded values, or its faults by line and column.
+//! Golden files of service files: each KDL text, followed by its parsed values or by its faults with line and column.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Items are visible to the modules of this test only, and a test may be long.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -15,7 +15,8 @@
 #[path = "../../../tests/golden/compare.rs"]
 mod compare;
 
-const GOOD: [(&str, &str); 12] = [
+/// Valid files, each with its title.
+const VALID: [(&str, &str); 12] = [
     ("an empty file", ""),
     ("a comment alone", "// nothing\n"),
     ("results alone", "results {\n    longest-kb 65536\n}\n"),
@@ -36,7 +37,8 @@
     ("a block struck out, a number in hexadecimal", "/- log { json #true }\nresults { longest-kb 0x10 }\n"),
 ];
 
-const BAD: [(&str, &str); 21] = [
+/// Invalid files, each with its title.
+const INVALID: [(&str, &str); 21] = [
     ("a block that is not known, near to one", "resluts {\n}\n"),
     ("a block that is not known, near to none", "zzzzzz 1\n"),
     ("a block twice", "log { json #true }\nlog { json #false }\n"),
@@ -83,8 +85,8 @@
     lines
 }
 
-/// The decoded values by the file's own names.
-fn decoded(service: &ServiceConfig) -> String {
+/// The parsed values under their names in the file.
+fn settings(service: &ServiceConfig) -> String {
     let mut lines = format!("  results: longest-kb {}\n", or_none(service.results.max_kb));
     writeln!(
         lines,
@@ -98,31 +100,31 @@
     lines
 }
 
-fn read(text: &str) -> String {
+fn parsed(text: &str) -> String {
     match parse(text) {
-        Ok(service) => decoded(&service),
+        Ok(service) => settings(&service),
         Err(faults) => faults.iter().map(|fault| format!("  fault {fault}\n")).collect(),
     }
 }
 
-fn block(title: &str, text: &str) -> String {
-    format!("== {title}\n{}\n--\n{}\n", text.trim_end(), read(text))
+fn golden_entry(title: &str, text: &str) -> String {
+    format!("== {title}\n{}\n--\n{}\n", text.trim_end(), parsed(text))
 }
 
 #[test]
-fn the_example_is_read_as_recorded() {
+fn example_file_matches_golden_file() {
     let example = include_str!("../../../deploy/service.kdl");
-    compare::check("service-file/example.txt", &read(example));
+    compare::check("service-file/example.txt", &parsed(example));
 }
 
 #[test]
-fn good_service_files_are_read_as_recorded() {
-    let built: String = GOOD.iter().map(|(title, text)| block(title, text)).collect();
+fn valid_files_match_golden_file() {
+    let built: String = VALID.iter().map(|(title, text)| golden_entry(title, text)).collect();
     compare::check("service-file/good.txt", &built);
 }
 
 #[test]
-fn faults_of_service_files_stand_at_the_recorded_places() {
-    let built: String = BAD.iter().map(|(title, text)| block(title, text)).collect();
+fn faults_and_their_positions_match_golden_file() {
+    let built: String = INVALID.iter().map(|(title, text)| golden_entry(title, text)).collect();
     compare::check("service-file/faults.txt", &built);
 }
--- a/crates/aldercrank-service-config/tests/service_file.rs
+++ b/crates/aldercrank-service-config/tests/service_file.rs
@@ -1,6 +1,6 @@
-//! Valid and invalid service files.
+//! Parsing of valid and invalid service files.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Items are visible to the modules of this test only, and a test may be long.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_example_is_read_and_an_empty_file_gives_the_defaults() {
+fn example_file_is_parsed_and_empty_file_gives_defaults() {
     let example = include_str!("../../../deploy/service.kdl");
     assert_eq!(
         parse(example),
@@ -47,20 +47,20 @@
         faults(text),
         [
             "1:1: resluts is not known; did you mean results?",
-            "3:9: results takes no value, but a block of settings",
+            "3:9: results takes a block of settings and no value",
             "4:16: longest-kb takes one whole number from 1 to 65536, found the text \"big\"",
-            "5:5: longest-kb stands here a second time; it may stand once",
+            "5:5: longest-kb is repeated; it may occur only once",
             "6:5: colour is not known; known here: longest-kb",
-            "8:1: results stands here a second time; it may stand once",
+            "8:1: results is repeated; it may occur only once",
         ]
     );
     assert_eq!(faults("log {\n json 1\n}"), ["2:7: json takes #true or #false, found 1"]);
     assert_eq!(
         faults("rules {\n dir 3\n reach { n1 \"here\"; }\n}"),
         [
-            "1:1: rules needs book \"FILE\", the version that the fleet starts from",
+            "1:1: rules needs book \"FILE\", the file of the initial version",
             "2:6: dir takes the name of a directory, found 3",
-            "3:10: \"here\" is no address with a port",
+            "3:10: \"here\" is not an IP address with a port",
         ]
     );
     assert_eq!(faults("start {\n tell-share 1\n}"), ["2:13: tell-share takes #true or #false, found 1"]);
@@ -76,7 +76,7 @@
 fn invalid_kdl_is_reported_with_its_position_and_never_panics() {
     assert!(faults("results {\n  longest-kb 4\n").iter().all(|f| f.contains(':')));
     let example = include_str!("../../../deploy/service.kdl");
-    // Corrupts every fifth byte: leaves it out or replaces it.
+    // Removes or replaces each fifth byte, one at a time.
     for at in (0..example.len()).step_by(5) {
         for replacement in ["", "\"", "{", "\u{0}", "\u{fe0f}", "}"] {
             let (Some(head), Some(tail)) = (example.get(..at), example.get(at + 1..)) else { continue };
