--- a/crates/aldercrank-server/src/operator_commands/client.rs
+++ b/crates/aldercrank-server/src/operator_commands/client.rs
@@ -93,10 +93,10 @@
         &body,
     );
     let response = exchange(at, &request, |received| {
-        let mut handler = StatusResponse::default();
-        msgpack_rpc::read_response(received, MAX_RESPONSE_BYTES, &mut handler)
+        let mut response = StatusResponse::default();
+        msgpack_rpc::read_response(received, MAX_RESPONSE_BYTES, &mut response)
             .map_err(ResponseError::InvalidMessage)?;
-        Ok(match handler {
+        Ok(match response {
             StatusResponse::Pending => None,
             StatusResponse::Received(response) => Some(Some(response)),
             StatusResponse::Unusable => Some(None),
