--- a/crates/aldercrank-versioned-config/src/parse_fault.rs
+++ b/crates/aldercrank-versioned-config/src/parse_fault.rs
@@ -17,9 +17,9 @@
     InvalidVersionNumber { found: String },
     #[error("rules takes exactly one value, the version number")]
     VersionNumberExpected,
-    #[error("{block} appears more than once")]
+    #[error("{block} is repeated; it may occur only once")]
     RepeatedBlock { block: String },
-    #[error("{path} appears more than once")]
+    #[error("{path} is repeated; it may occur only once")]
     RepeatedItem { path: ItemPath },
     #[error("product takes a name of {VALID_NAME}, found {found}")]
     InvalidClassName { found: String },
--- a/crates/aldercrank-versioned-config/tests/versions.rs
+++ b/crates/aldercrank-versioned-config/tests/versions.rs
@@ -90,7 +90,7 @@
             "5:29: window-ms takes one number from 0 to 86400000, found the text \"long\"",
             "5:37: safe is not known; known here: inquiry-like, referenced, once-only",
             "5:64: product p: give-up-ms 400 is less than sla-ms 500",
-            "6:5: product p appears more than once",
+            "6:5: product p is repeated; it may occur only once",
             "7:22: server n1 is listed more than once; a server belongs to one zone",
             "8:14: the shares add up to 61, over their limit of 50",
             "8:20: shares has zone c, which is not listed in servers",
