--- a/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -1,7 +1,7 @@
 //! The versioned configuration of a run: publications by the timeline, the configuration store, each server's service
 //! file, and the relays between servers.
 
-use super::genesis::{genesis, with_items};
+use super::genesis::{initial_version, with_items};
 use super::state::{ConfigVersions, TestCluster};
 use super::stub_services::HttpRequest;
 use crate::config::{self, MemberAddress};
@@ -20,24 +20,24 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The file, in the run's directory, with the version that the cluster starts with.
-const GENESIS_FILE: &str = "rules.kdl";
-/// A text that is far longer than any version may be.
+/// The file in the run's directory that holds the version that the cluster starts with.
+const INITIAL_VERSION_FILE: &str = "rules.kdl";
+/// The length of the padding that makes a text far longer than any version may be.
 const OVERLONG_BYTES: usize = 10_000_000;
 
-/// Whether all differences may exist between servers.
+/// Whether the versions differ only in items whose values may differ between servers.
 fn changes_free_items_only(from: &VersionedConfig, to: &VersionedConfig) -> bool {
     changes(from, to).iter().all(|change| change.role == Consistency::Free)
 }
 
 impl TestCluster<'_> {
-    /// Writes the first version and opens the relays, where the scenario has a versioned configuration.
+    /// Writes the initial version and opens the relays, if the scenario has a versioned configuration.
     pub(super) fn prepare_versions(&mut self) -> io::Result<()> {
         let Some(settings) = self.scenario.versioned_config.clone() else { return Ok(()) };
         let addresses: Vec<SocketAddr> = self.servers.iter().map(|server| server.addresses.listen).collect();
-        let newest = genesis(self.scenario, &settings, &addresses)?;
+        let newest = initial_version(self.scenario, &settings, &addresses)?;
         let relay_addresses = self.open_relays(settings.committee)?;
-        std::fs::write(self.options.dir.join(GENESIS_FILE), newest.text())?;
+        std::fs::write(self.options.dir.join(INITIAL_VERSION_FILE), newest.text())?;
         let classes = self.scenario.classes.iter().map(|class| class.name.clone()).collect();
         let checker = VersionChecker::new(settings.decision_bound, classes, &newest);
         self.versions = Some(ConfigVersions {
@@ -54,7 +54,7 @@
         Ok(())
     }
 
-    /// Opens a relay from each server to each other one in the committee.
+    /// Opens a relay from each server to each committee member except itself.
     fn open_relays(&mut self, committee: usize) -> io::Result<HashMap<RelayId, SocketAddr>> {
         let mut relay_addresses = HashMap::new();
         for client in self.server_numbers() {
@@ -62,7 +62,7 @@
                 if client != member {
                     let listener = self.testbed.sockets.listen(&self.listen_ip)?;
                     let relay = RelayId { client, member };
-                    self.testbed.relays.insert(listener.port, relay);
+                    self.testbed.relays.insert(listener.id, relay);
                     relay_addresses.insert(relay, listener.address);
                 }
             }
@@ -83,7 +83,11 @@
                 .collect();
             let has_disk = versions.settings.has_disks;
             let dir = has_disk.then(|| self.options.dir.join(format!("{number}.rules")));
-            text += &config::rules_section(&self.options.dir.join(GENESIS_FILE), dir.as_deref(), &members);
+            text += &config::rules_section(
+                &self.options.dir.join(INITIAL_VERSION_FILE),
+                dir.as_deref(),
+                &members,
+            );
         }
         if text.is_empty() {
             return Ok(None);
@@ -93,7 +97,7 @@
         Ok(Some(file))
     }
 
-    /// A server has connected to a relay: connects to the other server.
+    /// Handles a server's connection to a relay: connects to the committee member, and joins the two connections.
     pub(super) fn connect_relay(&mut self, conn: ConnNo, relay: RelayId) {
         let Some(versions) = &mut self.versions else { return };
         let address = self.servers[relay.member.0 as usize].addresses.listen;
@@ -106,7 +110,7 @@
         versions.relay_partners.insert(other, conn);
     }
 
-    /// Sends the bytes of one server to the other.
+    /// Passes bytes from one server to the other.
     pub(super) fn relay_bytes(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
         let Some(versions) = &mut self.versions else { return };
         versions.peer_messages += 1;
@@ -116,7 +120,7 @@
         }
     }
 
-    /// One half of a relayed connection has ended: closes the other.
+    /// Closes the other half of a relayed connection when one half has ended.
     pub(super) fn close_relay_partner(&mut self, conn: ConnNo) {
         let Some(versions) = &mut self.versions else { return };
         let Some(other) = versions.relay_partners.remove(&conn) else { return };
@@ -125,7 +129,7 @@
         self.testbed.unregister(other);
     }
 
-    /// Passes the decisions of the last turn to the version checker.
+    /// Passes the decisions that have been observed since the last call to the version checker.
     pub(super) fn check_decisions(&mut self) {
         let Some(versions) = &mut self.versions else { return };
         let delay = &self.testbed.checker.scheduling_delay;
@@ -135,7 +139,7 @@
         }
     }
 
-    /// A step publishes its next version, and sets the timer for the one after.
+    /// Publishes the next version of a step, and sets the timer for the one after it.
     pub(super) fn publish_next(&mut self, now: Duration, step_index: usize) {
         let step = &self.scenario.timeline[step_index];
         let Fault::Publish(publication) = &step.fault else { return };
@@ -167,7 +171,7 @@
             versions.checker.published(now, &next, free);
             versions.newest = next;
         }
-        self.testbed.record.note(now, None, None, || format!("publishes version {number}: {assignments}"));
+        self.testbed.record.note(now, None, None, || format!("published version {number}: {assignments}"));
         let stored = contents
             .iter()
             .map(|config| StoredVersion { tag: format!("{number}-{}", config.digest()), text: config.text() })
@@ -175,7 +179,7 @@
         self.store_versions(now, stored);
     }
 
-    /// Stores a text that is no version.
+    /// Stores a text that is not a valid version.
     pub(super) fn store_corrupted(&mut self, now: Duration, corruption: ConfigCorruption) {
         let Some(versions) = &mut self.versions else { return };
         versions.last_number += 1;
@@ -190,8 +194,8 @@
     }
 
     /// Stores the version that the cluster started with.
-    pub(super) fn store_genesis(&mut self, now: Duration) -> io::Result<()> {
-        let text = std::fs::read_to_string(self.options.dir.join(GENESIS_FILE))?;
+    pub(super) fn store_initial_version(&mut self, now: Duration) -> io::Result<()> {
+        let text = std::fs::read_to_string(self.options.dir.join(INITIAL_VERSION_FILE))?;
         self.store_versions(now, vec![StoredVersion { tag: "old".to_string(), text }]);
         Ok(())
     }
@@ -230,7 +234,7 @@
         }
     }
 
-    /// A server, or an operator's command, has sent a request about the next version to the membership service.
+    /// Handles an HTTP request to the configuration store, sent by a server or an operator's command.
     pub(super) fn config_store_request(&mut self, now: Duration, conn: ConnNo, request: &HttpRequest) {
         let is_up = self.testbed.membership.state() == MembershipState::Up;
         let Some(versions) = self.versions.as_mut().filter(|_| is_up) else { return };
@@ -254,7 +258,7 @@
         self.testbed.send_to_process(now, conn, &bytes);
     }
 
-    /// Stores the version in the body of a request. Returns the HTTP status.
+    /// Stores the version in the body of an HTTP request. Returns the HTTP status.
     fn store_sent_version(&mut self, now: Duration, body: &[u8]) -> u16 {
         let Some(versions) = &mut self.versions else { return 400 };
         let text = String::from_utf8_lossy(body).into_owned();
--- a/crates/aldercrank-test-cluster/src/cluster/connections.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/connections.rs
@@ -15,11 +15,11 @@
 impl TestCluster<'_> {
     pub(super) fn socket_event(&mut self, now: Duration, event: SocketEvent) {
         match event {
-            SocketEvent::Accepted(port, conn) => {
-                if let Some(&relay) = self.testbed.relays.get(&port) {
+            SocketEvent::Accepted(listener, conn) => {
+                if let Some(&relay) = self.testbed.relays.get(&listener) {
                     return self.connect_relay(conn, relay);
                 }
-                let Some(&link) = self.testbed.ports.get(&port) else { return };
+                let Some(&link) = self.testbed.listener_links.get(&listener) else { return };
                 self.accepted(now, link, conn);
             }
             SocketEvent::Connected(conn) => {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A server has connected to one of its stub services.
+    /// Handles a server's connection to one of its stub services.
     fn accepted(&mut self, now: Duration, link: LinkId, conn: ConnNo) {
         let server = link.server;
         if link.remote == RemoteEndpoint::MembershipService {
@@ -73,11 +73,12 @@
                 self.inputs.remove(&replaced);
             }
             state.pool.unlink();
-            self.testbed.record.note(now, None, Some(server), || "a link to its pool".to_string());
+            self.testbed.record.note(now, None, Some(server), || "linked to its worker pool".to_string());
         }
     }
 
-    /// The process has closed a connection, or it has failed. Bytes that were sent before are delivered first.
+    /// Handles a connection that the process has closed or that has failed. Bytes that were sent before are delivered
+    /// first.
     fn closed_by_process(&mut self, now: Duration, conn: ConnNo) {
         if !self.testbed.defer_close_by_process(conn) {
             self.connection_ended(now, conn, ConnectionEnd::ByServer);
@@ -120,13 +121,14 @@
         self.scenario.injected_violation == Some(kind) && !self.violation_injected
     }
 
-    /// The same, once the callers have begun long enough before.
+    /// Whether the violation is pending and the callers began at least `INJECTION_DELAY` ago.
     pub(super) fn may_inject(&self, kind: InjectedViolation, now: Duration) -> bool {
         let begun = self.testbed.record.begun;
         self.violation_is_pending(kind) && begun.is_some_and(|begun| now >= begun + INJECTION_DELAY)
     }
 
-    /// Changes the bytes to an edge node by an injected violation, once; `None` if they stay as they are.
+    /// Applies the scenario's injected violation, once, to bytes for an edge node. Returns the changed bytes, or `None`
+    /// if they stay unchanged.
     fn inject_into_response(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) -> Option<Vec<u8>> {
         let kind = self.scenario.injected_violation.filter(|kind| self.may_inject(*kind, now))?;
         let attempt_id = attempt_id_range(bytes)?;
--- a/crates/aldercrank-test-cluster/src/cluster/edge_host.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/edge_host.rs
@@ -1,4 +1,4 @@
-//! Connects the edge nodes with the testbed: sockets, timers, the membership, the checkers and the record.
+//! The testbed as the host of the edge nodes: sockets, timers, the membership, the checkers and the record.
 
 use crate::edge_nodes::{EdgeHost, EdgeTimer, Request, RequestEnd};
 use crate::ids::{ConnNo, EdgeNo, Incarnation, ReplyTo, RequestNo, ServerNo};
@@ -12,7 +12,7 @@
         if self.unreachable.contains(&server) {
             return None;
         }
-        // A wrong membership may name a server that never existed.
+        // A wrong membership names a server that never existed.
         let conn = self.sockets.connect(*self.server_addresses.get(server.0 as usize)?).ok()?;
         self.register(conn, ConnectionOwner::Edge(edge, server));
         Some(conn)
@@ -41,7 +41,7 @@
     }
 
     fn membership_view(&mut self, _edge: EdgeNo, now: Duration) -> Vec<ServerNo> {
-        // No older than the arrival of the first callers: before that it contained nobody.
+        // The view is never older than the one at the start of the callers, since the servers were not listed before.
         let oldest = self.record.begun.unwrap_or(now).saturating_sub(self.membership_lag);
         let lag = self.membership_lag + self.extra_membership_lag;
         let mut view = self.membership.listed_servers(now.saturating_sub(lag).max(oldest));
@@ -56,7 +56,7 @@
         let now = attempt.sent_at;
         self.record.second(now).attempts += 1;
         self.record.note(now, Some(attempt.request), Some(attempt.server), || {
-            format!("{} asks, as {}", attempt.edge, attempt.attempt)
+            format!("{} sent attempt {}", attempt.edge, attempt.attempt)
         });
         self.checker.attempt_sent(attempt);
     }
@@ -76,7 +76,7 @@
                 Answer::Rejected => "rejected",
                 Answer::Failed => "failed",
             };
-            self.record.note(now, request, Some(server), || format!("answers: {kind}"));
+            self.record.note(now, request, Some(server), || format!("answered: {kind}"));
         }
         if let Some((version, attempt)) = config_version.zip(self.checker.attempt_at(reply_to)) {
             self.decisions.push(VersionedDecision {
@@ -110,6 +110,6 @@
 
     fn request_ended(&mut self, now: Duration, number: RequestNo, request: &Request, end: RequestEnd) {
         self.record.request_ended(now, request, end);
-        self.record.note(now, Some(number), None, || format!("over for its caller: {end:?}"));
+        self.record.note(now, Some(number), None, || format!("ended for its caller: {end:?}"));
     }
 }
--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! Begins and ends the faults of the timeline.
+//! Begins and ends the steps of the timeline, each of which injects a fault.
 
 use super::start::{PoolStart, StartConfig};
 use super::state::{KilledServer, TestCluster};
@@ -12,7 +12,7 @@
 use std::io;
 use std::time::Duration;
 
-/// A fault without an end lasts longer than any run.
+/// The duration of a fault without an end: longer than any run.
 const UNENDING: Duration = Duration::from_secs(86_400 * 30);
 
 /// Whether connections are accepted.
@@ -33,13 +33,13 @@
             process.request_shutdown();
         }
         server.draining = true;
-        // The injected violation: as if it had been asked long ago.
+        // The injected violation makes it look as if the server had been asked long ago.
         let asked_at = if injects { now.saturating_sub(self.scenario.fleet.drain_grace * 4) } else { now };
         self.testbed.checker.shutdown_requested(asked_at, number, server.incarnation);
         self.testbed.record.note(now, None, Some(number), || "asked to shut down".to_string());
     }
 
-    /// Pauses a server's process. What happens to its requests until `until` is the test cluster's doing.
+    /// Pauses a server's process. Until `until`, the checker excuses what happens to its requests.
     pub(super) fn pause(&mut self, now: Duration, number: ServerNo, until: Duration) {
         self.testbed.checker.add_fault_span(number, now, until);
         let server = self.server(number);
@@ -56,7 +56,7 @@
             if let Some(process) = &server.process {
                 process.resume();
             }
-            self.testbed.record.note(now, None, Some(number), || "continued".to_string());
+            self.testbed.record.note(now, None, Some(number), || "resumed".to_string());
         }
     }
 
@@ -76,7 +76,7 @@
         let seconds = |at: Duration| at.saturating_sub(begun).as_secs_f64();
         let target = if step.fault.is_shared() { String::new() } else { format!(" {number}") };
         self.faults.push((seconds(now), seconds(until), format!("{}{target}", step.word)));
-        self.testbed.record.note(now, None, Some(number), || format!("begins: {}", step.word));
+        self.testbed.record.note(now, None, Some(number), || format!("step begins: {}", step.word));
         if step.lasts.is_some() {
             self.testbed.set_timer(until, Timer::EndStep(index, number));
         }
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Begins a fault of a server's process. What happens to its requests until `until` is the test cluster's doing.
+    /// Begins a fault of a server's process. If the fault kills or pauses the process, the checker excuses what happens
+    /// to its requests until `until`.
     fn begin_process_fault(
         &mut self,
         now: Duration,
@@ -125,7 +126,7 @@
             Fault::Kill | Fault::InvalidStart => {
                 self.testbed.checker.add_fault_span(number, now, until);
                 self.kill(number);
-                self.just_killed.push(KilledServer { server: number, at: now });
+                self.killed_this_iteration.push(KilledServer { server: number, at: now });
                 if *fault == Fault::InvalidStart {
                     self.start_server(number, PoolStart::Cold, StartConfig::Invalid)?;
                     self.server(number).killed = true;
@@ -170,7 +171,8 @@
         });
     }
 
-    /// Begins a fault of what all servers share.
+    /// Begins a fault of something that all servers share: the index, the membership service, the edge nodes, the
+    /// arrivals or the versioned configuration.
     fn begin_shared_fault(&mut self, now: Duration, index: usize) -> io::Result<()> {
         match &self.scenario.timeline[index].fault {
             Fault::Index(state) => {
@@ -196,7 +198,7 @@
             Fault::Publish(_) => self.publish_next(now, index),
             Fault::Withdraw => self.store_versions(now, Vec::new()),
             Fault::StoreCorruptConfig(corruption) => self.store_corrupted(now, *corruption),
-            Fault::StoreGenesis => self.store_genesis(now)?,
+            Fault::StoreGenesis => self.store_initial_version(now)?,
             _ => {}
         }
         Ok(())
@@ -214,7 +216,7 @@
     /// Ends a step of the timeline for a server.
     pub(super) fn end_step(&mut self, now: Duration, index: usize, number: ServerNo) -> io::Result<()> {
         let step = &self.scenario.timeline[index];
-        self.testbed.record.note(now, None, Some(number), || format!("ends: {}", step.word));
+        self.testbed.record.note(now, None, Some(number), || format!("step ends: {}", step.word));
         match &step.fault {
             Fault::Kill | Fault::InvalidStart => {
                 self.start_server(number, PoolStart::Cold, StartConfig::Valid)?;
@@ -245,7 +247,7 @@
                     self.index.empty_caches();
                     self.set_all_accept(RemoteEndpoint::Index, Accepts::Yes)?;
                 }
-                // Calls that hang are never answered.
+                // Calls that came while the index hung or was dead would never be answered.
                 self.reset_index_calls(now);
             }
             Fault::MembershipService(_) => {
@@ -275,7 +277,7 @@
         }
         let none = |corruption: Option<&Corruption>| corruption.map(|_| Corruption::default());
         self.testbed.set_corruption(now, link, none(to_process), none(from_process));
-        // Lost and changed bytes do not come again, so these connections end with the fault.
+        // Lost and changed bytes are not sent again, so these connections are reset when the fault ends.
         let loses_bytes = |corruption: &Corruption| {
             corruption.silent_after_bytes.is_some() || corruption.bit_flip_probability > 0.0
         };
@@ -292,10 +294,10 @@
         }
     }
 
-    /// The worker pool's process ends, with all runs.
+    /// Ends a worker pool with all its runs, as a crash of its process does.
     pub(super) fn remove_pool(&mut self, now: Duration, number: ServerNo) {
         let server = &self.servers[number.0 as usize];
-        self.testbed.sockets.close_listener(server.ports[&RemoteEndpoint::WorkerPool]);
+        self.testbed.sockets.close_listener(server.listeners[&RemoteEndpoint::WorkerPool]);
         if let Some(link) = server.link {
             self.reset_connection(now, link);
         }
@@ -305,13 +307,13 @@
         (server.pool, server.run_seconds) = (pool, 0.0);
     }
 
-    /// A cold worker pool starts in place of one that has ended.
+    /// Starts a cold worker pool in place of one that has ended.
     pub(super) fn start_cold_pool(&mut self, now: Duration, number: ServerNo) -> io::Result<()> {
         let pool = self.new_pool(now, true, Duration::ZERO);
         let server = self.server(number);
         (server.pool, server.run_seconds) = (pool, 0.0);
-        let port = server.ports[&RemoteEndpoint::WorkerPool];
-        self.testbed.sockets.reopen_listener(port)
+        let listener = server.listeners[&RemoteEndpoint::WorkerPool];
+        self.testbed.sockets.reopen_listener(listener)
     }
 
     /// Resets the link to a worker pool, and sets the timer for the next reset.
@@ -329,9 +331,9 @@
         self.testbed.set_timer(now + interval, Timer::ResetPoolLink(index, number));
     }
 
-    /// Sets whether a server's connections to a stub service, or those of edge nodes to it, are accepted.
+    /// Sets whether connections from a server to a stub service, or from edge nodes to the server, are accepted.
     fn set_accepts(&mut self, number: ServerNo, remote: RemoteEndpoint, accepts: Accepts) -> io::Result<()> {
-        let Some(&port) = self.server(number).ports.get(&remote) else {
+        let Some(&listener) = self.server(number).listeners.get(&remote) else {
             match accepts {
                 Accepts::Yes => self.testbed.unreachable.remove(&number),
                 Accepts::No => self.testbed.unreachable.insert(number),
@@ -339,9 +341,9 @@
             return Ok(());
         };
         match accepts {
-            Accepts::Yes => self.testbed.sockets.reopen_listener(port),
+            Accepts::Yes => self.testbed.sockets.reopen_listener(listener),
             Accepts::No => {
-                self.testbed.sockets.close_listener(port);
+                self.testbed.sockets.close_listener(listener);
                 Ok(())
             }
         }
--- a/crates/aldercrank-test-cluster/src/cluster/finish.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/finish.rs
@@ -1,4 +1,4 @@
-//! The outcome of a run, and its record on disk.
+//! The end of a run: its outcome, and its record on disk.
 
 use super::state::TestCluster;
 use crate::invariant_checker::Rule;
@@ -12,11 +12,11 @@
 
 /// The share of its final level at which the value counts as steady.
 const STEADY_SHARE: f64 = 0.9;
-/// Seconds with fewer completed attempts a server do not show whether one server has more than others.
+/// Seconds with fewer completed attempts per server, on average, do not show whether one server gets more than others.
 const MIN_MEAN_COMPLETED: f64 = 20.0;
 
 impl TestCluster<'_> {
-    /// Finishes the checks of a run, and writes its record where that is kept.
+    /// Finishes the checks of a run, and writes its record if it is kept.
     pub(super) fn finish(&mut self) -> io::Result<Outcome> {
         let now = self.now();
         self.check_decisions();
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Reports the violations of the version checker, and gives its figures.
+    /// Reports the violations that the version checker found, and returns its figures.
     fn finish_versions(&mut self) -> Option<Figures> {
         let versions = self.versions.as_mut()?;
         for violation in std::mem::take(&mut versions.checker.violations) {
@@ -79,14 +79,14 @@
         Some(figures)
     }
 
-    /// The soonest that all servers could be listed and seen by edge nodes, and the index warm, in seconds.
+    /// The shortest time, in seconds, after which all servers can be listed and seen by edge nodes, and the index warm.
     fn least_steady_seconds(&self) -> f64 {
         let (scenario, index) = (self.scenario, &self.scenario.index);
         let listed = scenario.fleet.servers as f64 / scenario.membership_capacity
             + scenario.callers.membership_lag.as_secs_f64();
         let mean_call = index.call_duration.as_secs_f64() * (1.0 + index.cold_slowdown) / 2.0;
         let warm_by_slots = f64::from(index.warming) * mean_call / index.slots;
-        // It warms no sooner than calls come.
+        // The index warms no faster than calls arrive.
         let calls_per_request: f64 =
             scenario.classes.iter().map(|class| class.share * class.call_probability).sum();
         let calls_per_second = calls_per_request * scenario.callers.rate;
--- a/crates/aldercrank-test-cluster/src/cluster/genesis.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/genesis.rs
@@ -1,4 +1,4 @@
-//! The versions of a run's versioned configuration: the one that the cluster starts with, and changes of it.
+//! Creates the versions of a run's versioned configuration: the initial one, and changes of it.
 
 use crate::ids::ServerNo;
 use crate::invariant_checker::Effect;
@@ -8,21 +8,21 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Assignments that make no version.
+/// Why assignments do not give a version.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AssignmentError {
     /// Not of the form `ITEM=VALUE`.
-    #[error("{0} is no ITEM=VALUE")]
-    NoAssignment(String),
-    /// The item is not of the form `CLASS.ITEM`.
-    #[error("{0} is no PRODUCT.ITEM, shares.ZONE or limits.ITEM")]
-    NoItem(String),
+    #[error("{0} is not of the form ITEM=VALUE")]
+    MalformedAssignment(String),
+    /// The item is not of the form `CLASS.ITEM`, `shares.ZONE` or `limits.ITEM`.
+    #[error("{0} is not of the form PRODUCT.ITEM, shares.ZONE or limits.ITEM")]
+    MalformedItem(String),
     /// The version with these items is invalid.
     #[error("{0}")]
     Invalid(String),
 }
 
-fn effect_word(effect: Effect) -> &'static str {
+fn effect_name(effect: Effect) -> &'static str {
     match effect {
         Effect::Idempotent => "inquiry-like",
         Effect::Keyed => "referenced",
@@ -30,8 +30,8 @@
     }
 }
 
-/// The version that the cluster starts with. `addresses` are where the servers listen.
-pub(super) fn genesis(
+/// The version that the cluster starts with. `addresses` are the listen addresses of the servers.
+pub(super) fn initial_version(
     scenario: &Scenario,
     settings: &VersionedConfigSettings,
     addresses: &[SocketAddr],
@@ -45,7 +45,7 @@
     }
     text += "}\n";
     for class in &scenario.classes {
-        let (effect, window) = (effect_word(class.effect), class.dedup_window.as_millis());
+        let (effect, window) = (effect_name(class.effect), class.dedup_window.as_millis());
         text += &format!(
             "product {:?} {{ effect \"{effect}\"; window-ms {window}; offered #true }}\n",
             class.name
@@ -73,9 +73,9 @@
     for assignment in assignments.split_whitespace() {
         let (item, value) = assignment
             .split_once('=')
-            .ok_or_else(|| AssignmentError::NoAssignment(assignment.to_string()))?;
+            .ok_or_else(|| AssignmentError::MalformedAssignment(assignment.to_string()))?;
         let (section, name) =
-            item.split_once('.').ok_or_else(|| AssignmentError::NoItem(item.to_string()))?;
+            item.split_once('.').ok_or_else(|| AssignmentError::MalformedItem(item.to_string()))?;
         let path = match section {
             "shares" => ItemPath::new("shares", "", name),
             "limits" => ItemPath::new("limits", "", name),
--- a/crates/aldercrank-test-cluster/src/cluster/mod.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Plays a scenario: starts the processes, provides the stub services around them, injects the faults of the timeline,
-//! and checks the invariants. One thread, one wait, one clock.
+//! Runs a scenario: starts the processes, provides the stub services around them, injects the faults of the timeline,
+//! and checks the invariants. All of this happens on one thread, in one event loop with one clock.
 
 mod config_versions;
 mod connections;
--- a/crates/aldercrank-test-cluster/src/cluster/pool_host.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/pool_host.rs
@@ -1,4 +1,4 @@
-//! Connects a server's worker pool with the scenario, the checker and the record.
+//! The host of a server's worker pool: plans its runs by the scenario, and reports them to the checker and the record.
 
 use super::state::TestCluster;
 use crate::ids::{ClassNo, Incarnation, RequestNo, ServerNo};
@@ -20,7 +20,7 @@
     failing_share: f64,
     call_results: &'a mut HashMap<AttemptId, Vec<u8>>,
     now: Duration,
-    /// The next run of a request with an idempotency key is reported twice, as an injected violation.
+    /// Whether the next run of a request with an idempotency key is reported twice, as an injected violation.
     report_twice: bool,
 }
 
@@ -28,7 +28,7 @@
 struct RequestWork {
     work: Duration,
     makes_call: bool,
-    /// From 0 to 1; it fails where this is less than the share of failing runs.
+    /// From 0 to 1; the run fails if this is less than the share of failing runs.
     failure_rank: f64,
 }
 
@@ -63,7 +63,7 @@
         let sent = self.testbed.checker.attempt(attempt);
         let sent = sent.map(|sent| (sent.request, sent.class, sent.idempotency_key));
         self.testbed.record.note(now, sent.map(|(request, _, _)| request), Some(server), || {
-            format!("asked to run {attempt}, known: {known}")
+            format!("started a run of {attempt}, known attempt: {known}")
         });
         let (request, class_no, idempotency_key) = sent.filter(|_| known)?;
         if idempotency_key.is_some() && std::mem::take(&mut self.report_twice) {
@@ -79,7 +79,7 @@
 
     fn call_result_delivered(&mut self, attempt: AttemptId, reply: &[u8]) {
         if reply != index_result(&attempt.to_string()) {
-            let what = "a run was given the result of another call, or a changed one";
+            let what = "a run was given the result of another call, or an altered result";
             let server = Some(self.server);
             self.testbed.checker.record_violation(self.now, Rule::Mixed, Some(attempt), server, what);
         }
@@ -91,7 +91,7 @@
         self.testbed.checker.run_ended(attempt, end);
         let sent = self.testbed.checker.attempt(attempt).map(|sent| (sent.request, sent.class));
         self.testbed.record.note(self.now, sent.map(|(request, _)| request), Some(self.server), || {
-            format!("the run of {attempt} ended: {end:?}")
+            format!("run of {attempt} ended: {end:?}")
         });
         let needed_call =
             || sent.is_some_and(|(request, class)| self.request_work(request, class).makes_call);
--- a/crates/aldercrank-test-cluster/src/cluster/prepare.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/prepare.rs
@@ -20,32 +20,33 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// Descriptors of one server at the test cluster: three listeners, its pool link, its calls and reports.
+/// Descriptors that the test cluster needs per server: three listeners, the link to its pool, its calls and reports.
 const DESCRIPTORS_PER_SERVER: u64 = 3 + 1 + 3;
-/// Descriptors for files and the event set.
+/// Descriptors for files and the epoll set.
 const SPARE_DESCRIPTORS: u64 = 32;
 
-/// The loopback addresses of one run. They differ, since on one address a port that was found free for a server could
-/// be given to a listener of the test cluster before the server is started.
+/// The loopback addresses of one run. The test cluster and the servers do not share one, since a port that was found
+/// free for a server could then be assigned to a listener of the test cluster before the server is started.
 struct RunAddresses {
     cluster: String,
     servers: String,
 }
 
 impl RunAddresses {
-    /// Two addresses that no other test cluster on this machine uses.
+    /// Two addresses that no other test cluster on this machine uses, as long as their process ids differ modulo
+    /// 25,000.
     fn next() -> RunAddresses {
         static RUNS: AtomicU32 = AtomicU32::new(1);
         let run = RUNS.fetch_add(1, Ordering::Relaxed) % 250 + 1;
-        // 25,000 process ids fit into each half of the loopback network, from 127.20 and from 127.130 on.
+        // 25,000 process ids fit into each of the two ranges of the loopback network, from 127.20 and from 127.130 on.
         let pid = std::process::id() % 25_000;
-        let address = |half: u32| format!("127.{}.{}.{run}", half + pid / 250, 1 + pid % 250);
+        let address = |range_start: u32| format!("127.{}.{}.{run}", range_start + pid / 250, 1 + pid % 250);
         RunAddresses { cluster: address(20), servers: address(130) }
     }
 }
 
-/// Binds a free port without listening. A child that another thread starts inherits what is open here for a moment,
-/// and a listener in it would keep the server from listening.
+/// Binds a free port without listening. A child process that another thread starts at this moment inherits the socket;
+/// if it listened, it would keep the server from listening.
 fn reserve_port(ip: &str) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -55,7 +56,10 @@
 }
 
 fn local_address(socket: &Socket) -> io::Result<SocketAddr> {
-    socket.local_addr()?.as_socket().ok_or_else(|| io::Error::other("no address of IPv4"))
+    socket
+        .local_addr()?
+        .as_socket()
+        .ok_or_else(|| io::Error::other("the reserved socket has no IPv4 address"))
 }
 
 /// Fails if this process may not open as many descriptors as the scenario needs.
@@ -68,16 +72,16 @@
     let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX);
     if needed > allowed {
         return Err(io::Error::other(format!(
-            "{servers} servers and {} edge nodes may need {needed} descriptors, and {allowed} are allowed: fewer of \
-             either, fewer connections, or a higher limit (ulimit -n)",
+            "{servers} servers and {} edge nodes may need {needed} file descriptors, but the limit is {allowed}: use \
+             fewer servers, edge nodes or connections, or raise the limit (ulimit -n)",
             callers.edges
         )));
     }
     Ok(())
 }
 
-/// A class as the invariant checker sees it: where published versions change its effect or window, the mildest of
-/// them. The version checker goes by the version of each run.
+/// A class as the invariant checker sees it. If published versions change its effect or deduplication window, it gets
+/// the least strict value; the version checker applies the values of the version by which each run was decided.
 fn checked_class(scenario: &Scenario, class: &RequestClass) -> CheckedClass {
     let published = scenario.timeline.iter().filter_map(|step| match &step.fault {
         Fault::Publish(publication) => Some(&publication.items),
@@ -96,7 +100,7 @@
     CheckedClass { name: class.name.clone(), effect, dedup_window }
 }
 
-fn callers_class(class: &RequestClass) -> edge_nodes::RequestClass {
+fn edge_node_class(class: &RequestClass) -> edge_nodes::RequestClass {
     edge_nodes::RequestClass {
         name: class.name.clone(),
         effect: class.effect,
@@ -113,7 +117,7 @@
 fn new_testbed(
     scenario: &Scenario,
     classes: Vec<edge_nodes::RequestClass>,
-    keeps_trace: bool,
+    records_trace: bool,
 ) -> io::Result<Testbed> {
     let settings = CheckerSettings {
         classes: scenario.classes.iter().map(|class| checked_class(scenario, class)).collect(),
@@ -123,7 +127,7 @@
     };
     Testbed::new(
         InvariantChecker::new(settings),
-        RunRecord::new(classes, keeps_trace),
+        RunRecord::new(classes, records_trace),
         MembershipStub::new(scenario.membership_capacity),
         scenario.callers.membership_lag,
         scenario.fleet.servers,
@@ -136,7 +140,7 @@
     pub(super) fn prepare(scenario: &'a Scenario, options: &'a RunOptions) -> io::Result<TestCluster<'a>> {
         check_descriptor_limit(scenario)?;
         let addresses = RunAddresses::next();
-        let classes: Vec<edge_nodes::RequestClass> = scenario.classes.iter().map(callers_class).collect();
+        let classes: Vec<edge_nodes::RequestClass> = scenario.classes.iter().map(edge_node_class).collect();
         let testbed = new_testbed(scenario, classes.clone(), options.keep)?;
         let callers = &scenario.callers;
         let edges = EdgeNodes::new(
@@ -161,15 +165,15 @@
             index_call_seconds: 0.0,
             callers_active: false,
             is_over: false,
-            turn_overrun: Duration::ZERO,
+            iteration_overrun: Duration::ZERO,
             totals: RunTotals::default(),
             faults: Vec::new(),
             violation_injected: false,
-            just_killed: Vec::new(),
+            killed_this_iteration: Vec::new(),
             listen_ip: addresses.cluster,
             versions: None,
         };
-        // All ports stay reserved until all are found, so that no two are the same.
+        // All ports stay reserved until each server has one, so that no two are the same.
         let reserved: Vec<Socket> = (0..scenario.fleet.servers)
             .map(|_| reserve_port(&addresses.servers))
             .collect::<io::Result<_>>()?;
@@ -183,7 +187,7 @@
 
     fn listen_for(&mut self, server: ServerNo, remote: RemoteEndpoint) -> io::Result<OpenListener> {
         let listener = self.testbed.sockets.listen(&self.listen_ip)?;
-        self.testbed.ports.insert(listener.port, LinkId { server, remote });
+        self.testbed.listener_links.insert(listener.id, LinkId { server, remote });
         Ok(listener)
     }
 
@@ -203,10 +207,10 @@
             process: None,
             pool: self.new_pool(Duration::ZERO, self.scenario.fleet.starts_cold, Duration::ZERO),
             link: None,
-            ports: BTreeMap::from([
-                (RemoteEndpoint::WorkerPool, pool.port),
-                (RemoteEndpoint::Index, index.port),
-                (RemoteEndpoint::MembershipService, membership.port),
+            listeners: BTreeMap::from([
+                (RemoteEndpoint::WorkerPool, pool.id),
+                (RemoteEndpoint::Index, index.id),
+                (RemoteEndpoint::MembershipService, membership.id),
             ]),
             incarnation: Incarnation(0),
             draining: false,
@@ -220,7 +224,7 @@
         })
     }
 
-    /// A worker pool of the scenario's cores.
+    /// A worker pool with the cores that the scenario gives each server.
     pub(super) fn new_pool(&self, now: Duration, cold: bool, start_delay: Duration) -> WorkerPoolStub {
         let fleet = &self.scenario.fleet;
         let warm_up = fleet.warm_up.mul_f64(fleet.warm_up_factor);
--- a/crates/aldercrank-test-cluster/src/cluster/run.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/run.rs
@@ -1,4 +1,4 @@
-//! The course of a run: its phases, and the turns in which events and timers are handled.
+//! The phases of a run, and its event loop.
 
 use super::start::{PoolStart, StartConfig};
 use super::state::{KilledServer, RunOptions, TestCluster};
@@ -17,22 +17,23 @@
 pub(super) const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// How often limits are checked.
 pub(super) const LIMITS_INTERVAL: Duration = Duration::from_secs(1);
-/// A process that was started at the end of the run has so long to link to its pool before it is asked to shut down.
+/// How long a process that was started at the end of the run may take to link to its pool before it is asked to shut
+/// down.
 const LATE_START_ALLOWANCE: Duration = Duration::from_secs(2);
-/// The load on the membership service counts separately from this time after the callers began.
+/// The load on the membership service is also counted separately from this time after the callers began.
 const STABILIZATION_TIME: Duration = Duration::from_secs(5);
-/// After the last arrival, open requests may take so much longer than the longest deadline.
+/// How much longer than the longest deadline the run waits for open requests after the last arrival.
 const FINAL_ALLOWANCE: Duration = Duration::from_secs(2);
-/// Beyond the scenario's stop timeout, processes are killed after this.
+/// How long after the scenario's stop timeout processes that have not exited are killed.
 const KILL_ALLOWANCE: Duration = Duration::from_secs(3);
-/// What a turn takes beyond this counts as scheduling delay of the test cluster.
-const TURN_ALLOWANCE: Duration = Duration::from_millis(5);
+/// The time by which an iteration of the event loop exceeds this counts as scheduling delay of the test cluster.
+const ITERATION_ALLOWANCE: Duration = Duration::from_millis(5);
 
 impl<'a> TestCluster<'a> {
-    /// Plays a scenario. No process is left running, whatever the result.
+    /// Runs a scenario. No process is left running, whatever the result.
     ///
     /// # Errors
-    /// If the run can't be played: files, sockets or descriptors fail, or the servers do not start.
+    /// If files or sockets fail, this process has too few descriptors, or the servers do not start.
     pub fn play(scenario: &'a Scenario, options: &'a RunOptions) -> io::Result<Outcome> {
         std::fs::create_dir_all(&options.dir)?;
         let outcome = TestCluster::prepare(scenario, options).and_then(|mut cluster| {
@@ -58,23 +59,24 @@
         self.testbed.set_timer(now + LIMITS_INTERVAL, Timer::CheckLimits);
     }
 
-    /// Lets requests arrive and plays the timeline until the scenario's span is over and all requests have ended.
+    /// Runs the callers and the timeline until the scenario's span is over and all requests have ended.
     fn run(&mut self) -> io::Result<()> {
         let cluster_cpu = process::own_cpu_time().ran;
         let servers_cpu = self.servers_cpu_time();
-        // Edge nodes see the membership late, and begin with those servers that are listed.
+        // Edge nodes see the membership with this lag. Waiting for it lets them begin with the servers that are listed
+        // now.
         let lag =
             if self.scenario.from_start { Duration::ZERO } else { self.scenario.callers.membership_lag };
-        self.turn_until(self.now() + lag, |_| true)?;
+        self.run_until(self.now() + lag, |_| true)?;
         let began = self.now();
         self.begin_timeline(began);
         let end = began + self.scenario.span;
-        self.turn_until(end, |_| true)?;
+        self.run_until(end, |_| true)?;
         self.callers_active = false;
         self.totals.servers_cpu = self.servers_cpu_time().saturating_sub(servers_cpu);
         self.note_membership_load(began, end);
         let longest = self.scenario.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-        self.turn_until(end + longest + FINAL_ALLOWANCE, |cluster| {
+        self.run_until(end + longest + FINAL_ALLOWANCE, |cluster| {
             cluster.edges.open_requests() > 0 || cluster.testbed.checker.open_attempts() > 0
         })?;
         self.totals.cluster_cpu = process::own_cpu_time().ran.saturating_sub(cluster_cpu);
@@ -119,8 +121,8 @@
     /// Asks all servers to shut down; one that does not exit in time violates an invariant, and is killed.
     fn shut_down(&mut self) -> io::Result<()> {
         self.is_over = true;
-        // A process that was just started does not handle the request to shut down yet.
-        self.turn_until(self.now() + LATE_START_ALLOWANCE, |cluster| {
+        // A process that was just started does not handle SIGTERM yet.
+        self.run_until(self.now() + LATE_START_ALLOWANCE, |cluster| {
             cluster.servers.iter().any(|server| server.process.is_some() && server.link.is_none())
         })?;
         let now = self.now();
@@ -129,30 +131,30 @@
             self.server(number).restarts = false;
             self.request_shutdown(now, number);
         }
-        self.turn_until(now + self.scenario.fleet.stop_timeout + KILL_ALLOWANCE, |cluster| {
+        self.run_until(now + self.scenario.fleet.stop_timeout + KILL_ALLOWANCE, |cluster| {
             cluster.servers.iter().any(|server| server.process.is_some())
         })?;
         let now = self.now();
         for number in self.server_numbers() {
             if let Some(mut process) = self.server(number).process.take() {
                 process.kill();
-                let what = "it did not exit when it was asked to shut down";
+                let what = "the server did not exit in time after it was asked to shut down";
                 self.testbed.checker.record_violation(now, Rule::Drain, None, Some(number), what);
             }
         }
         Ok(())
     }
 
-    /// Takes turns until `end`, or until `goes_on` is false.
-    fn turn_until(&mut self, end: Duration, goes_on: impl Fn(&Self) -> bool) -> io::Result<()> {
-        while self.now() < end && goes_on(self) {
-            self.turn()?;
+    /// Runs the event loop until `end`, or until `keeps_running` returns false.
+    fn run_until(&mut self, end: Duration, keeps_running: impl Fn(&Self) -> bool) -> io::Result<()> {
+        while self.now() < end && keeps_running(self) {
+            self.run_iteration()?;
         }
         Ok(())
     }
 
-    /// Waits for the next events and timers, and handles them.
-    pub(super) fn turn(&mut self) -> io::Result<()> {
+    /// One iteration of the event loop: waits for the next events and timers, and handles them.
+    pub(super) fn run_iteration(&mut self) -> io::Result<()> {
         let now = self.now();
         let next_timer = self.testbed.next_timer();
         let wait = next_timer.map_or(SAMPLE_INTERVAL, |at| at.saturating_sub(now)).min(SAMPLE_INTERVAL);
@@ -160,13 +162,13 @@
         events.clear();
         self.testbed.sockets.wait(wait, &mut events)?;
         if self.testbed.sockets.out_of_descriptors {
-            // Nothing that is seen from here on would be the program's doing.
+            // What is observed from here on would not be caused by the program under test.
             return Err(io::Error::other(
                 "the test cluster itself is out of descriptors: raise its limit (ulimit -n)",
             ));
         }
         let began = self.now();
-        for KilledServer { server, at } in std::mem::take(&mut self.just_killed) {
+        for KilledServer { server, at } in std::mem::take(&mut self.killed_this_iteration) {
             self.testbed.checker.add_fault_span(server, at, began);
         }
         for event in events.drain(..) {
@@ -182,7 +184,7 @@
         }
         self.check_decisions();
         self.testbed.sockets.flush();
-        self.turn_overrun += self.now().saturating_sub(began).saturating_sub(TURN_ALLOWANCE);
+        self.iteration_overrun += self.now().saturating_sub(began).saturating_sub(ITERATION_ALLOWANCE);
         Ok(())
     }
 
@@ -230,7 +232,7 @@
         Ok(())
     }
 
-    /// A request arrives at a random edge node; sets the timer for the next.
+    /// Makes a request arrive at a random edge node, and sets the timer for the next arrival.
     fn request_arrives(&mut self, now: Duration) {
         if !self.callers_active {
             return;
--- a/crates/aldercrank-test-cluster/src/cluster/sample.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/sample.rs
@@ -1,4 +1,4 @@
-//! Observes processes and stub services from outside: exits, scheduling delay, limits, membership.
+//! Periodic observation of processes and stub services from outside: exits, scheduling delay, limits, membership.
 
 use super::run::LIMITS_INTERVAL;
 use super::state::TestCluster;
@@ -11,13 +11,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// From the exit of a process that was asked to shut down until it is started again.
+/// The time from the exit of a process that was asked to shut down until the server is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(100);
-/// The mean number of runs on a server's cores over one interval may exceed the limit of the rules by this factor.
+/// The mean number of runs on a server's cores over one interval may exceed the configured limit by this factor.
 const CROWDING_ALLOWANCE: f64 = 1.5;
 
 impl TestCluster<'_> {
-    /// Samples scheduling delay, collects exited processes, and notes who runs and is listed.
+    /// Samples scheduling delay, reaps exited processes, and records which servers run and which are listed.
     pub(super) fn sample_processes(&mut self, now: Duration) {
         self.sample_scheduling_delay(now);
         for number in self.server_numbers() {
@@ -42,7 +42,7 @@
             }
         }
         let servers = self.servers.iter().map(|server| server.waited).collect();
-        let cluster = process::own_cpu_time().waited + self.turn_overrun;
+        let cluster = process::own_cpu_time().waited + self.iteration_overrun;
         self.testbed.checker.scheduling_delay_sampled(now, cluster, servers);
     }
 
@@ -55,13 +55,13 @@
         let code = exit.code;
         let exit = ProcessExit { server: number, incarnation, code, killed };
         self.testbed.checker.process_exited(now, exit);
-        self.testbed.record.note(now, None, Some(number), || format!("ended with {code:?}"));
+        self.testbed.record.note(now, None, Some(number), || format!("process exited, code: {code:?}"));
         if restarts {
             self.testbed.set_timer(now + RESTART_DELAY, Timer::StartServer(number));
         }
     }
 
-    /// Notes the servers that are listed, and counts those that left the membership though they run.
+    /// Records the servers that are listed, and counts those that left the membership though they run.
     fn note_listed(&mut self, now: Duration, listed: Vec<ServerNo>) {
         if self.is_over {
             return;
@@ -102,7 +102,9 @@
         let new_run_seconds = run_seconds - std::mem::replace(&mut server.run_seconds, run_seconds);
         let limit = fleet.cores * (1.0 + (config::MAX_RUNS_PER_CORE - 1.0) * server.pool.warmth(now));
         if new_run_seconds > limit * LIMITS_INTERVAL.as_secs_f64() * CROWDING_ALLOWANCE {
-            let what = format!("{new_run_seconds:.1} runs on its cores on average, over {limit:.1}");
+            let what = format!(
+                "{new_run_seconds:.1} runs on the server's cores on average, the limit is {limit:.1}"
+            );
             self.testbed.checker.record_violation(now, Rule::Fall, None, Some(number), what);
         }
     }
@@ -114,11 +116,16 @@
         self.totals.descriptors = self.totals.descriptors.max(size.descriptors);
         let checker = &mut self.testbed.checker;
         if size.peak_memory_kb as f64 > fleet.process_memory_mb * 1000.0 {
-            let what = format!("{} KB of memory, over its limit", size.peak_memory_kb);
+            let limit_mb = fleet.process_memory_mb;
+            let what =
+                format!("the server used {} KB of memory, its limit is {limit_mb} MB", size.peak_memory_kb);
             checker.record_violation(now, Rule::Fall, None, Some(number), what);
         }
         if size.descriptors > fleet.max_sockets {
-            let what = format!("{} descriptors, over its limit", size.descriptors);
+            let what = format!(
+                "the server had {} descriptors open, its limit is {}",
+                size.descriptors, fleet.max_sockets
+            );
             checker.record_violation(now, Rule::Fall, None, Some(number), what);
         }
     }
@@ -135,7 +142,7 @@
         let limit = if injects { 0.0 } else { self.index.settings().limit };
         if mean > limit {
             self.violation_injected |= injects;
-            let what = format!("{mean:.1} outstanding calls at the index on average, over {limit}");
+            let what = format!("{mean:.1} outstanding calls at the index on average, the limit is {limit}");
             self.testbed.checker.record_violation(now, Rule::Fall, None, None, what);
         }
     }
@@ -147,7 +154,7 @@
         let (sought, got): (f64, f64) = (second.sought.iter().sum(), second.got.iter().sum());
         let ends: Vec<String> = second.ends.iter().map(|(end, count)| format!("{end:?} {count}")).collect();
         eprintln!(
-            "{elapsed:>4} s  value {:.2}  up {} listed {}  reports {}  index {:.1}  broken {}  {}",
+            "{elapsed:>4} s  value {:.2}  up {} listed {}  reports {}  index calls {:.1}  violations {}  {}",
             if sought > 0.0 { got / sought } else { 1.0 },
             second.up,
             second.listed,
--- a/crates/aldercrank-test-cluster/src/cluster/signals.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/signals.rs
@@ -1,5 +1,5 @@
-//! Series of signals to a server's process, the requests that are written in the instants at which a shutdown enters
-//! its next phase, and the kill at the stop timeout.
+//! Series of signals to a server's process, the bursts of requests around the instants at which its shutdown enters the
+//! next phase, and the kill at the stop timeout.
 
 use super::start::{PoolStart, StartConfig};
 use super::state::{KilledServer, TestCluster};
@@ -10,18 +10,19 @@
 use std::io;
 use std::time::Duration;
 
-/// Shares of the stop timeout at which a server stops reading requests, and at which it exits at the latest.
+/// The shares of the stop timeout at which a server stops reading requests, and by which it exits at the latest.
 const PHASES_OF_STOP_TIMEOUT: [f64; 2] = [0.9, 0.95];
-/// Requests are written in so many steps before and after each instant.
+/// The number of bursts before each instant, and after it; one more comes at the instant itself.
 const BURST_STEPS: i32 = 3;
-/// Time between two of these steps.
+/// The time between two bursts.
 const BURST_STEP: Duration = Duration::from_millis(1);
-/// A server that exits by itself does so this share of the stop timeout before its end. One that waited for a core
-/// for longer than that may be alive then.
+/// A server that exits by itself does so this share of the stop timeout before its end. One that is still alive at the
+/// end is excused if it waited for a core for at least that long.
 const EXIT_MARGIN_OF_STOP_TIMEOUT: f64 = 0.05;
 
 impl TestCluster<'_> {
-    /// Sets the timers for the signals of a series, and for what follows its first SIGTERM.
+    /// Sets the timers for the signals of a series, and for the bursts of requests and the kill after its first
+    /// SIGTERM.
     pub(super) fn begin_signals(
         &mut self,
         now: Duration,
@@ -70,12 +71,12 @@
             return Ok(());
         }
         let signal = series.signals[index];
-        self.testbed.record.note(now, None, Some(number), || format!("is sent {signal:?}"));
+        self.testbed.record.note(now, None, Some(number), || format!("sent signal: {signal:?}"));
         match signal {
             ProcessSignal::Reload => self.reload(number, StartConfig::Valid)?,
             ProcessSignal::ReloadInvalid => self.reload(number, StartConfig::Invalid)?,
             ProcessSignal::Terminate => {
-                // A paused process gets it as it resumes, and its grace period begins then.
+                // A paused process gets the signal when it resumes, and its grace period begins then.
                 let delivered_after = series.terminates_after().unwrap_or_default();
                 let delay = delivered_after.saturating_sub(series.sent_after(index));
                 self.terminate(now + delay, number);
@@ -96,7 +97,7 @@
         Ok(())
     }
 
-    /// Sends SIGTERM, also to a process that has been sent it before.
+    /// Sends SIGTERM, even to a process that was sent it before.
     fn terminate(&mut self, now: Duration, number: ServerNo) {
         self.server(number).restarts = true;
         if !self.server(number).draining {
@@ -136,12 +137,12 @@
         let checker = &mut self.testbed.checker;
         let waited = checker.scheduling_delay.between(number, now.saturating_sub(stop_timeout), now);
         if waited < stop_timeout.mul_f64(EXIT_MARGIN_OF_STOP_TIMEOUT) {
-            let what = "still running when it was killed at its stop timeout";
+            let what = "the server was still running at its stop timeout, and was killed";
             checker.record_violation(now, Rule::Drain, None, Some(number), what);
         }
         checker.add_fault_span(number, now.saturating_sub(stop_timeout), now);
         self.kill(number);
-        self.just_killed.push(KilledServer { server: number, at: now });
+        self.killed_this_iteration.push(KilledServer { server: number, at: now });
         self.server(number).restarts = false;
         self.start_server(number, PoolStart::Cold, StartConfig::Valid)
     }
--- a/crates/aldercrank-test-cluster/src/cluster/start.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/start.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// All servers must be listed by then, however slow their machine is made.
+/// The time within which all servers must be listed, however slow the machine is.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The state of the worker pool at a server's start.
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartConfig {
     Valid,
-    /// Its listen address makes no sense.
+    /// Its listen address is invalid.
     Invalid,
 }
 
@@ -69,7 +69,7 @@
             args.extend(["--service", service_file]);
         }
         if self.options.keep {
-            // `why` of the testbench reads these logs.
+            // `aldercrank-testbench why` reads these logs.
             args.extend(["--json-log", "--log-txns"]);
         }
         let process = Process::start(&self.options.program, &args, &log)?;
@@ -103,11 +103,11 @@
     /// Waits until all servers are listed and linked to their pools.
     ///
     /// # Errors
-    /// If a server violates an invariant before, or the start takes too long.
+    /// If a server violates an invariant before that, or the start takes longer than `START_TIMEOUT`.
     pub(super) fn await_start(&mut self) -> io::Result<()> {
         self.start_sampling();
         loop {
-            self.turn()?;
+            self.run_iteration()?;
             let now = self.now();
             let is_ready = |n: usize, server: &ServerState| {
                 server.link.is_some() && self.testbed.membership.is_listed(ServerNo(n as u16), now)
@@ -121,13 +121,13 @@
                 let log = std::fs::read_to_string(self.options.dir.join(format!("{server}.1.log")));
                 let last_line = log.unwrap_or_default().lines().last().unwrap_or_default().to_string();
                 return Err(io::Error::other(format!(
-                    "{server} did not start: {}; it said: {last_line}",
+                    "{server} did not start: {}; last line of its log: {last_line}",
                     violation.what
                 )));
             }
             if now > START_TIMEOUT {
                 return Err(io::Error::other(format!(
-                    "the fleet is not listed whole after {START_TIMEOUT:?}"
+                    "not all servers were listed and linked to their pools within {START_TIMEOUT:?}"
                 )));
             }
         }
--- a/crates/aldercrank-test-cluster/src/cluster/state.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/state.rs
@@ -9,7 +9,7 @@
 use crate::random::RandomStream;
 use crate::run_record::MembershipLoad;
 use crate::scenario::{Scenario, VersionedConfigSettings};
-use crate::sockets::PortNo;
+use crate::sockets::ListenerId;
 use crate::testbed::{RelayId, Testbed};
 use crate::version_checker::VersionChecker;
 use crate::worker_pool_stub::WorkerPoolStub;
@@ -20,7 +20,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How a run is played.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
     /// The program under test.
@@ -29,7 +29,7 @@
     pub dir: PathBuf,
     /// Keeps `dir`, and records a trace in it.
     pub keep: bool,
-    /// Writes a line of figures a second to standard error.
+    /// Writes a line of figures to standard error each second.
     pub verbose: bool,
 }
 
@@ -41,31 +41,33 @@
     pub(super) edges: EdgeNodes,
     pub(super) servers: Vec<ServerState>,
     pub(super) index: IndexStub,
-    /// Received bytes that are no complete message yet, of connections to stub services.
+    /// Bytes received on connections to stub services that are not a complete message yet.
     pub(super) inputs: HashMap<ConnNo, Vec<u8>>,
     pub(super) arrivals: RandomStream,
-    /// Requests a second.
+    /// Requests per second.
     pub(super) arrival_rate: f64,
-    /// When the next request is due. Arrivals keep to their own schedule, however late a turn is.
+    /// When the next request is due. Arrivals follow their own schedule, however late an iteration of the event loop
+    /// is.
     pub(super) next_arrival: Duration,
     pub(super) started: Instant,
     /// The index's open call seconds at the last sample.
     pub(super) index_call_seconds: f64,
-    /// Requests arrive.
+    /// Whether requests arrive.
     pub(super) callers_active: bool,
-    /// The run is over: nothing is started any more.
+    /// Whether the run is over, so that no process is started any more.
     pub(super) is_over: bool,
-    /// How much longer than `TURN_ALLOWANCE` the turns so far took, in all.
-    pub(super) turn_overrun: Duration,
+    /// How much longer than `ITERATION_ALLOWANCE` the iterations of the event loop took, summed over the run.
+    pub(super) iteration_overrun: Duration,
     pub(super) totals: RunTotals,
-    /// The steps that have begun: from, until (in seconds since the callers began), and text.
+    /// The steps of the timeline that have begun: their begin and end in seconds since the callers began, and their
+    /// text.
     pub(super) faults: Vec<(f64, f64, String)>,
-    /// The scenario's injected violation has happened.
+    /// Whether the scenario's injected violation has happened.
     pub(super) violation_injected: bool,
-    /// Servers that were killed in this turn. What is sent to them until the ends of their connections are read is
-    /// lost.
-    pub(super) just_killed: Vec<KilledServer>,
-    /// Where the test cluster listens.
+    /// Servers that were killed in this iteration of the event loop. What is sent to them before the ends of their
+    /// connections are read is lost.
+    pub(super) killed_this_iteration: Vec<KilledServer>,
+    /// The IP address on which the test cluster listens.
     pub(super) listen_ip: String,
     /// The versioned configuration, where the scenario has one.
     pub(super) versions: Option<ConfigVersions>,
@@ -85,15 +87,15 @@
     /// The server's current link to its pool.
     pub(super) link: Option<ConnNo>,
     /// The listeners of the stub services for this server.
-    pub(super) ports: BTreeMap<RemoteEndpoint, PortNo>,
+    pub(super) listeners: BTreeMap<RemoteEndpoint, ListenerId>,
     pub(super) incarnation: Incarnation,
-    /// It was asked to shut down.
+    /// Whether it was asked to shut down.
     pub(super) draining: bool,
-    /// The test cluster killed it.
+    /// Whether the test cluster killed it.
     pub(super) killed: bool,
-    /// It is paused by SIGSTOP.
+    /// Whether it is paused by SIGSTOP.
     pub(super) paused: bool,
-    /// It is started again after its exit.
+    /// Whether it is started again after its exit.
     pub(super) restarts: bool,
     /// The share of its runs that fail.
     pub(super) failing_share: f64,
@@ -101,7 +103,7 @@
     pub(super) call_results: HashMap<AttemptId, Vec<u8>>,
     /// The pool's run seconds at the last check of limits.
     pub(super) run_seconds: f64,
-    /// What its process waited for a core so far.
+    /// How long its process has waited for a core so far.
     pub(super) waited: Duration,
 }
 
@@ -110,17 +112,17 @@
     pub(super) settings: VersionedConfigSettings,
     /// The newest version that was published.
     pub(super) newest: VersionedConfig,
-    /// The last version number that was given out.
+    /// The highest version number used so far.
     pub(super) last_number: u64,
     pub(super) store: ConfigStoreStub,
     pub(super) checker: VersionChecker,
     /// The other half of each relayed connection.
     pub(super) relay_partners: HashMap<ConnNo, ConnNo>,
-    /// Where a server reaches a committee member: the address of their relay.
+    /// The address of each relay, at which a server reaches a committee member.
     pub(super) relay_addresses: HashMap<RelayId, SocketAddr>,
     /// Messages between servers so far.
     pub(super) peer_messages: u64,
-    /// How many alternatives each step has published, by its index.
+    /// How many of its alternatives each step has taken so far, by the index of the step.
     pub(super) alternatives_used: HashMap<usize, usize>,
 }
 
@@ -130,7 +132,7 @@
     pub(super) peak_memory_kb: u64,
     pub(super) descriptors: usize,
     pub(super) starts: u32,
-    /// Until all servers were listed for the first time.
+    /// The time until all servers were listed and linked to their pools for the first time.
     pub(super) start_duration: Duration,
     pub(super) membership_load: MembershipLoad,
     /// The servers that are listed.
@@ -161,9 +163,10 @@
     }
 }
 
-/// A directory of its own for one run, in the system's directory for temporary files. It is not created.
-pub fn run_dir(word: &str) -> PathBuf {
+/// The path of a new directory for one run, in the system's directory for temporary files. The directory is not
+/// created.
+pub fn run_dir(label: &str) -> PathBuf {
     static RUNS: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(1);
     let run = RUNS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    std::env::temp_dir().join(format!("aldercrank-fleet-{}-{run}-{word}", std::process::id()))
+    std::env::temp_dir().join(format!("aldercrank-fleet-{}-{run}-{label}", std::process::id()))
 }
--- a/crates/aldercrank-test-cluster/src/cluster/stub_services.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/stub_services.rs
@@ -1,4 +1,4 @@
-//! Handles what servers send to the worker pool, the index and the membership service, and answers.
+//! Handles and answers what servers send to the worker pool, the index and the membership service.
 
 use super::pool_host::{index_call_body, index_result};
 use super::state::TestCluster;
@@ -10,9 +10,10 @@
 use aldercrank_protocol::{http, membership, worker_pool::AttemptId};
 use std::time::Duration;
 
-/// The bytes are no message of the protocol, or come on a link that was replaced; the connection must be closed.
+/// The bytes are not a valid message of the protocol, or came on a link that was replaced; the connection must be
+/// closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the connection to a stub service is to be closed")]
+#[error("invalid bytes, or bytes on a replaced link, at a stub service")]
 pub(super) struct CloseConnection;
 
 /// A complete HTTP request.
@@ -71,10 +72,10 @@
         let Some(HttpRequest { head, body }) = take_http_request(input)? else { return Ok(()) };
         let parent = head.parent.unwrap_or_default();
         let request = self.request_of(&parent);
-        self.testbed.record.note(now, request, Some(server), || format!("calls the index for {parent}"));
+        self.testbed.record.note(now, request, Some(server), || format!("called the index for {parent}"));
         let link = LinkId { server, remote: RemoteEndpoint::Index };
         if body != index_call_body(&parent) && !self.testbed.is_link_corrupted(link) {
-            let what = "a call with a body that its run did not give";
+            let what = "the server sent the index a call with a body that differs from the one its run gave";
             let attempt = AttemptId::new(&parent);
             self.testbed.checker.record_violation(now, Rule::Mixed, attempt, Some(server), what);
         }
@@ -138,7 +139,7 @@
         let offers_part = contains(&request.body, b"\"share\":0");
         let link = LinkId { server, remote: RemoteEndpoint::MembershipService };
         if name != Some(server) && !self.testbed.is_link_corrupted(link) {
-            let what = "a report under another's name";
+            let what = "the server sent a load report under the name of another server";
             self.testbed.checker.record_violation(now, Rule::Mixed, None, Some(server), what);
         }
         let answer = self.testbed.membership.report_received(now, conn, server, is_up);
--- a/crates/aldercrank-test-cluster/src/config.rs
+++ b/crates/aldercrank-test-cluster/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of each server: the platform's JSON settings and the service file, from the scenario.
+//! Generates each server's configuration from the scenario: the platform's JSON settings and the service file.
 
 use crate::ids::ServerNo;
 use crate::invariant_checker::Effect;
@@ -9,17 +9,17 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A server fails with more than this many runs per core, on average.
+/// A server fails if the mean number of concurrent runs per core exceeds this.
 pub const MAX_RUNS_PER_CORE: f64 = 5.0;
-/// How long the runs per core are averaged.
+/// The window over which the runs per core are averaged.
 const RUNS_PER_CORE_WINDOW: Duration = Duration::from_secs(2);
-/// How long the outstanding calls at the index are averaged.
+/// The window over which the outstanding calls to the index are averaged.
 pub const INDEX_CALLS_WINDOW: Duration = Duration::from_secs(5);
 
-/// The addresses of a server and of its neighbours.
+/// The listen address of a server, and the addresses that it connects to.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerAddresses {
-    /// Where it listens.
+    /// The server's listen address.
     pub listen: SocketAddr,
     /// Its worker pool.
     pub pool: SocketAddr,
@@ -29,7 +29,7 @@
     pub membership: SocketAddr,
 }
 
-/// Where a server reaches a committee member.
+/// The address at which a server reaches a committee member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberAddress {
     /// The member.
@@ -58,7 +58,7 @@
     })
 }
 
-/// The JSON configuration of a server. `cold`: its worker pool starts cold.
+/// The JSON configuration of a server. `cold` tells whether its worker pool starts cold.
 pub fn config(scenario: &Scenario, server: ServerNo, cold: bool, addresses: &ServerAddresses) -> Value {
     let fleet = &scenario.fleet;
     let classes: Vec<Value> = scenario.classes.iter().map(class_settings).collect();
@@ -96,14 +96,14 @@
     format!("start {{\n    tell-share #{}\n}}\n", start.report_share)
 }
 
-/// The `rules` section of a server's service file: the file of the first version, the directory of its durable state,
-/// and where it reaches the committee.
-pub fn rules_section(genesis: &Path, dir: Option<&Path>, members: &[MemberAddress]) -> String {
+/// The `rules` section of a server's service file: the file with the initial version of the versioned configuration,
+/// the directory for durable state, and the addresses of the committee members.
+pub fn rules_section(initial_version: &Path, dir: Option<&Path>, members: &[MemberAddress]) -> String {
     let dir = dir.map_or(String::new(), |dir| format!("    dir {:?}\n", dir.to_string_lossy()));
-    let member_addresses = |at: &MemberAddress| format!("        {} \"{}\"\n", at.member, at.address);
-    let member_addresses: String = members.iter().map(member_addresses).collect();
+    let address_line = |at: &MemberAddress| format!("        {} \"{}\"\n", at.member, at.address);
+    let member_addresses: String = members.iter().map(address_line).collect();
     format!(
         "rules {{\n    book {:?}\n{dir}    read-list #true\n    reach {{\n{member_addresses}    }}\n}}\n",
-        genesis.to_string_lossy()
+        initial_version.to_string_lossy()
     )
 }
--- a/crates/aldercrank-test-cluster/src/config_store_stub.rs
+++ b/crates/aldercrank-test-cluster/src/config_store_stub.rs
@@ -1,5 +1,5 @@
-//! A stub, without sockets and clock, of the configuration store in which the membership service keeps the next
-//! version of the versioned configuration: conditional reads with long polling, writes and deletion.
+//! A stub of the configuration store in which the membership service keeps the next version of the versioned
+//! configuration: conditional reads with long polling, writes and deletion. It performs no I/O and reads no clock.
 
 use crate::ids::ConnNo;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 pub enum ReadAnswer {
     /// The stored version.
     Content(String),
-    /// The reader has the stored version.
+    /// The reader already has the stored version.
     NotModified,
     /// No version is stored.
     NotFound,
@@ -21,7 +21,7 @@
 pub struct StoredVersion {
     /// The entity tag, by which readers name the version that they have.
     pub tag: String,
-    /// The text.
+    /// The version's text.
     pub text: String,
 }
 
@@ -42,13 +42,13 @@
 /// The configuration store.
 #[derive(Default)]
 pub struct ConfigStoreStub {
-    /// More than one are contradictory contents under one version number, given to readers in turn.
+    /// At most one, or several with contradictory contents under one version number, served to readers in rotation.
     versions: Vec<StoredVersion>,
-    turn: usize,
+    rotation: usize,
     long_polls: BTreeMap<ConnNo, LongPoll>,
-    /// Reads so far.
+    /// Reads received so far.
     pub reads: u64,
-    /// Bytes of the answers to reads so far.
+    /// Bytes sent in answer to reads so far.
     pub read_bytes: u64,
 }
 
@@ -67,8 +67,8 @@
     }
 
     fn answer(&mut self, tag: Option<&str>) -> ReadAnswer {
-        self.turn += 1;
-        let Some(version) = self.versions.get(self.turn % self.versions.len().max(1)) else {
+        self.rotation += 1;
+        let Some(version) = self.versions.get(self.rotation % self.versions.len().max(1)) else {
             return if tag.is_some() { ReadAnswer::NotFound } else { ReadAnswer::NotModified };
         };
         if tag == Some(version.tag.as_str()) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// A reader that has the version of this tag asks for another. Returns `None` if the read becomes a long poll.
+    /// Handles a read by a reader that has the version with this tag. Returns `None` if the read becomes a long poll.
     pub fn read(
         &mut self,
         now: Duration,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The connection of a reader has ended.
+    /// Drops the long poll of a reader whose connection has ended.
     pub fn connection_ended(&mut self, conn: ConnNo) {
         self.long_polls.remove(&conn);
     }
@@ -106,7 +106,7 @@
         self.long_polls.values().map(|poll| poll.until).min()
     }
 
-    /// Takes the long polls that have timed out by `now`.
+    /// Removes the long polls that have timed out by `now`, and returns their connections.
     pub fn take_timed_out(&mut self, now: Duration) -> Vec<ConnNo> {
         let timed_out = self.long_polls.iter().filter(|(_, poll)| poll.until <= now);
         let conns: Vec<ConnNo> = timed_out.map(|(conn, _)| *conn).collect();
--- a/crates/aldercrank-test-cluster/src/edge_nodes.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes.rs
@@ -1,5 +1,6 @@
-//! Stub edge nodes and their callers, without sockets and clock. They learn of servers from a membership view that may
-//! be old, choose among them by a configurable policy, and retry requests where a further run does no harm.
+//! Stub edge nodes and their callers. They learn of servers from a view of the membership that may be outdated, choose
+//! among them by a configurable policy, and retry requests where a further run does no harm. They perform no I/O and
+//! read no clock.
 
 mod attempts;
 mod choose_server;
--- a/crates/aldercrank-test-cluster/src/edge_nodes/attempts.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/attempts.rs
@@ -10,10 +10,10 @@
 use aldercrank_protocol::worker_pool::AttemptId;
 use std::time::Duration;
 
-/// The pause before a request with an idempotency key is retried, and before one that no server could take.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// The share of requests that are written in two pieces, where any are.
-const SHARE_IN_PIECES: f64 = 0.5;
+/// How long a retry waits if the request has an idempotency key, or if no server or connection was available for it.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The share of messages that are written in two pieces, if the policy has a delay between these.
+const SPLIT_WRITE_PROBABILITY: f64 = 0.5;
 /// Retries that are allowed regardless of the retry budget.
 const MIN_RETRIES: f64 = 10.0;
 
@@ -32,7 +32,7 @@
 }
 
 impl EdgeNodes {
-    /// A request arrives at an edge node.
+    /// Handles the arrival of a request at an edge node.
     pub fn request_arrived(
         &mut self,
         now: Duration,
@@ -45,7 +45,8 @@
         self.start_attempt(now, number, host);
     }
 
-    /// A request arrives whose first attempt is sent on this connection. Nothing happens if that is gone.
+    /// Handles the arrival of a request whose first attempt is sent on this connection. Does nothing if the connection
+    /// has ended.
     pub fn request_on_connection(
         &mut self,
         now: Duration,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Sends the request to some server, or tries again after a pause.
+    /// Chooses a server and sends the request to it, or tries again after a delay if none is available.
     pub(super) fn start_attempt(&mut self, now: Duration, number: RequestNo, host: &mut impl EdgeHost) {
         let request = self.request(number);
         if request.end.is_some() || now >= request.deadline {
@@ -130,11 +131,11 @@
         }
         let edge = request.edge;
         let Some(server) = self.choose_server(now, number) else {
-            return host.set_edge_timer(now + RETRY_PAUSE, EdgeTimer::Retry(number));
+            return host.set_edge_timer(now + RETRY_DELAY, EdgeTimer::Retry(number));
         };
         let Some(conn) = self.connection_with_capacity(now, edge, server, host) else {
             self.request(number).tried.push(server);
-            return host.set_edge_timer(now + RETRY_PAUSE, EdgeTimer::Retry(number));
+            return host.set_edge_timer(now + RETRY_DELAY, EdgeTimer::Retry(number));
         };
         self.send_attempt(now, number, conn, host);
     }
@@ -142,9 +143,9 @@
     fn send_attempt(&mut self, now: Duration, number: RequestNo, conn: ConnNo, host: &mut impl EdgeHost) {
         let request = &mut self.requests[number.0 as usize];
         let class = &self.classes[request.class.0 as usize];
-        let connection = self.connections.get_mut(&conn).expect("the connection was just found");
+        let connection = self.connections.get_mut(&conn).expect("the chosen connection is in the table");
         let server = connection.server;
-        let piece_delay = self.policy.piece_delay.filter(|_| self.random.chance(SHARE_IN_PIECES));
+        let piece_delay = self.policy.piece_delay.filter(|_| self.random.chance(SPLIT_WRITE_PROBABILITY));
         let written_at = connection.plan_write(now, piece_delay);
         let reply_to = ReplyTo { conn, message_id: connection.next_message_id() };
         request.attempts += 1;
@@ -153,10 +154,10 @@
         let time_left = request.deadline - now;
         let timeout = self.policy.attempt_timeout.filter(|_| class.effect == Effect::Idempotent);
         let budget = timeout.map_or(time_left, |timeout| timeout.min(time_left));
-        // The wire counts in milliseconds; the server gets a started one in full.
+        // The wire carries whole milliseconds: the budget is rounded down, but not below 1.
         let budget_ms = (budget.as_millis() as u64).max(1);
         let id = format!("{:08x}{:08x}", number.0 + 1, request.attempts);
-        let attempt = AttemptId::new(&id).expect("sixteen hex digits");
+        let attempt = AttemptId::new(&id).expect("sixteen hex digits are a valid attempt id");
         let body = request_body(self.seed, number, class.body_length);
         let token = request.idempotency_key.map(|key| format!("{key:032x}"));
         let fields = RequestFields {
@@ -200,7 +201,7 @@
         host.attempt_sent(sent);
     }
 
-    /// Writes what [`Connection::plan_write`] has planned: at once, in two pieces, or behind an unsent piece.
+    /// Writes a message as [`Connection::plan_write`] has planned: at once, in two pieces, or behind an unsent piece.
     fn write(&mut self, now: Duration, conn: ConnNo, bytes: &[u8], host: &mut impl EdgeHost) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         if !connection.unsent.is_empty() {
@@ -211,19 +212,20 @@
         }
         let (first, rest) = bytes.split_at(bytes.len() / 2);
         connection.unsent = rest.to_vec();
-        host.set_edge_timer(connection.unsent_due, EdgeTimer::SendRest(conn));
+        host.set_edge_timer(connection.unsent_due, EdgeTimer::SendUnsent(conn));
         host.send(conn, first);
     }
 
-    /// Writes the second piece, and what came behind it.
-    pub(super) fn send_rest(&mut self, conn: ConnNo, host: &mut impl EdgeHost) {
+    /// Writes the unsent second piece, and the messages queued behind it.
+    pub(super) fn send_unsent(&mut self, conn: ConnNo, host: &mut impl EdgeHost) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             let rest = std::mem::take(&mut connection.unsent);
             host.send(conn, &rest);
         }
     }
 
-    /// Retries a request whose attempt came to nothing, or ends it where policy, budget or safety forbid a retry.
+    /// Retries a request whose attempt was rejected, failed or timed out, or ends it if policy, retry budget or the
+    /// danger of a further run forbids a retry.
     pub(super) fn retry(
         &mut self,
         now: Duration,
@@ -256,7 +258,7 @@
         edge.retries += 1.0;
         if may_have_run && effect == Effect::Keyed {
             request.pinned = Some(server);
-            return host.set_edge_timer(now + RETRY_PAUSE, EdgeTimer::Retry(number));
+            return host.set_edge_timer(now + RETRY_DELAY, EdgeTimer::Retry(number));
         }
         self.start_attempt(now, number, host);
     }
@@ -306,7 +308,7 @@
         Some(ClosedCall { request: call.request, server, edge })
     }
 
-    /// Whether the request's current attempt waits for its response there.
+    /// Whether the request's current attempt expects its response at `reply_to`.
     pub(super) fn is_current(&self, number: RequestNo, reply_to: ReplyTo) -> bool {
         self.requests[number.0 as usize].reply_to == Some(reply_to)
     }
--- a/crates/aldercrank-test-cluster/src/edge_nodes/choose_server.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/choose_server.rs
@@ -6,7 +6,7 @@
 use crate::ids::{ConnNo, EdgeNo, RequestNo, ServerNo};
 use std::time::Duration;
 
-/// Calls that may be open on a connection.
+/// The maximum number of open calls on one connection.
 const MAX_OPEN_CALLS: usize = 32;
 /// How long a server is avoided after a failed connection.
 pub(super) const AVOID_AFTER_FAILURE: Duration = Duration::from_millis(500);
@@ -20,7 +20,7 @@
         !known.unhealthy && (avoidance_over || ignores_advice)
     }
 
-    /// The listed servers, and those to which there are connections if these are used all the same.
+    /// The listed servers and, if the policy uses connections to unlisted servers, those with a connection.
     fn reachable_servers(&self, edge: &EdgeNode) -> Vec<ServerNo> {
         let mut servers = edge.listed.clone();
         if self.policy.connection_usage != ConnectionUsage::WhileListed {
@@ -32,7 +32,8 @@
         servers
     }
 
-    /// The servers to choose from: those that the request was not sent to yet, or all if there are none.
+    /// The servers to choose from: those that accept requests and that the request was not sent to yet, or all that
+    /// accept requests if it was sent to each of them.
     fn candidates(&self, now: Duration, number: RequestNo) -> Vec<ServerNo> {
         let request = &self.requests[number.0 as usize];
         let edge = &self.edges[request.edge.0 as usize];
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The server for the next attempt of a request; `None` if there is none to ask.
+    /// The server for the next attempt of a request; `None` if no server accepts requests.
     pub(super) fn choose_server(&mut self, now: Duration, number: RequestNo) -> Option<ServerNo> {
         let request = &self.requests[number.0 as usize];
         if request.pinned.is_some() {
@@ -105,7 +106,8 @@
         }
     }
 
-    /// A connection to a server with capacity for one more call, which is made if allowed; `None` if there is none.
+    /// A connection to a server with capacity for one more call. Unless one is idle, a new connection is made if the
+    /// policy allows it. `None` if all connections are full and no other can be made.
     pub(super) fn connection_with_capacity(
         &mut self,
         now: Duration,
--- a/crates/aldercrank-test-cluster/src/edge_nodes/connections.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/connections.rs
@@ -11,24 +11,25 @@
 use aldercrank_protocol::msgpack_rpc;
 use std::time::Duration;
 
-/// A call that was sent this long before the server announced its close, or later, was never read.
-const CLOSE_CROSSING: Duration = Duration::from_millis(50);
-/// A health check without an answer for this long has failed.
+/// A call counts as never read if it was sent after the server announced the close of the connection, or at most this
+/// long before, so that the two crossed.
+const CLOSE_CROSSING_WINDOW: Duration = Duration::from_millis(50);
+/// A health check that is not answered within this time has failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// The membership is refreshed earlier than its interval by up to this share, at random.
+/// Each refresh of the membership comes early at random, by up to this share of its interval.
 const REFRESH_JITTER: f64 = 0.1;
 
 impl EdgeNodes {
-    /// A connection was established.
+    /// Marks a connection as established.
     pub fn connection_established(&mut self, conn: ConnNo) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.established = true;
         }
     }
 
-    /// The server announced that it closes a connection: by the caller's policy, it gets no further call and ends with
-    /// its last one.
-    pub(super) fn server_closes(&mut self, now: Duration, conn: ConnNo, host: &mut impl EdgeHost) {
+    /// Handles a server's announcement that it closes a connection. Depending on the policy, the connection takes no
+    /// further call and is closed after its last one.
+    pub(super) fn close_announced(&mut self, now: Duration, conn: ConnNo, host: &mut impl EdgeHost) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         connection.closing_since = Some(now);
         if self.policy.connection_usage == ConnectionUsage::UntilClosing {
@@ -67,7 +68,8 @@
         Some(connection)
     }
 
-    /// A connection has ended from the other side, or because its bytes were no response.
+    /// Handles the end of a connection that the other side has closed, or that was reset, for example because its bytes
+    /// were not a valid response. Its open calls are lost, and their requests retried where that is allowed.
     pub fn connection_ended(
         &mut self,
         now: Duration,
@@ -93,10 +95,11 @@
         }
         for (message_id, call) in connection.open_calls {
             let reply_to = ReplyTo { conn, message_id };
-            let crossed_close =
-                connection.closing_since.is_some_and(|closing| call.sent_at + CLOSE_CROSSING >= closing);
-            let is_unfinished = call.sent_at > now;
-            let was_read = connection.established && !crossed_close && !is_unfinished;
+            let crossed_close = connection
+                .closing_since
+                .is_some_and(|closing| call.sent_at + CLOSE_CROSSING_WINDOW >= closing);
+            let is_partly_written = call.sent_at > now;
+            let was_read = connection.established && !crossed_close && !is_partly_written;
             let end = match end {
                 ConnectionEnd::ByServer if was_read => ConnectionEnd::ByServer,
                 ConnectionEnd::ByServer if connection.established => ConnectionEnd::BeforeRead,
@@ -117,7 +120,7 @@
         self.connections.get(&conn).is_some_and(|connection| connection.closing_since.is_some())
     }
 
-    /// Each edge node opens `count` connections to a server that it does not use.
+    /// Opens `count` connections from each edge node to a server, on which nothing is sent.
     pub fn open_idle_connections(
         &mut self,
         now: Duration,
@@ -134,7 +137,7 @@
         }
     }
 
-    /// An edge node restarts: its connections end, and its callers are gone.
+    /// Restarts an edge node: its connections end, and the requests that wait for a response on them are canceled.
     pub fn restart(&mut self, now: Duration, edge: EdgeNo, host: &mut impl EdgeHost) {
         let own = self.connections.iter().filter(|(_, connection)| connection.edge == edge);
         let own: Vec<ConnNo> = own.map(|(conn, _)| *conn).collect();
@@ -152,7 +155,7 @@
         self.edge(edge).known.clear();
     }
 
-    /// Reads the membership, and closes idle connections and those to servers that are not listed.
+    /// Reads the membership. If the policy follows it, closes connections that are idle or whose server is not listed.
     pub(super) fn refresh_membership(&mut self, now: Duration, edge_no: EdgeNo, host: &mut impl EdgeHost) {
         let view = host.membership_view(edge_no, now);
         let edge = self.edge(edge_no);
@@ -174,7 +177,8 @@
         host.set_edge_timer(next, EdgeTimer::RefreshMembership(edge_no));
     }
 
-    /// Sends a health check to each listed server that has answered the one before, on a connection of its own.
+    /// Sends a health check to each listed server that has answered the previous one, on a connection that carries only
+    /// health checks.
     pub(super) fn send_health_checks(&mut self, now: Duration, edge: EdgeNo, host: &mut impl EdgeHost) {
         let Some(interval) = self.policy.health_check_interval else { return };
         for server in self.edges[edge.0 as usize].listed.clone() {
--- a/crates/aldercrank-test-cluster/src/edge_nodes/host.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/host.rs
@@ -1,4 +1,4 @@
-//! What edge nodes need of the test cluster, and what they report to it.
+//! The interface between the edge nodes and the test cluster: what they need from it, and what they report to it.
 
 use super::request::{Request, RequestEnd};
 use crate::ids::{ConnNo, EdgeNo, Incarnation, ReplyTo, RequestNo, ServerNo};
@@ -10,29 +10,29 @@
 pub enum EdgeTimer {
     /// The request's deadline.
     Deadline(RequestNo),
-    /// The request's attempt of this number has taken as long as it may.
+    /// The request's attempt of this number times out.
     AttemptTimeout(RequestNo, u32),
     /// The caller cancels the request.
     Cancel(RequestNo),
-    /// The request is tried again.
+    /// The next attempt of the request is made.
     Retry(RequestNo),
-    /// The second piece is written on a connection.
-    SendRest(ConnNo),
+    /// The unsent second piece of a message is written on a connection.
+    SendUnsent(ConnNo),
     /// A connection that the server closes is no longer used, and closed once all calls on it are answered.
     CloseIfDrained(ConnNo),
-    /// Checks whether a response is still owed there.
+    /// Checks whether the server still owes the response that is expected here.
     CheckOverdue(ReplyTo),
     /// The edge node reads the membership.
     RefreshMembership(EdgeNo),
     /// The edge node sends health checks.
     SendHealthChecks(EdgeNo),
-    /// The health check of this number has taken as long as it may.
+    /// The health check with this message id times out.
     HealthCheckTimeout(EdgeNo, ServerNo, u32),
 }
 
 /// The environment of the edge nodes.
 pub trait EdgeHost {
-    /// Begins a connection; `None` if the server can't be reached.
+    /// Begins to connect to a server; `None` if it can't be reached.
     fn connect(&mut self, edge: EdgeNo, server: ServerNo) -> Option<ConnNo>;
     /// Sends bytes to a server.
     fn send(&mut self, conn: ConnNo, bytes: &[u8]);
@@ -61,7 +61,7 @@
     fn attempt_canceled(&mut self, reply_to: ReplyTo);
     /// The connection of an open attempt has ended.
     fn connection_lost(&mut self, now: Duration, reply_to: ReplyTo, end: ConnectionEnd);
-    /// Whether no response is owed any more.
+    /// Checks an attempt that is still open after its deadline. Returns whether the server no longer owes the response.
     fn check_overdue(&mut self, now: Duration, reply_to: ReplyTo) -> bool;
     /// A request has ended for its caller.
     fn request_ended(&mut self, now: Duration, number: RequestNo, request: &Request, end: RequestEnd);
--- a/crates/aldercrank-test-cluster/src/edge_nodes/policy.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/policy.rs
@@ -21,9 +21,9 @@
 pub enum ConnectionUsage {
     /// While the server is listed and has not announced that it closes the connection.
     WhileListed,
-    /// Whether it is listed or not, and as long after the announcement as the protocol excuses.
+    /// Whether the server is listed or not, until nearly as long after the announcement as the protocol allows.
     UntilClosing,
-    /// Whatever is announced, until the connection ends.
+    /// Until the connection ends, whether the server is listed and whatever it announces.
     UntilEnd,
 }
 
@@ -32,23 +32,23 @@
 pub struct CallerPolicy {
     /// How servers are chosen.
     pub choose: ServerChoice,
-    /// Attempts of one request at most.
+    /// The maximum number of attempts of one request.
     pub max_attempts: u32,
     /// How long one attempt of an idempotent request may take before another server is tried.
     pub attempt_timeout: Option<Duration>,
     /// Whether the servers' advice is followed: retry-after, final rejections and load hints.
     pub follows_advice: bool,
-    /// Retries per first attempt, at most.
+    /// The maximum number of retries per first attempt, over all requests of an edge node.
     pub retry_budget: f64,
     /// How often each server is sent a health check; never if `None`.
     pub health_check_interval: Option<Duration>,
-    /// Connections of one edge node to one server at most.
+    /// The maximum number of connections from one edge node to one server.
     pub max_connections: usize,
     /// How long an unused connection is kept.
     pub idle_timeout: Duration,
     /// The share of callers that cancel at a random time before their deadline.
     pub cancel_probability: f64,
-    /// Half of what is sent is written in two pieces, so far apart; all in one if `None`.
+    /// The delay between the two pieces in which half of the messages are written; all are written whole if `None`.
     pub piece_delay: Option<Duration>,
     /// How long the connections to a server are used.
     pub connection_usage: ConnectionUsage,
@@ -56,7 +56,7 @@
     pub retries_keyed_after_failure: bool,
 }
 
-/// What callers want of a request class.
+/// A request class, as callers see it.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
     /// The name on the wire.
@@ -67,11 +67,11 @@
     pub value: f64,
     /// The share of the value that remains after the latency target.
     pub late_share: f64,
-    /// The share of the value of a result that was made without its call.
+    /// The share of the value that remains if the result was made without the call that it needed.
     pub degraded_share: f64,
-    /// From the arrival of a request.
+    /// The time from the arrival of a request within which its completion has the full value.
     pub latency_target: Duration,
-    /// From the arrival of a request.
+    /// The time from the arrival of a request after which its caller gives up.
     pub deadline: Duration,
     /// The memory that a request declares.
     pub memory_kb: f64,
--- a/crates/aldercrank-test-cluster/src/edge_nodes/request.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/request.rs
@@ -24,7 +24,7 @@
 
 /// A caller's request, over all its attempts.
 pub struct Request {
-    /// Where it arrived.
+    /// The edge node at which it arrived.
     pub edge: EdgeNo,
     /// Its class.
     pub class: ClassNo,
@@ -34,23 +34,23 @@
     pub priority: f64,
     /// When it arrived.
     pub arrived_at: Duration,
-    /// Until when it is completed in time.
+    /// The last moment at which its completion is in time.
     pub in_time_until: Duration,
-    /// When its caller gives it up.
+    /// When its caller gives up.
     pub deadline: Duration,
     /// Attempts so far.
     pub attempts: u32,
     /// Where the response to the current attempt is expected.
     pub(super) reply_to: Option<ReplyTo>,
     pub(super) last_sent_at: Duration,
-    /// It may have run there, so that it is sent to no other server.
+    /// The server on which it may have run; it is retried on no other one.
     pub(super) pinned: Option<ServerNo>,
     pub(super) tried: Vec<ServerNo>,
     /// How it ends if it is not retried.
     pub(super) end_without_retry: RequestEnd,
     /// How it ended.
     pub end: Option<RequestEnd>,
-    /// Its result was made without the call that it needed.
+    /// Whether its result was made without the call that it needed.
     pub degraded: bool,
 }
 
--- a/crates/aldercrank-test-cluster/src/edge_nodes/responses.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/responses.rs
@@ -9,15 +9,15 @@
 use aldercrank_protocol::msgpack_rpc::{self, MessageId, ReceivedFields, ResponseHandler};
 use std::time::Duration;
 
-/// The longest response.
+/// The maximum length of a response.
 const MAX_RESPONSE_BYTES: usize = 2 << 20;
 
-/// The bytes on a connection are no response; the connection must be closed.
+/// The bytes on a connection are not a valid response; the connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a response that can't be read")]
+#[error("a server sent an invalid response")]
 pub struct InvalidResponse;
 
-/// A message from a server, owned so that the connection's input is free again.
+/// A message from a server, copied so that the connection's input buffer is no longer borrowed.
 enum ServerMessage {
     Completed(MessageId, Vec<u8>, ReceivedFields),
     Rejected(MessageId, ReceivedFields),
@@ -48,10 +48,10 @@
 }
 
 impl EdgeNodes {
-    /// Handles bytes that came on a connection.
+    /// Handles bytes that were received on a connection.
     ///
     /// # Errors
-    /// If they are no response; the messages before them are handled.
+    /// If they contain an invalid response; the messages before it are handled.
     pub fn bytes_received(
         &mut self,
         now: Duration,
@@ -124,12 +124,12 @@
             ServerMessage::HealthReported(message_id, healthy) => {
                 self.health_reported(conn, message_id, healthy);
             }
-            ServerMessage::Closing => return self.server_closes(now, conn, host),
+            ServerMessage::Closing => return self.close_announced(now, conn, host),
         }
         self.close_if_drained(now, conn, host);
     }
 
-    /// Reports a response and takes its call from the connection; `None` if the call is not open.
+    /// Reports a response to the host and removes its call from the connection; `None` if the call is not open.
     fn answer_received(
         &mut self,
         now: Duration,
--- a/crates/aldercrank-test-cluster/src/edge_nodes/state.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/state.rs
@@ -9,11 +9,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long after its deadline a call stays open, so that the checker sees whether a response comes.
+/// How long a call stays open after its deadline before the checker is asked whether a response is still owed, and the
+/// time between two such checks.
 pub(super) const OVERDUE_CHECK_DELAY: Duration = Duration::from_millis(200);
 
-/// How long an edge node that uses its connections until they close goes on after the announcement: a little less than
-/// the protocol excuses.
+/// How long a connection is used after the server announced its close, with [`ConnectionUsage::UntilClosing`]: a little
+/// less than the protocol allows.
 pub(super) const USE_AFTER_CLOSING: Duration = Duration::from_millis(40);
 
 /// What a connection is used for.
@@ -21,7 +22,7 @@
 pub(super) enum ConnectionUse {
     Requests,
     HealthChecks,
-    /// Nothing.
+    /// Nothing is sent on it.
     Idle,
 }
 
@@ -39,14 +40,14 @@
     pub(super) used_for: ConnectionUse,
     pub(super) last_message_id: u32,
     pub(super) open_calls: BTreeMap<MessageId, OpenCall>,
-    /// When the server announced that it closes the connection.
+    /// When the server announced that it closes the connection, if it did.
     pub(super) closing_since: Option<Duration>,
     pub(super) idle_since: Duration,
-    /// Received bytes that are no complete message yet.
+    /// Received bytes that are not a complete message yet.
     pub(super) input: Vec<u8>,
-    /// What is still to be written, after the first piece of something.
+    /// The second piece of a message whose first piece is written, and the messages queued behind it.
     pub(super) unsent: Vec<u8>,
-    /// When that is written.
+    /// When `unsent` is written.
     pub(super) unsent_due: Duration,
 }
 
@@ -76,9 +77,10 @@
         }
     }
 
-    /// When what is written now is written in full: at once, behind an unsent piece, or in two pieces so far apart.
-    pub(super) fn plan_write(&mut self, now: Duration, in_pieces: Option<Duration>) -> Duration {
-        if let (true, Some(delay)) = (self.unsent.is_empty(), in_pieces) {
+    /// Plans the write of a message at `now`: at once, behind an unsent piece, or in two pieces with `split_delay`
+    /// between them. Returns when it will be written in full.
+    pub(super) fn plan_write(&mut self, now: Duration, split_delay: Option<Duration>) -> Duration {
+        if let (true, Some(delay)) = (self.unsent.is_empty(), split_delay) {
             self.unsent_due = now + delay;
         }
         self.unsent_due.max(now)
@@ -90,11 +92,11 @@
     }
 }
 
-/// The connection for health checks of a server.
+/// The health checks of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct HealthCheck {
     pub(super) conn: ConnNo,
-    /// The message id of the check that waits for its answer.
+    /// The message id of the check that is not answered yet.
     pub(super) waiting_for: Option<u32>,
 }
 
@@ -103,7 +105,7 @@
 pub(super) struct KnownServer {
     pub(super) connections: Vec<ConnNo>,
     pub(super) open_calls: usize,
-    /// No request is sent to it before, after a failure or by its retry-after.
+    /// No request is sent to it before this time, because it failed or asked for it by a retry-after.
     pub(super) avoided_until: Duration,
     /// When it last failed; cleared by its next response.
     pub(super) failed_at: Option<Duration>,
@@ -120,8 +122,9 @@
     pub(super) listed: Vec<ServerNo>,
     pub(super) round_robin_turn: usize,
     pub(super) sticky_server: Option<ServerNo>,
-    /// First attempts and retries so far, for the retry budget.
+    /// First attempts so far, for the retry budget.
     pub(super) first_attempts: f64,
+    /// Retries so far.
     pub(super) retries: f64,
 }
 
@@ -158,7 +161,8 @@
         }
     }
 
-    /// Starts all edge nodes: each reads the membership and sets its timers.
+    /// Starts all edge nodes: each reads the membership, and sets the timers for its next refresh and its health
+    /// checks.
     pub fn start(&mut self, now: Duration, host: &mut impl EdgeHost) {
         for n in 0..self.edges.len() {
             let edge = EdgeNo(n as u16);
@@ -179,7 +183,7 @@
             }
             EdgeTimer::Cancel(request) => self.cancel_request(now, request, host),
             EdgeTimer::Retry(request) => self.start_attempt(now, request, host),
-            EdgeTimer::SendRest(conn) => self.send_rest(conn, host),
+            EdgeTimer::SendUnsent(conn) => self.send_unsent(conn, host),
             EdgeTimer::CloseIfDrained(conn) => self.close_if_drained(now, conn, host),
             EdgeTimer::CheckOverdue(reply_to) => self.check_overdue(now, reply_to, host),
             EdgeTimer::RefreshMembership(edge) => self.refresh_membership(now, edge, host),
--- a/crates/aldercrank-test-cluster/src/ids.rs
+++ b/crates/aldercrank-test-cluster/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers of the parts of a test cluster, each a type of its own.
+//! Identifiers of the parts of a test cluster, each a newtype.
 
 use aldercrank_protocol::msgpack_rpc::MessageId;
 use serde::Serialize;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct EdgeNo(pub u16);
 
-/// A caller's request, the same for all its attempts.
+/// A caller's request; all its attempts have the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct RequestNo(pub u32);
 
@@ -20,11 +20,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct ClassNo(pub u8);
 
-/// Counts the starts of one server. No state of a process survives into the next incarnation.
+/// A process of one server, counted from the server's first start. Nothing that a process holds in memory carries over
+/// to the next incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Incarnation(pub u32);
 
-/// A connection between the test cluster and a process. A number is never used twice in a run.
+/// A connection between the test cluster and a process. Numbers are not reused within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct ConnNo(pub u64);
 
@@ -50,7 +51,7 @@
 }
 
 impl ServerNo {
-    /// Parses the name that a server reports itself under; `None` if it is not of the form `n1`.
+    /// Parses the name of a server; `None` if it is not of the form `n1`.
     pub fn from_name(name: &str) -> Option<ServerNo> {
         let number: u16 = name.strip_prefix('n')?.parse().ok()?;
         number.checked_sub(1).map(ServerNo)
@@ -82,7 +83,7 @@
         RemoteEndpoint::Peers,
     ];
 
-    /// The value of a scenario's `with=` property.
+    /// The name of this kind in a scenario's `with=` property.
     pub fn scenario_name(self) -> &'static str {
         match self {
             RemoteEndpoint::WorkerPool => "pool",
--- a/crates/aldercrank-test-cluster/src/index_stub.rs
+++ b/crates/aldercrank-test-cluster/src/index_stub.rs
@@ -1,32 +1,32 @@
-//! A stub of the shared index without sockets and clock. It has a number of slots, beyond which all calls slow down,
-//! and can be slow, hung, shedding, truncating, dead or cold. It counts its open calls, since no other party sees the
-//! calls of all servers.
+//! A stub of the shared index. More open calls than it has slots slow all calls down, and injected faults make it slow,
+//! hung, shedding, truncating, dead or cold. It counts its open calls, since no other component sees the calls of all
+//! servers. It performs no I/O and reads no clock.
 
 use crate::ids::ConnNo;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The exponent by which the duration of calls grows with the load per slot.
+/// The duration of calls grows with the load per slot, raised to this power.
 const CROWDING_EXPONENT: f64 = 1.5;
-/// Calls beyond this many times the limit are rejected.
+/// Calls are rejected while the number of open calls is at least this multiple of the limit.
 const SHEDDING_FACTOR: f64 = 2.0;
-/// The index has collapsed where calls take more than this many times what each would take alone, for longer than
-/// `COLLAPSE_SECONDS`. Slowness of cold caches is not counted, since no caller causes it.
+/// The index has collapsed if calls take, on average, more than this multiple of their uncontended duration for more
+/// than `COLLAPSE_SECONDS` seconds in a row. Slowness of cold caches is not counted, since no caller causes it.
 const COLLAPSE_SLOWDOWN: f64 = 4.0;
 const COLLAPSE_SECONDS: u64 = 2;
 
 /// The index's capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IndexSettings {
-    /// Calls that it serves at once without slowing down.
+    /// Concurrent calls that it serves without slowing down.
     pub slots: f64,
-    /// Calls that all servers together may have outstanding on average.
+    /// The mean number of outstanding calls that all servers together may have.
     pub limit: f64,
-    /// The duration of a call that is alone, with warm caches.
+    /// The uncontended duration of a call with warm caches.
     pub call_duration: Duration,
-    /// How many times as long a call takes while the caches are empty.
+    /// The factor by which a call takes longer while the caches are empty.
     pub cold_slowdown: f64,
-    /// How many calls warm the caches.
+    /// The number of calls after which the caches are warm.
     pub warming: u32,
 }
 
@@ -35,13 +35,13 @@
 pub enum IndexState {
     /// No fault.
     Healthy,
-    /// Each call takes this many times as long.
+    /// Each call takes longer by this factor.
     Slow(f64),
-    /// Connections are accepted and calls never answered.
+    /// Connections are accepted, but calls are never answered.
     Hung,
     /// Each call is rejected.
     Shedding,
-    /// Each answer ends in its middle.
+    /// Each answer is cut off halfway.
     Truncating,
     /// Connections are refused.
     Dead,
@@ -58,7 +58,7 @@
     Truncated,
 }
 
-/// A call that has come to its end.
+/// A call that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedCall {
     /// The connection that it came on.
@@ -72,7 +72,8 @@
 pub struct Overload {
     /// How often it collapsed.
     pub collapses: u32,
-    /// The largest mean duration of the calls of one second, as a multiple of what each would have taken alone.
+    /// The largest mean duration of the calls that ended within one second, as a multiple of their uncontended
+    /// duration.
     pub worst_slowdown: f64,
 }
 
@@ -81,11 +82,11 @@
     ends: Duration,
     since: Duration,
     /// The duration that it would have if no other call were open.
-    duration_alone: Duration,
+    uncontended_duration: Duration,
 }
 
 #[derive(Default)]
-struct SecondOfCalls {
+struct CallsInSecond {
     slowdown_sum: f64,
     calls: u32,
 }
@@ -96,7 +97,7 @@
     /// The injected fault.
     pub state: IndexState,
     open_calls: BTreeMap<ConnNo, OpenCall>,
-    /// Calls served since the caches were empty.
+    /// Calls served since the caches were last emptied.
     calls_since_cold: u32,
     /// The number of open calls, integrated over time in seconds.
     open_call_seconds: f64,
@@ -104,7 +105,7 @@
     /// The most calls that were open at once.
     pub most_open_calls: usize,
     /// Ended calls, by the second of their end.
-    seconds: BTreeMap<u64, SecondOfCalls>,
+    seconds: BTreeMap<u64, CallsInSecond>,
 }
 
 impl IndexStub {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// How much it has been overloaded so far.
+    /// The overload so far.
     pub fn overload(&self) -> Overload {
         let mut overload = Overload::default();
         let mut seconds_in_row = 0;
@@ -142,7 +143,7 @@
         overload
     }
 
-    /// The capacity that it was made with.
+    /// The capacity that was passed to [`IndexStub::new`].
     pub fn settings(&self) -> &IndexSettings {
         &self.settings
     }
@@ -158,8 +159,8 @@
         self.integrated_to = self.integrated_to.max(now);
     }
 
-    /// A call has been received in full. Returns its answer if it is rejected; otherwise the call is open until
-    /// [`IndexStub::take_ended_calls`] returns it.
+    /// Handles a call that has been received in full. Returns the answer if the call is rejected; otherwise the call
+    /// stays open until [`IndexStub::take_ended_calls`] returns it.
     pub fn call_received(&mut self, now: Duration, conn: ConnNo) -> Option<IndexAnswer> {
         self.integrate_open_calls(now);
         let settings = &self.settings;
@@ -180,13 +181,13 @@
             IndexState::Hung | IndexState::Dead => Duration::MAX,
             _ => now + settings.call_duration.mul_f64(factor),
         };
-        let duration_alone = settings.call_duration.mul_f64(slow * cold);
-        self.open_calls.insert(conn, OpenCall { ends, since: now, duration_alone });
+        let uncontended_duration = settings.call_duration.mul_f64(slow * cold);
+        self.open_calls.insert(conn, OpenCall { ends, since: now, uncontended_duration });
         self.most_open_calls = self.most_open_calls.max(self.open_calls.len());
         None
     }
 
-    /// The connection of a call has ended, at either side.
+    /// Drops the call of a connection that either side has ended.
     pub fn connection_ended(&mut self, now: Duration, conn: ConnNo) {
         self.integrate_open_calls(now);
         self.open_calls.remove(&conn);
@@ -197,7 +198,7 @@
         self.open_calls.values().map(|call| call.ends).filter(|at| *at != Duration::MAX).min()
     }
 
-    /// Takes the calls that have ended by `now`, by connection.
+    /// Removes and returns the calls that have ended by `now`, in the order of their connections.
     pub fn take_ended_calls(&mut self, now: Duration) -> Vec<EndedCall> {
         self.integrate_open_calls(now);
         let ended = self.open_calls.iter().filter(|(_, call)| call.ends <= now);
@@ -209,7 +210,7 @@
             let Some(call) = self.open_calls.remove(conn) else { continue };
             let took = now.saturating_sub(call.since);
             let second = self.seconds.entry(now.as_secs()).or_default();
-            second.slowdown_sum += took.as_secs_f64() / call.duration_alone.as_secs_f64().max(1e-6);
+            second.slowdown_sum += took.as_secs_f64() / call.uncontended_duration.as_secs_f64().max(1e-6);
             second.calls += 1;
         }
         conns.into_iter().map(|conn| EndedCall { conn, answer }).collect()
--- a/crates/aldercrank-test-cluster/src/membership_stub.rs
+++ b/crates/aldercrank-test-cluster/src/membership_stub.rs
@@ -1,20 +1,21 @@
-//! A stub of the membership service without sockets and clock. Servers send it load reports; an entry expires when its
-//! reports stop. It has a capacity, beyond which it queues reports and then rejects them.
+//! A stub of the membership service. Servers send it load reports; the entry of a server expires when its reports stop.
+//! Reports beyond its capacity are queued, and rejected once the queue is too long. It performs no I/O and reads no
+//! clock.
 
 use crate::ids::{ConnNo, ServerNo};
 use aldercrank_protocol::membership::ENTRY_TTL;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The longest that a report may queue; beyond it is rejected.
+/// The longest time that a report may be queued; one that would have to wait longer is rejected.
 const MAX_QUEUE: Duration = Duration::from_millis(500);
 /// The `Retry-After` of rejected reports.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// How long past reports are kept, for edge nodes that see the membership late.
+/// How long past reports are kept, for edge nodes that see an outdated membership.
 const HISTORY: Duration = Duration::from_secs(30);
 const TENTH_OF_A_SECOND: Duration = Duration::from_millis(100);
 const SECOND: Duration = Duration::from_secs(1);
-/// The smallest capacity, in reports a second.
+/// The smallest capacity, in reports per second.
 const MIN_CAPACITY: f64 = 0.1;
 
 /// The injected fault, if any.
@@ -24,18 +25,18 @@
     Up,
     /// Connections are refused.
     Down,
-    /// Reports are read and neither counted nor answered.
+    /// Reports are read, but neither accepted nor answered.
     Silent,
-    /// Connections are accepted and closed.
+    /// Connections are accepted and closed at once.
     Closing,
 }
 
 /// The answer to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportAnswer {
-    /// 204, at this time.
+    /// HTTP status 204, at this time.
     AcceptedAt(Duration),
-    /// 503, with `RETRY_AFTER`.
+    /// HTTP status 503, with `RETRY_AFTER`.
     Rejected,
     /// No answer.
     None,
@@ -44,7 +45,7 @@
 /// A report that was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportReceived {
-    /// When it was complete.
+    /// When it was received in full.
     pub at: Duration,
     /// The server that sent it.
     pub server: ServerNo,
@@ -67,7 +68,7 @@
     up: bool,
 }
 
-/// An outage; without an end while it lasts.
+/// An outage. `ended` is `None` while it lasts.
 struct Outage {
     began: Duration,
     ended: Option<Duration>,
@@ -81,7 +82,7 @@
 
 /// The membership service.
 pub struct MembershipStub {
-    /// Reports a second.
+    /// Reports per second.
     capacity: f64,
     /// The injected fault.
     state: MembershipState,
@@ -91,14 +92,14 @@
     busy_until: Duration,
     /// All reports that were received.
     pub reports: Vec<ReportReceived>,
-    /// When connections were made, including those without a report.
+    /// When each connection was accepted, including those on which no report came.
     pub connections: Vec<Duration>,
-    /// Connections that wait for the answer to a report, by its time.
+    /// Connections on which an answer to a report is pending, by the time at which it is due.
     pending_answers: BTreeSet<(Duration, ConnNo)>,
 }
 
 impl MembershipStub {
-    /// An empty membership service with a capacity in reports a second.
+    /// An empty membership service with a capacity in reports per second.
     pub fn new(capacity: f64) -> MembershipStub {
         MembershipStub {
             capacity: capacity.max(MIN_CAPACITY),
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Sets the capacity in reports a second.
+    /// Sets the capacity in reports per second.
     pub fn set_capacity(&mut self, capacity: f64) {
         self.capacity = capacity.max(MIN_CAPACITY);
     }
@@ -139,7 +140,7 @@
         self.reports_by_server.clear();
     }
 
-    /// A report has been received in full. `up` is the state that the server reports of itself.
+    /// Handles a report that has been received in full. `up` is whether the server reports itself as up.
     pub fn report_received(
         &mut self,
         now: Duration,
@@ -167,7 +168,7 @@
         ReportAnswer::AcceptedAt(self.busy_until)
     }
 
-    /// Takes the connections whose answer is due at `now`.
+    /// Removes and returns the connections whose answer is due by `now`.
     pub fn take_due_answers(&mut self, now: Duration) -> Vec<ConnNo> {
         let mut conns = Vec::new();
         while let Some((_, conn)) = self.pending_answers.first().copied().filter(|(at, _)| *at <= now) {
@@ -200,13 +201,13 @@
         }
     }
 
-    /// The servers that the membership contained at `at`, in their order.
+    /// The servers that the membership contained at `at`, in ascending order.
     pub fn listed_servers(&self, at: Duration) -> Vec<ServerNo> {
         self.reports_by_server.keys().copied().filter(|server| self.is_listed(*server, at)).collect()
     }
 }
 
-/// The most of these ascending times within any window of this length.
+/// The largest number of these ascending times that lie within any window of this length.
 fn most_within(times: &[Duration], window: Duration) -> usize {
     let (mut first, mut most) = (0, 0);
     for (last, at) in times.iter().enumerate() {
--- a/crates/aldercrank-test-cluster/src/process.rs
+++ b/crates/aldercrank-test-cluster/src/process.rs
@@ -1,5 +1,5 @@
-//! Processes of the program under test: starting, signalling and collecting them. Each one ends with the thread that
-//! started it, also when the test cluster itself is killed.
+//! Starts, signals and reaps processes of the program under test. The kernel kills each one when the thread that
+//! started it ends, so that none is left even if the test cluster itself is killed.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::File;
@@ -9,23 +9,24 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// What is started, and by what.
+/// The program under test, and the launcher that starts it.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// `aldercrank`, of this build or of another.
+    /// The executable `aldercrank`, of this build or of another.
     pub path: PathBuf,
-    /// Its first arguments.
+    /// Arguments that come before those of each start.
     pub first: Vec<String>,
     /// A program of this repository whose command `hold PARENT PROGRAM ...` calls [`hold`].
-    pub holder: PathBuf,
-    /// The holder's command in place of `hold`, and the arguments before the program, for a holder that also observes.
+    pub launcher: PathBuf,
+    /// The launcher's command and its arguments before the program: `hold`, or a command that also observes the
+    /// program.
     pub verb: (String, Vec<String>),
 }
 
 impl Program {
-    /// The program at `path`, started by the holder's command `hold`.
-    pub fn new(path: PathBuf, holder: PathBuf) -> Program {
-        Program { path, first: Vec::new(), holder, verb: (HOLD_COMMAND.to_string(), Vec::new()) }
+    /// The program at `path`, started by the launcher's command `hold`.
+    pub fn new(path: PathBuf, launcher: PathBuf) -> Program {
+        Program { path, first: Vec::new(), launcher, verb: (HOLD_COMMAND.to_string(), Vec::new()) }
     }
 }
 
@@ -35,20 +36,20 @@
 /// If the kernel refuses, or the parent has ended already.
 pub fn end_with(parent: u32) -> io::Result<()> {
     rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?;
-    // The parent may have ended before the kernel was asked.
+    // The parent may have ended before the signal was requested, which is then never sent.
     let current_parent = rustix::process::getppid().map(|pid| pid.as_raw_nonzero().get() as u32);
     if current_parent == Some(parent) {
         Ok(())
     } else {
-        Err(io::Error::other("the test cluster that started this program has gone"))
+        Err(io::Error::other(format!("the parent process {parent} has already ended")))
     }
 }
 
-/// Becomes the program that `words` names first, after making the kernel kill it with its parent. Returns only on
-/// failure.
-pub fn hold(parent: u32, words: &[String]) -> io::Error {
-    let Some((program, args)) = words.split_first() else {
-        return io::Error::other("hold needs a program");
+/// Replaces this process with the program and arguments in `argv`, after making the kernel kill it when its parent
+/// ends. Returns only on failure.
+pub fn hold(parent: u32, argv: &[String]) -> io::Error {
+    let Some((program, args)) = argv.split_first() else {
+        return io::Error::other("hold: no program to run");
     };
     if let Err(e) = end_with(parent) {
         return e;
@@ -70,15 +71,15 @@
 }
 
 impl Process {
-    /// Starts the program with its output in a log file.
+    /// Starts the program, with its standard output and standard error in a log file.
     ///
     /// # Errors
-    /// If the log can't be created or the holder can't be started.
+    /// If the log can't be created or the launcher can't be started.
     pub fn start(program: &Program, args: &[&str], log: &Path) -> io::Result<Process> {
         let log = File::create(log)?;
-        let mut command = Command::new(&program.holder);
+        let mut command = Command::new(&program.launcher);
         command.arg(&program.verb.0).arg(std::process::id().to_string()).args(&program.verb.1);
-        // What follows `--` is for the program, flags included.
+        // The launcher leaves what follows `--` to the program, flags included.
         command.arg("--").arg(&program.path).args(&program.first).args(args);
         let child = command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log).spawn()?;
         Ok(Process { child, exit: None })
@@ -90,33 +91,33 @@
     }
 
     fn signal(&self, signal: Signal) {
-        // The id of a collected process may belong to another one.
+        // The id of a reaped process may already belong to another process.
         if let Some(pid) = Pid::from_raw(self.child.id() as i32).filter(|_| self.exit.is_none()) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Asks it to shut down, by SIGTERM.
+    /// Asks the process to shut down, by SIGTERM.
     pub fn request_shutdown(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Pauses it, by SIGSTOP.
+    /// Pauses the process, by SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Resumes it, by SIGCONT.
+    /// Resumes the process, by SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to read its configuration again, by SIGHUP.
+    /// Asks the process to reload its configuration, by SIGHUP.
     pub fn reload_config(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Kills it and waits for its exit.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         if self.exit.is_none() {
             let _ = self.child.kill();
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Its exit; `None` while it runs.
+    /// The exit of the process; `None` while it runs.
     pub fn exit(&mut self) -> Option<Exit> {
         if self.exit.is_none() {
             self.exit = self.child.try_wait().ok().flatten().map(|status| Exit { code: status.code() });
@@ -139,12 +140,12 @@
     }
 }
 
-/// What a thread spent on a core, and waiting for one, since it started.
+/// The time that a thread has spent on a core, and waiting for one, since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CpuTime {
-    /// On a core.
+    /// Time on a core.
     pub ran: Duration,
-    /// Ready to run, and waiting for a core.
+    /// Time during which it was ready to run and waited for a core.
     pub waited: Duration,
 }
 
@@ -159,26 +160,26 @@
     read_schedstat("/proc/thread-self/schedstat")
 }
 
-/// The CPU time of a process's first thread; zero once it has ended.
+/// The CPU time of a process's main thread; zero once it has ended.
 pub fn cpu_time(pid: u32) -> CpuTime {
     read_schedstat(&format!("/proc/{pid}/task/{pid}/schedstat"))
 }
 
-/// The resources of a process.
+/// The resources that a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessSize {
-    /// The most memory that was resident so far.
+    /// The peak resident memory so far.
     pub peak_memory_kb: u64,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: usize,
 }
 
-/// The name of the command by which a holder becomes the program.
+/// The launcher's command that replaces it with the program.
 const HOLD_COMMAND: &str = "hold";
 
-/// Whether a process of this command line, as `/proc/PID/cmdline` has it, is still to become the program: it has
-/// none yet, or is the holder. Until the kernel has completed the holder's start, its descriptors are those of the
-/// process that started it.
+/// Whether a process with this command line, as read from `/proc/PID/cmdline`, has yet to become the program: its
+/// command line is still empty, or that of the launcher. Until the launcher's `exec` is complete, the descriptors are
+/// those of the parent process.
 pub fn is_starting(command_line: &[u8]) -> bool {
     let mut arguments = command_line.split(|byte| *byte == 0);
     let program = arguments.next().unwrap_or_default();
@@ -190,7 +191,7 @@
     std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default()
 }
 
-/// The resources of a process; zero once it has ended.
+/// The resources that a process uses; zero once it has ended.
 pub fn size(pid: u32) -> ProcessSize {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
--- a/crates/aldercrank-test-cluster/src/sockets.rs
+++ b/crates/aldercrank-test-cluster/src/sockets.rs
@@ -12,30 +12,30 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// The most events that one wait returns.
+/// The maximum number of events that one wait returns.
 const MAX_EVENTS: usize = 1024;
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Set in the event data of listeners; that of streams is their index.
+/// Set in the event data of listeners; the event data of a stream is its slab index.
 const LISTENER_FLAG: u64 = 1 << 63;
-/// A cluster that starts at once connects at once.
+/// Large, since the servers of a cluster start at the same time and all connect then.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// A listener.
+/// Identifies a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PortNo(pub u32);
+pub struct ListenerId(pub u32);
 
-/// A listener that was opened.
+/// A newly opened listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenListener {
-    /// Its number.
-    pub port: PortNo,
+    /// Its identifier.
+    pub id: ListenerId,
     /// Where it listens.
     pub address: SocketAddr,
 }
 
-struct Port {
+struct Listener {
     /// `None` while connections are refused.
-    listener: Option<TcpListener>,
+    socket: Option<TcpListener>,
     address: SocketAddr,
 }
 
@@ -43,14 +43,14 @@
     stream: TcpStream,
     conn: ConnNo,
     output: Vec<u8>,
-    /// How much of `output` is written.
+    /// How many bytes of `output` have been written.
     written: usize,
     connecting: bool,
-    /// What the epoll set waits for.
+    /// The events that the epoll set waits for.
     flags: EventFlags,
-    /// It is not read.
+    /// Reading is paused.
     paused: bool,
-    /// It is to be flushed at the end of the turn.
+    /// It is in `to_flush`.
     needs_flush: bool,
 }
 
@@ -58,12 +58,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketEvent {
     /// A connection was accepted.
-    Accepted(PortNo, ConnNo),
+    Accepted(ListenerId, ConnNo),
     /// A connection was established.
     Connected(ConnNo),
-    /// There are bytes to read, or the other side has closed.
+    /// There are bytes to read, or the other side has closed the connection.
     Readable(ConnNo),
-    /// It could not be established, or has failed.
+    /// A connection could not be established, or has failed.
     Failed(ConnNo),
 }
 
@@ -72,7 +72,7 @@
 pub enum ReadOutcome {
     /// This many bytes are in the read buffer.
     Bytes(usize),
-    /// Nothing for now.
+    /// There is nothing to read for now.
     WouldBlock,
     /// The connection has ended.
     Closed,
@@ -81,13 +81,13 @@
 /// All listeners and streams of a test cluster.
 pub struct SocketSet {
     epoll: OwnedFd,
-    ports: Vec<Port>,
+    listeners: Vec<Listener>,
     streams: Slab<Stream>,
     stream_indices: HashMap<ConnNo, usize>,
     connections_made: u64,
     to_flush: Vec<ConnNo>,
     epoll_events: Vec<epoll::Event>,
-    /// There was no descriptor for a connection that was to be accepted.
+    /// A connection could not be accepted because this process has no file descriptor left.
     pub out_of_descriptors: bool,
     /// The bytes of the last read.
     pub read_buffer: Vec<u8>,
@@ -97,12 +97,12 @@
     /// An empty set.
     ///
     /// # Errors
-    /// If the kernel can't create it.
+    /// If the epoll instance can't be created.
     pub fn new() -> io::Result<SocketSet> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         Ok(SocketSet {
             epoll,
-            ports: Vec::new(),
+            listeners: Vec::new(),
             streams: Slab::new(),
             stream_indices: HashMap::new(),
             connections_made: 0,
@@ -120,40 +120,40 @@
     pub fn listen(&mut self, ip: &str) -> io::Result<OpenListener> {
         let listener = TcpListener::bind((ip, 0))?;
         let address = listener.local_addr()?;
-        let port = PortNo(self.ports.len() as u32);
-        self.ports.push(Port { listener: None, address });
-        self.open(port, listener)?;
-        Ok(OpenListener { port, address })
+        let id = ListenerId(self.listeners.len() as u32);
+        self.listeners.push(Listener { socket: None, address });
+        self.open(id, listener)?;
+        Ok(OpenListener { id, address })
     }
 
-    fn open(&mut self, port: PortNo, listener: TcpListener) -> io::Result<()> {
+    fn open(&mut self, id: ListenerId, listener: TcpListener) -> io::Result<()> {
         listener.set_nonblocking(true)?;
         rustix::net::listen(&listener, LISTEN_BACKLOG)?;
         epoll::add(
             &self.epoll,
             &listener,
-            EventData::new_u64(LISTENER_FLAG | u64::from(port.0)),
+            EventData::new_u64(LISTENER_FLAG | u64::from(id.0)),
             EventFlags::IN,
         )?;
-        self.ports[port.0 as usize].listener = Some(listener);
+        self.listeners[id.0 as usize].socket = Some(listener);
         Ok(())
     }
 
     /// Closes a listener, so that connections to it are refused.
-    pub fn close_listener(&mut self, port: PortNo) {
-        self.ports[port.0 as usize].listener = None;
+    pub fn close_listener(&mut self, id: ListenerId) {
+        self.listeners[id.0 as usize].socket = None;
     }
 
     /// Opens a closed listener again, at the same address.
     ///
     /// # Errors
     /// If the address can't be bound any more.
-    pub fn reopen_listener(&mut self, port: PortNo) -> io::Result<()> {
-        if self.ports[port.0 as usize].listener.is_some() {
+    pub fn reopen_listener(&mut self, id: ListenerId) -> io::Result<()> {
+        if self.listeners[id.0 as usize].socket.is_some() {
             return Ok(());
         }
-        let listener = TcpListener::bind(self.ports[port.0 as usize].address)?;
-        self.open(port, listener)
+        let listener = TcpListener::bind(self.listeners[id.0 as usize].address)?;
+        self.open(id, listener)
     }
 
     fn add_stream(&mut self, stream: TcpStream, connecting: bool) -> io::Result<ConnNo> {
@@ -177,10 +177,10 @@
         Ok(conn)
     }
 
-    /// Begins a connection; `SocketEvent::Connected` or `Failed` follows.
+    /// Begins to connect; `SocketEvent::Connected` or `Failed` follows.
     ///
     /// # Errors
-    /// If it fails at once.
+    /// If connecting fails at once.
     pub fn connect(&mut self, to: SocketAddr) -> io::Result<ConnNo> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
@@ -197,7 +197,7 @@
         self.streams.get_mut(index)
     }
 
-    /// Queues bytes, which are written at the end of the turn.
+    /// Queues bytes, which the next [`SocketSet::flush`] writes.
     pub fn send(&mut self, conn: ConnNo, bytes: &[u8]) {
         let Some(stream) = self.stream(conn) else { return };
         stream.output.extend_from_slice(bytes);
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Writes what is queued as far as possible without waiting, and closes the connection.
+    /// Writes the queued bytes as far as possible without waiting, and closes the connection.
     pub fn close(&mut self, conn: ConnNo) {
         self.flush_one(conn);
         self.drop_stream(conn);
@@ -227,14 +227,14 @@
         }
     }
 
-    /// Removes a connection from the epoll set: the other side has closed it, and that is handled later.
+    /// Removes a connection that the other side has closed from the epoll set, since its close is handled later.
     pub fn stop_polling(&mut self, conn: ConnNo) {
         if let Some(&index) = self.stream_indices.get(&conn) {
             let _ = epoll::delete(&self.epoll, &self.streams[index].stream);
         }
     }
 
-    /// Sets whether a connection is left unread.
+    /// Pauses or resumes reading from a connection.
     pub fn set_paused(&mut self, conn: ConnNo, paused: bool) {
         if let Some(stream) = self.stream(conn) {
             stream.paused = paused;
@@ -265,7 +265,7 @@
             match stream.stream.write(&stream.output[stream.written..]) {
                 Ok(n) => stream.written += n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // A failure shows at the next read.
+                // The next read reports the failure.
                 Err(_) => break,
             }
         }
@@ -276,7 +276,7 @@
         self.update_interest(conn);
     }
 
-    /// Writes what is queued, as far as possible without waiting.
+    /// Writes the queued bytes of all connections, as far as possible without waiting.
     pub fn flush(&mut self) {
         for conn in std::mem::take(&mut self.to_flush) {
             self.flush_one(conn);
@@ -300,7 +300,7 @@
     /// Flushes, waits for events for at most `limit`, and appends them to `into`.
     ///
     /// # Errors
-    /// If the kernel can't wait.
+    /// If `epoll_wait` fails.
     pub fn wait(&mut self, limit: Duration, into: &mut Vec<SocketEvent>) -> io::Result<()> {
         self.flush();
         let timeout = Timespec { tv_sec: limit.as_secs() as i64, tv_nsec: i64::from(limit.subsec_nanos()) };
@@ -314,7 +314,7 @@
         for event in &events {
             let data = event.data.u64();
             if data & LISTENER_FLAG != 0 {
-                self.accept(PortNo(data as u32), into);
+                self.accept(ListenerId(data as u32), into);
             } else if let Some(conn) = self.streams.get(data as usize).map(|stream| stream.conn) {
                 self.stream_ready(conn, event.flags, into);
             }
@@ -323,9 +323,9 @@
         Ok(())
     }
 
-    fn accept(&mut self, port: PortNo, into: &mut Vec<SocketEvent>) {
+    fn accept(&mut self, id: ListenerId, into: &mut Vec<SocketEvent>) {
         loop {
-            let Some(listener) = &self.ports[port.0 as usize].listener else { return };
+            let Some(listener) = &self.listeners[id.0 as usize].socket else { return };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.raw_os_error() == Some(rustix::io::Errno::MFILE.raw_os_error()) => {
@@ -338,7 +338,7 @@
                 continue;
             }
             if let Ok(conn) = self.add_stream(stream, false) {
-                into.push(SocketEvent::Accepted(port, conn));
+                into.push(SocketEvent::Accepted(id, conn));
             }
         }
     }
--- a/crates/aldercrank-test-cluster/src/testbed.rs
+++ b/crates/aldercrank-test-cluster/src/testbed.rs
@@ -1,5 +1,5 @@
-//! What stands between the processes and the stub services: sockets, relayed links with their corruption, timers, the
-//! membership that edge nodes read, the invariant checker and the run's record. The test cluster drives it.
+//! Connects the processes with the stub services: sockets, relayed links with their corruption, timers, the membership
+//! that edge nodes read, the invariant checker and the run's record. [`crate::cluster`] drives it.
 
 use crate::edge_nodes::EdgeTimer;
 use crate::ids::{ConnNo, EdgeNo, Incarnation, RemoteEndpoint, ReplyTo, ServerNo};
@@ -8,7 +8,7 @@
 use crate::random::RandomStream;
 use crate::relayed_link::{Corruption, RelayedLink};
 use crate::run_record::RunRecord;
-use crate::sockets::{PortNo, SocketEvent, SocketSet};
+use crate::sockets::{ListenerId, SocketEvent, SocketSet};
 use crate::version_checker::VersionedDecision;
 use aldercrank_protocol::worker_pool::AttemptId;
 use aldercrank_protocol::worker_pool::CommandError;
@@ -34,7 +34,7 @@
 }
 
 impl ConnectionOwner {
-    /// The server, and the kind of endpoint that it is connected to.
+    /// The link that the connection belongs to.
     pub fn link(self) -> LinkId {
         let (server, remote) = match self {
             ConnectionOwner::WorkerPool(server) => (server, RemoteEndpoint::WorkerPool),
@@ -65,7 +65,7 @@
     pub member: ServerNo,
 }
 
-/// An attempt that is over.
+/// An attempt that is over, whether it was answered or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedAttempt {
     /// The server that it was sent to.
@@ -74,10 +74,10 @@
     pub attempt: AttemptId,
 }
 
-/// What the test cluster does at a given time.
+/// An action that the test cluster takes at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A run of this server's worker pool ends or comes to its call.
+    /// A run of this server's worker pool ends or reaches its call.
     WorkerPool(ServerNo),
     /// A call at the index ends.
     Index,
@@ -85,13 +85,13 @@
     MembershipService,
     /// A timer of the edge nodes.
     Edge(EdgeTimer),
-    /// Queued bytes of a connection are due.
+    /// Queued bytes of a connection are to be released.
     RelayedLink(ConnNo),
-    /// The next caller arrives.
+    /// The next request arrives.
     NextArrival,
     /// The timeline's step of this index begins for a server.
     BeginStep(usize, ServerNo),
-    /// The step ends for a server.
+    /// The timeline's step of this index ends for a server.
     EndStep(usize, ServerNo),
     /// Ended processes are collected and scheduling delay is sampled.
     SampleProcesses,
@@ -99,7 +99,8 @@
     CheckLimits,
     /// A server is started.
     StartServer(ServerNo),
-    /// The step of this index sends its signal of this index to an incarnation of a server.
+    /// A step of the timeline sends one of its signals to an incarnation of a server: index of the step, server,
+    /// incarnation, index of the signal within the step.
     SendSignal(usize, ServerNo, Incarnation, usize),
     /// A request is written on each open connection to an incarnation of a server.
     RequestBurst(ServerNo, Incarnation),
@@ -113,14 +114,15 @@
     PublishVersion(usize),
 }
 
-/// Both directions of a connection, present once bytes had to be queued.
+/// Both directions of a connection. It exists only for connections on which bytes had to be queued, or whose close is
+/// deferred.
 #[derive(Default)]
 struct ConnectionLinks {
     to_process: RelayedLink,
     from_process: RelayedLink,
-    /// The process has closed the connection; delivered after the bytes that it sent before.
+    /// The process has closed the connection, which is handled once the bytes that it sent before are delivered.
     closed_by_process: bool,
-    /// The test cluster has closed the connection; done after the bytes that it sent before.
+    /// The test cluster closes the connection once the bytes that it sent before are released.
     closing: bool,
 }
 
@@ -142,11 +144,11 @@
     HandleClose,
 }
 
-/// The shared state of a run.
+/// The state that the parts of a run share.
 pub struct Testbed {
     /// All sockets.
     pub sockets: SocketSet,
-    /// Socket events of the current turn; kept to reuse its memory.
+    /// Socket events of the current iteration of the event loop; kept to reuse its memory.
     pub events: Vec<SocketEvent>,
     timers: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
     /// The earliest pending time of each coalesced timer; later ones are not queued.
@@ -159,10 +161,10 @@
     corruptions: BTreeMap<LinkId, LinkCorruption>,
     /// Servers to which edge nodes can't connect.
     pub unreachable: BTreeSet<ServerNo>,
-    /// Which server connects to which kind of stub service at each listener.
-    pub ports: HashMap<PortNo, LinkId>,
+    /// The link whose connections each listener of a stub service accepts.
+    pub listener_links: HashMap<ListenerId, LinkId>,
     /// Relays between servers, by listener.
-    pub relays: HashMap<PortNo, RelayId>,
+    pub relays: HashMap<ListenerId, RelayId>,
     /// Where each server listens.
     pub server_addresses: Vec<SocketAddr>,
     /// The current incarnation of each server.
@@ -173,11 +175,11 @@
     pub record: RunRecord,
     /// The membership service.
     pub membership: MembershipStub,
-    /// How late edge nodes see the membership.
+    /// How outdated the membership is that edge nodes see.
     pub membership_lag: Duration,
-    /// Additional lag by a fault.
+    /// Additional lag that an injected fault causes.
     pub extra_membership_lag: Duration,
-    /// A fault: edge nodes see each server twice, and one that never existed.
+    /// An injected fault: edge nodes see each server twice, and one that never existed.
     pub wrong_membership: bool,
     /// Attempts that are over, answered or not, and not yet reported to their worker pools.
     pub finished_attempts: Vec<FinishedAttempt>,
@@ -194,7 +196,7 @@
     /// A testbed for this many servers, without listeners.
     ///
     /// # Errors
-    /// If the socket poller can't be created.
+    /// If the epoll instance can't be created.
     pub fn new(
         checker: InvariantChecker,
         record: RunRecord,
@@ -214,7 +216,7 @@
             links: HashMap::new(),
             corruptions: BTreeMap::new(),
             unreachable: BTreeSet::new(),
-            ports: HashMap::new(),
+            listener_links: HashMap::new(),
             relays: HashMap::new(),
             server_addresses: Vec::new(),
             incarnations: vec![Incarnation(0); servers],
@@ -232,14 +234,14 @@
         })
     }
 
-    /// Notes that the attempt behind this reply-to is over, for its worker pool.
+    /// Records in `finished_attempts` that the attempt whose response is expected here is over.
     pub fn finish_attempt(&mut self, reply_to: ReplyTo) {
         if let Some(attempt) = self.checker.attempt_at(reply_to) {
             self.finished_attempts.push(FinishedAttempt { server: attempt.server, attempt: attempt.attempt });
         }
     }
 
-    /// Sets a timer. Timers of stub services and links are set anew at each event, so only the earliest is kept.
+    /// Sets a timer. Timers of stub services and links are set again at each event, so only the earliest is kept.
     pub fn set_timer(&mut self, at: Duration, timer: Timer) {
         let coalesced = matches!(
             timer,
@@ -260,7 +262,8 @@
         self.timers.peek().map(|Reverse((at, _, _))| *at)
     }
 
-    /// Takes the next timer that is due at `now`; timers of the same time come in the order in which they were set.
+    /// Removes and returns the next timer that is due at `now`. Timers of the same time come in the order in which they
+    /// were set.
     pub fn pop_due_timer(&mut self, now: Duration) -> Option<Timer> {
         self.now = self.now.max(now);
         let Reverse((at, _, timer)) = *self.timers.peek().filter(|Reverse((at, _, _))| *at <= now)?;
@@ -284,7 +287,7 @@
         self.owners.get(&conn).copied()
     }
 
-    /// Forgets a connection and closes it, unless its queued bytes are still to be sent.
+    /// Removes a connection and closes it, or leaves the close until its queued bytes are sent.
     pub fn unregister(&mut self, conn: ConnNo) -> Option<ConnectionOwner> {
         self.index_call_parents.remove(&conn);
         let closes_later = self.links.get(&conn).is_some_and(|links| links.closing);
@@ -351,7 +354,7 @@
         }
     }
 
-    /// Sends bytes of a stub service to a process, through the link's corruption.
+    /// Sends bytes to a process, subject to the corruption of the link.
     pub fn send_to_process(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
@@ -371,7 +374,7 @@
         }
     }
 
-    /// Takes bytes that a process has sent. Returns them if they pass at once; otherwise they are queued.
+    /// Takes bytes that a process has sent. Returns them if they pass at once; otherwise queues them.
     pub fn receive_from_process(&mut self, now: Duration, conn: ConnNo, bytes: Vec<u8>) -> Option<Vec<u8>> {
         self.now = self.now.max(now);
         let corruption =
@@ -393,7 +396,8 @@
         None
     }
 
-    /// Whether the process's close of a connection is handled later, after its queued bytes or the end of a block.
+    /// Defers the handling of a close by the process if queued bytes come before it or the link is blocked. Returns
+    /// whether it was deferred.
     pub fn defer_close_by_process(&mut self, conn: ConnNo) -> bool {
         let blocked = self.corruption_of(conn).is_some_and(|corruption| corruption.from_process.blocked);
         match self.links.get_mut(&conn) {
@@ -453,10 +457,10 @@
         }
     }
 
-    /// Records that a server sent its worker pool bytes that are no command, unless a fault corrupts that link.
+    /// Records the violation that a server sent its worker pool an invalid command, unless a fault corrupts that link.
     pub fn record_invalid_pool_command(&mut self, now: Duration, server: ServerNo, why: &CommandError) {
         if !self.is_link_corrupted(LinkId { server, remote: RemoteEndpoint::WorkerPool }) {
-            let what = format!("it sent its pool an invalid command: {why}");
+            let what = format!("the server sent its worker pool an invalid command: {why}");
             self.checker.record_violation(now, Rule::Mixed, None, Some(server), what);
         }
     }
--- a/crates/aldercrank-test-cluster/src/worker_pool_stub.rs
+++ b/crates/aldercrank-test-cluster/src/worker_pool_stub.rs
@@ -1,31 +1,32 @@
-//! A stub worker pool without sockets and clock: processor sharing among the runs on its cores, with slow start and
-//! injected slowness or a late start. Its notices are numbered, and those that a new link has missed are sent again.
+//! A stub worker pool. Its runs share its cores evenly (processor sharing); the cores can start cold and warm up, and
+//! injected faults slow the pool down or delay its start. Its notices are numbered, and a new link is sent those that
+//! it has missed. It performs no I/O and reads no clock.
 
 use aldercrank_protocol::worker_pool::{self, AttemptId, CommandError, CommandHandler, NoticeNumber, RunEnd};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How many notices are kept for a new link.
+/// The maximum number of notices that are kept to be sent on a new link.
 const MAX_KEPT_NOTICES: usize = 4000;
 /// No run progresses slower than this share of full speed, so that each run ends.
 const MIN_RATE: f64 = 0.01;
-/// A run with less work left than this many seconds is done; it absorbs rounding.
+/// A run with at most this many seconds of work left is done. It absorbs rounding errors.
 const WORK_EPSILON_SECONDS: f64 = 1e-7;
 
 /// The plan of one run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunPlan {
-    /// Time that it takes on a warm core of its own.
+    /// The time that it takes on a warm core of its own.
     pub work: Duration,
-    /// Halfway through its work it waits for a call to an upstream dependency.
+    /// Whether it waits for a call to an upstream dependency halfway through its work.
     pub makes_call: bool,
-    /// It ends at once, with an error.
+    /// Whether it ends at once, with an error.
     pub fails: bool,
 }
 
-/// Supplies the runs of a pool and observes them.
+/// Plans the runs of a pool and observes them.
 pub trait WorkerPoolHost {
-    /// The plan of a run that was just started; `None` if no such request came to this server with this body.
+    /// The plan of a run that is being started; `None` if no such attempt was sent to this server.
     fn plan_run(&mut self, attempt: AttemptId, class: &str, body: &[u8]) -> Option<RunPlan>;
     /// The body of the run's call.
     fn call_body(&mut self, attempt: AttemptId) -> Vec<u8>;
@@ -38,17 +39,18 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     OnCore,
-    /// At the call that this notice asked for.
+    /// Waits for the result of the call that this notice requested.
     WaitingForCall(NoticeNumber),
 }
 
 struct Run {
     plan: RunPlan,
     started: Duration,
-    /// Seconds of work left until it ends, or comes to its call.
+    /// Seconds of work left until it ends, or reaches its call.
     work_left: f64,
-    called: bool,
-    /// Its request is over: it is halted where it would next wait for a call.
+    /// Its call is over, or it makes none because it fails.
+    call_done: bool,
+    /// Its request is over: it is cancelled when it reaches its call.
     request_over: bool,
     stage: Stage,
 }
@@ -69,18 +71,18 @@
     cores: Cores,
     started: Duration,
     cold: bool,
-    /// Until this time links are accepted and not answered.
+    /// Until this time links are accepted, but not answered.
     up_at: Duration,
     /// The share of full speed that an injected fault leaves; 1 without a fault.
     pub speed: f64,
     runs: BTreeMap<AttemptId, Run>,
-    /// Up to when the runs have been advanced.
+    /// The time to which the runs have been advanced.
     advanced_to: Duration,
     notices: u64,
     kept_notices: VecDeque<(NoticeNumber, Vec<u8>)>,
     /// The current link is bound.
     linked: bool,
-    /// The last notice number of a link that asked to be bound before the pool was up.
+    /// The last notice seen by a link that asked to be bound before the pool was up, and is answered then.
     early_bind: Option<NoticeNumber>,
     /// Bytes to send on the link.
     pub output: Vec<u8>,
@@ -137,7 +139,7 @@
         on_core.map(|run| run.work_left).min_by(f64::total_cmp)
     }
 
-    /// The link was closed, or a new one replaced it. Runs continue.
+    /// Handles the close or the replacement of the link. Runs continue.
     pub fn unlink(&mut self) {
         (self.linked, self.early_bind) = (false, None);
         self.output.clear();
@@ -146,7 +148,7 @@
     /// Executes the first command in `buf`. Returns its length, or `None` if it is incomplete.
     ///
     /// # Errors
-    /// If the bytes are no command.
+    /// If the bytes are not a valid command.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -157,7 +159,7 @@
         worker_pool::read_command(buf, &mut CommandReceiver { pool: self, now, host })
     }
 
-    /// When the next run ends or comes to its call, or a late pool with a waiting link is up.
+    /// When the next run ends or reaches its call, or the pool is up and answers a link that waits to be bound.
     pub fn next_event(&self, now: Duration) -> Option<Duration> {
         let least = self.least_work_left();
         let end = least.map(|left| now + Duration::from_secs_f64(left.max(0.0) / self.rate(now)));
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Runs that have no work left come to their call, or end.
+    /// Lets runs that have no work left begin their call, or ends them.
     fn finish_stages(&mut self, host: &mut impl WorkerPoolHost) {
         let done: Vec<AttemptId> = self
             .runs
@@ -196,10 +198,10 @@
             .collect();
         for attempt in done {
             let Some(run) = self.runs.get_mut(&attempt) else { continue };
-            let comes_to_call = run.plan.makes_call && !run.called;
-            if comes_to_call && run.request_over {
+            let reaches_call = run.plan.makes_call && !run.call_done;
+            if reaches_call && run.request_over {
                 self.end_run(attempt, RunEnd::Cancelled, host);
-            } else if comes_to_call {
+            } else if reaches_call {
                 self.notices += 1;
                 let number = NoticeNumber(self.notices);
                 run.stage = Stage::WaitingForCall(number);
@@ -212,7 +214,8 @@
         }
     }
 
-    /// The request was answered or its caller has gone: a run that waits for its call is halted.
+    /// Handles the end of a request that was answered or whose caller has gone: cancels its run if that waits for its
+    /// call, or else as soon as it reaches its call.
     pub fn request_over(&mut self, now: Duration, attempt: AttemptId, host: &mut impl WorkerPoolHost) {
         self.advance(now, host);
         let Some(run) = self.runs.get_mut(&attempt) else { return };
@@ -254,7 +257,7 @@
     }
 }
 
-/// Executes the command that is being read.
+/// Executes commands as they are read.
 struct CommandReceiver<'a, H> {
     pool: &'a mut WorkerPoolStub,
     now: Duration,
@@ -262,7 +265,8 @@
 }
 
 impl<H: WorkerPoolHost> CommandReceiver<'_, H> {
-    /// Continues a run that waits for its call, or for the call of this notice alone. Returns whether it did wait.
+    /// Resumes a run that waits for its call; with `call`, only if it waits for the call that this notice requested.
+    /// Returns whether the run was resumed.
     fn resume_run(&mut self, attempt: AttemptId, call: Option<NoticeNumber>) -> bool {
         let waits = |stage: Stage| match (stage, call) {
             (Stage::WaitingForCall(_), None) => true,
@@ -270,7 +274,7 @@
             _ => false,
         };
         let Some(run) = self.pool.runs.get_mut(&attempt).filter(|run| waits(run.stage)) else { return false };
-        (run.stage, run.called) = (Stage::OnCore, true);
+        (run.stage, run.call_done) = (Stage::OnCore, true);
         run.work_left = run.plan.work.as_secs_f64() / 2.0;
         true
     }
@@ -298,7 +302,7 @@
             plan,
             started: self.now,
             work_left,
-            called: plan.fails,
+            call_done: plan.fails,
             request_over: false,
             stage: Stage::OnCore,
         };
--- a/crates/aldercrank-test-cluster/tests/components/main.rs
+++ b/crates/aldercrank-test-cluster/tests/components/main.rs
@@ -1,6 +1,7 @@
-//! The parts of a test cluster without sockets: relayed links, stub services, the invariant checker, scenarios.
+//! Tests of the parts of a test cluster that perform no network I/O: relayed links, stub services, the invariant
+//! checker, scenarios.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Support code is private to this test binary, and tests that walk through a scenario may be long.
 #![allow(
     missing_docs,
     unreachable_pub,
--- a/crates/aldercrank-test-cluster/tests/components/relayed_link.rs
+++ b/crates/aldercrank-test-cluster/tests/components/relayed_link.rs
@@ -21,7 +21,7 @@
         let now = ms(n as u64);
         link.push(now, bytes.clone(), &corruption, &mut random);
         received.extend(released(&mut link, now, &corruption));
-        assert!(n >= 20 || received.is_empty(), "nothing comes before its delay");
+        assert!(n >= 20 || received.is_empty(), "bytes were released before their delay was over");
     }
     received.extend(released(&mut link, ms(1000), &corruption));
     assert_eq!(received, sent.concat());
@@ -41,7 +41,7 @@
     assert_eq!(
         released(&mut link, ms(999), &Corruption::default()),
         b"",
-        "half of a message, then nothing for good"
+        "a link that has gone silent releases nothing any more"
     );
 }
 
@@ -57,6 +57,6 @@
         (RelayedLink::default(), Corruption { bytes_per_second: Some(100), ..Corruption::default() });
     link.push(ms(0), vec![7; 100], &slow, &mut random);
     let half = released(&mut link, ms(500), &slow).len();
-    assert!((45..=60).contains(&half), "{half} of 100 bytes in half a second");
+    assert!((45..=60).contains(&half), "{half} of 100 bytes released in half a second at 100 bytes/s");
     assert_eq!(released(&mut link, ms(1000), &slow).len(), 100 - half);
 }
--- a/crates/aldercrank-test-cluster/tests/components/stub_services.rs
+++ b/crates/aldercrank-test-cluster/tests/components/stub_services.rs
@@ -35,7 +35,11 @@
     assert_eq!(membership.listed_servers(ms(1)), [n1], "the past membership stays visible");
     let refused = (0..20)
         .filter(|n| membership.report_received(ms(8000), ConnNo(10 + n), n1, true) == ReportAnswer::Rejected);
-    assert_eq!(refused.count(), 14, "half a second of queue at ten a second, and the one that begins");
+    assert_eq!(
+        refused.count(),
+        14,
+        "at ten a second, one report is in progress and five fill the queue of half a second"
+    );
     membership.forget_entries();
     assert!(!membership.is_listed(n1, ms(8000)));
 }
--- a/crates/aldercrank-test-cluster/tests/components/worker_pool_stub.rs
+++ b/crates/aldercrank-test-cluster/tests/components/worker_pool_stub.rs
@@ -1,4 +1,4 @@
-//! The stub worker pool, beside a slow reference model.
+//! The stub worker pool, compared with a slow reference model.
 
 use crate::{attempt, ms};
 use aldercrank_protocol::worker_pool::{AttemptId, RunEnd};
@@ -24,7 +24,8 @@
     }
 }
 
-/// Cores shared evenly, a tenth of a millisecond at a time.
+/// The reference model: when jobs of these starts and work, in milliseconds, end on evenly shared cores. Simulated in
+/// steps of a tenth of a millisecond.
 fn reference_ends(cores: f64, jobs: &[(u64, u64)]) -> Vec<f64> {
     let mut left: Vec<f64> = jobs.iter().map(|(_, work)| *work as f64).collect();
     let mut ends = vec![0.0; jobs.len()];
@@ -52,32 +53,35 @@
         let (mut pool, mut ends) = (WorkerPoolStub::new(cores, ms(0), false, ms(0)), EndRecorder::default());
         let mut order: Vec<usize> = (0..jobs.len()).collect();
         order.sort_by_key(|i| jobs[*i].0);
-        let mut at = vec![0.0; jobs.len()];
+        let mut end_times = vec![0.0; jobs.len()];
         let mut now = ms(0);
-        let mut note = |ends: &mut EndRecorder, now: Duration| {
+        let mut record_ends = |ends: &mut EndRecorder, now: Duration| {
             for (attempt, _) in ends.0.drain(..) {
                 let n = (0..jobs.len()).find(|i| self::attempt(*i as u32) == attempt).unwrap();
-                at[n] = now.as_secs_f64() * 1e3;
+                end_times[n] = now.as_secs_f64() * 1e3;
             }
         };
         for i in order {
             while let Some(next) = pool.next_event(now).filter(|next| *next <= ms(jobs[i].0)) {
                 now = next;
                 pool.advance(now, &mut ends);
-                note(&mut ends, now);
+                record_ends(&mut ends, now);
             }
             now = ms(jobs[i].0);
             let line = format!("spawn {} {} 0\r\n\r\n", attempt(i as u32), jobs[i].1);
             pool.receive(now, line.as_bytes(), &mut ends).unwrap();
-            note(&mut ends, now);
+            record_ends(&mut ends, now);
         }
         while let Some(next) = pool.next_event(now) {
             now = next;
             pool.advance(now, &mut ends);
-            note(&mut ends, now);
+            record_ends(&mut ends, now);
         }
-        for (n, (found, expected)) in at.iter().zip(reference_ends(3.0, &jobs)).enumerate() {
-            assert!((found - expected).abs() < 2.0, "seed {seed} run {n}: {found} against {expected}");
+        for (n, (found, expected)) in end_times.iter().zip(reference_ends(3.0, &jobs)).enumerate() {
+            assert!(
+                (found - expected).abs() < 2.0,
+                "seed {seed} run {n} ended at {found} ms, expected {expected}"
+            );
         }
     }
 }
@@ -98,10 +102,14 @@
     let sent = String::from_utf8(pool.output.clone()).unwrap();
     assert!(sent.starts_with("bound warm 100.000\r\n"), "{sent}");
     assert!(!sent.contains("finished 1 ") && sent.contains("finished 2 "), "{sent}");
-    assert!(pool.receive(ms(100), b"dance\r\n", &mut ends).is_err(), "what is no command ends the link");
+    assert!(
+        pool.receive(ms(100), b"dance\r\n", &mut ends).is_err(),
+        "an unknown command is an error, which ends the link"
+    );
 }
 
-/// A run that waits for the call of a request that is over would stay forever, and take a core's share.
+/// Guards against runs that never end: if a run waited for the call of a request that is over, it would wait forever
+/// and take its share of a core.
 #[test]
 fn a_run_of_an_ended_request_is_stopped_at_its_call() {
     struct CallingHost(Vec<(AttemptId, RunEnd)>);
@@ -125,9 +133,9 @@
         pool.receive(ms(0), line.as_bytes(), &mut host).unwrap();
     }
     pool.request_over(ms(5), attempt(1), &mut host);
-    assert_eq!(host.0, [], "it runs on until it comes to its call");
+    assert_eq!(host.0, [], "the run continues until it reaches its call");
     pool.advance(ms(15), &mut host);
     assert_eq!(host.0, [(attempt(1), RunEnd::Cancelled)]);
     pool.request_over(ms(20), attempt(2), &mut host);
-    assert_eq!(host.0.len(), 2, "one that waits ends at once");
+    assert_eq!(host.0.len(), 2, "a run that already waits for its call ends at once");
 }
--- a/crates/aldercrank-testbench/tests/suite/cluster.rs
+++ b/crates/aldercrank-testbench/tests/suite/cluster.rs
@@ -90,8 +90,10 @@
     let _ = std::fs::remove_dir_all(dir("deaf"));
     let all: Value = serde_json::from_slice(&output.stdout).unwrap();
     let broken = all["outcome"]["broken"].as_array().unwrap();
-    let named =
-        broken.iter().filter(|b| b["what"] == "it did not exit when it was asked to shut down").count();
+    let named = broken
+        .iter()
+        .filter(|b| b["what"] == "the server did not exit in time after it was asked to shut down")
+        .count();
     assert_eq!((output.status.code(), named), (Some(1), 2), "{all}");
 }
 
@@ -127,7 +129,7 @@
     let _ = std::fs::remove_dir_all(dir("descriptors"));
     let output_text = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{output_text}");
-    assert!(output_text.contains("descriptors, and 64 are allowed"), "{output_text}");
+    assert!(output_text.contains("file descriptors, but the limit is 64:"), "{output_text}");
 }
 
 #[test]
@@ -164,7 +166,7 @@
     };
     let (code, story) = why("20");
     assert_eq!(code, Some(0), "{story}");
-    assert!(story.contains("asks, as") && story.contains("over for its caller"), "{story}");
+    assert!(story.contains(" sent attempt ") && story.contains("ended for its caller: "), "{story}");
     // Fields are shown in the order of their names: the attempt's id stands before the request's class.
     assert!(
         story.contains("logs: request received attempt=")
