--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// The duration of a fault without an end: longer than any run.
-const UNENDING: Duration = Duration::from_secs(86_400 * 30);
+const UNLIMITED_DURATION: Duration = Duration::from_secs(86_400 * 30);
 
 /// Whether connections are accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
         if step.fault.is_shared() {
             return self.begin_shared_fault(now, index);
         }
-        let until = if step.lasts.is_some() { until } else { now + UNENDING };
+        let until = if step.lasts.is_some() { until } else { now + UNLIMITED_DURATION };
         match &step.fault {
             Fault::Kill | Fault::Shutdown | Fault::Pause | Fault::InvalidConfig | Fault::InvalidStart => {
                 self.begin_process_fault(now, &step.fault, number, until)
--- a/crates/aldercrank-test-cluster/src/cluster/run.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/run.rs
@@ -13,7 +13,7 @@
 use std::io;
 use std::time::Duration;
 
-/// How often exited processes are collected and scheduling delay is sampled.
+/// How often exited processes are reaped and scheduling delay is sampled.
 pub(super) const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// How often limits are checked.
 pub(super) const LIMITS_INTERVAL: Duration = Duration::from_secs(1);
@@ -74,7 +74,7 @@
         self.run_until(end, |_| true)?;
         self.callers_active = false;
         self.totals.servers_cpu = self.servers_cpu_time().saturating_sub(servers_cpu);
-        self.note_membership_load(began, end);
+        self.record_membership_load(began, end);
         let longest = self.scenario.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         self.run_until(end + longest + FINAL_ALLOWANCE, |cluster| {
             cluster.edges.open_requests() > 0 || cluster.testbed.checker.open_attempts() > 0
@@ -100,7 +100,7 @@
         self.testbed.set_timer(now, Timer::NextArrival);
     }
 
-    fn note_membership_load(&mut self, began: Duration, end: Duration) {
+    fn record_membership_load(&mut self, began: Duration, end: Duration) {
         let membership = &self.testbed.membership;
         let all = membership.connection_peaks(Duration::ZERO, end);
         let later = membership.connection_peaks(began + STABILIZATION_TIME, end);
--- a/crates/aldercrank-test-cluster/src/cluster/sample.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/sample.rs
@@ -21,13 +21,13 @@
     pub(super) fn sample_processes(&mut self, now: Duration) {
         self.sample_scheduling_delay(now);
         for number in self.server_numbers() {
-            self.collect_exited(now, number);
+            self.reap_exited(now, number);
         }
         let running = self.servers.iter().filter(|server| server.process.is_some() && !server.paused);
         let running = running.count();
         let listed = self.testbed.membership.listed_servers(now);
         let listed_count = listed.len();
-        self.note_listed(now, listed);
+        self.record_listed(now, listed);
         let call_seconds = self.index.open_call_seconds(now);
         let new_call_seconds = call_seconds - std::mem::replace(&mut self.index_call_seconds, call_seconds);
         let second = self.testbed.record.second(now);
@@ -46,7 +46,7 @@
         self.testbed.checker.scheduling_delay_sampled(now, cluster, servers);
     }
 
-    fn collect_exited(&mut self, now: Duration, number: ServerNo) {
+    fn reap_exited(&mut self, now: Duration, number: ServerNo) {
         let server = self.server(number);
         let Some(exit) = server.process.as_mut().and_then(Process::exit) else { return };
         server.process = None;
@@ -62,7 +62,7 @@
     }
 
     /// Records the servers that are listed, and counts those that left the membership though they run.
-    fn note_listed(&mut self, now: Duration, listed: Vec<ServerNo>) {
+    fn record_listed(&mut self, now: Duration, listed: Vec<ServerNo>) {
         if self.is_over {
             return;
         }
--- a/crates/aldercrank-test-cluster/src/edge_nodes/responses.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/responses.rs
@@ -141,11 +141,11 @@
         let server = self.connections.get(&reply_to.conn)?.server;
         host.answer_received(now, server, reply_to, answer, fields.version);
         let call = self.close_call(now, reply_to)?;
-        self.note_advice(now, call.edge, call.server, fields);
+        self.record_advice(now, call.edge, call.server, fields);
         Some(call)
     }
 
-    fn note_advice(&mut self, now: Duration, edge: EdgeNo, server: ServerNo, fields: ReceivedFields) {
+    fn record_advice(&mut self, now: Duration, edge: EdgeNo, server: ServerNo, fields: ReceivedFields) {
         let known = self.known_server(edge, server);
         (known.stay_probability, known.failed_at) = (fields.load_hint.or(known.stay_probability), None);
         if let Some(retry_after) = fields.retry_after {
--- a/crates/aldercrank-test-cluster/src/testbed.rs
+++ b/crates/aldercrank-test-cluster/src/testbed.rs
@@ -93,7 +93,7 @@
     BeginStep(usize, ServerNo),
     /// The timeline's step of this index ends for a server.
     EndStep(usize, ServerNo),
-    /// Ended processes are collected and scheduling delay is sampled.
+    /// Exited processes are reaped and scheduling delay is sampled.
     SampleProcesses,
     /// Memory, descriptors and load are compared with their limits.
     CheckLimits,
