--- a/crates/aldercrank-testbench/src/bin/aldercrank-lab.rs
+++ b/crates/aldercrank-testbench/src/bin/aldercrank-lab.rs
@@ -1,4 +1,4 @@
-//! The testbench under the name that earlier versions gave it, for scripts that call it so.
+//! `aldercrank-testbench` under its earlier name, for scripts that still use it.
 
 use std::process::ExitCode;
 
--- a/crates/aldercrank-testbench/src/check_runner.rs
+++ b/crates/aldercrank-testbench/src/check_runner.rs
@@ -1,4 +1,4 @@
-//! Plays the scenarios of a check side by side and prints whether each came out as it has to.
+//! Plays the scenarios of a check in parallel and prints whether each passed.
 
 use crate::figures;
 use crate::scenario_bounds::missed_bounds;
@@ -13,21 +13,21 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Violations of the rules that are printed for one run.
+/// Maximum number of rule violations that are printed for one scenario.
 pub(crate) const PRINTED_VIOLATIONS: usize = 5;
 
-/// One run of a check, and what it must come to.
+/// One scenario of a check and the result that it must have.
 pub(crate) enum CheckTask {
     /// No rule is broken and all bounds hold.
     Scenario(Scenario),
-    /// The invariant checker names this rule, and no other, for the injected violation.
+    /// The invariant checker reports this rule, and no other, for the injected violation.
     Violation(InjectedViolation, Rule, Scenario),
-    /// The program has the fault of this name injected, and the invariant checker names what comes of it.
+    /// The invariant checker reports a violation of `Rule::Fence` by a program with this fault injected.
     FaultyProgram(&'static str, Scenario, Program),
 }
 
 impl CheckTask {
-    /// The name by which a command line selects it.
+    /// The name that `--except` and `--only` select it by.
     fn name(&self) -> String {
         match self {
             CheckTask::Scenario(scenario) => scenario.name.clone(),
@@ -47,15 +47,14 @@
     }
 }
 
-/// What one run came to.
+/// The result of one task.
 struct Verdict {
-    /// Its figures, and below them what was wrong.
+    /// A line of figures, then a line for each violation and missed bound.
     text: String,
-    /// Whether it came out as it had to.
     passed: bool,
 }
 
-/// Loads one of the repository's scenarios. Fails where the file is missing or malformed.
+/// Loads one of the repository's scenarios. Fails if the file is missing or malformed.
 pub(crate) fn repository_scenario(name: &str) -> io::Result<Scenario> {
     scenario_command::load(&Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../../scenarios/{name}.kdl")))
 }
@@ -79,8 +78,8 @@
     Ok(Verdict { text, passed: outcome.counts.violations == 0 && missed.is_empty() })
 }
 
-/// Plays a scenario and, where a bound asks for it, the same seed without faults at the same time, so that both meet
-/// the same machine.
+/// Plays a scenario and, if one of its bounds needs it, the same seed without faults. Both are played at the same time,
+/// so that they have the same load on the machine.
 fn play_beside_calm(scenario: &Scenario, program: &Program) -> io::Result<(Outcome, Option<Outcome>)> {
     let (outcome, calm) = std::thread::scope(|scope| {
         let calm = scope.spawn(|| scenario_command::play_without_faults(scenario, program, false));
@@ -101,7 +100,7 @@
     let named = outcome.violations.iter().filter(|violation| violation.rule == rule).count();
     let others = outcome.violations.len() - named;
     let text =
-        format!("injected violation {kind:?}: {rule:?} named {named} times, other rules {others} times");
+        format!("injected violation {kind:?}: {rule:?} reported {named} times, other rules {others} times");
     Ok(Verdict { text, passed: named > 0 && others == 0 })
 }
 
@@ -110,15 +109,15 @@
     let named = outcome.violations.iter().filter(|violation| violation.rule == Rule::Fence).count();
     let apart_ms = outcome.version_figures.as_ref().map_or(0.0, |figures| figures.farthest_ms);
     let text = format!(
-        "{} by a build with the injected fault {fault}: Fence named {named} times, conflicting versions used \
-         {apart_ms:.0} ms apart",
+        "{} by a build with the injected fault {fault}: Fence reported {named} times, conflicting versions in use \
+         at most {apart_ms:.0} ms apart",
         scenario.name
     );
     Ok(Verdict { text, passed: named > 0 })
 }
 
-/// Plays the selected tasks, `side_by_side` at once, and prints a line for each and a last one with the total. Gives
-/// whether all passed; fails where a selected name is unknown or a run could not be played.
+/// Plays the selected tasks, `side_by_side` at once, and prints a line for each and a total at the end. Returns whether
+/// all passed; fails if a selected name is unknown or a scenario could not be played.
 pub(crate) fn run_checks(
     name: &str,
     selection: &Selection,
@@ -143,7 +142,7 @@
     let verdicts = verdicts.into_inner().unwrap_or_else(PoisonError::into_inner);
     let verdicts: Vec<Verdict> = verdicts.into_iter().collect::<io::Result<_>>()?;
     let passed = verdicts.iter().filter(|verdict| verdict.passed).count();
-    println!("check {name}: {passed} of {} as they had to be", tasks.len());
+    println!("check {name}: {passed} of {} passed", tasks.len());
     Ok(passed == tasks.len())
 }
 
@@ -151,6 +150,6 @@
     match verdict {
         Ok(Verdict { text, passed: true }) => println!("ok     {text}"),
         Ok(Verdict { text, passed: false }) => println!("FAILED {text}"),
-        Err(error) => println!("FAILED it could not be played: {error}"),
+        Err(error) => println!("FAILED scenario could not be played: {error}"),
     }
 }
--- a/crates/aldercrank-testbench/src/cluster_checks.rs
+++ b/crates/aldercrank-testbench/src/cluster_checks.rs
@@ -1,5 +1,5 @@
 //! `aldercrank-testbench check live`: scenarios with several server processes and faults between them, and injected
-//! violations that the invariant checker must name. A noisy machine changes figures, not verdicts.
+//! violations that the invariant checker must report. Load on the machine changes the figures, not the verdicts.
 
 use crate::check_runner::{repository_scenario, run_checks, CheckTask};
 use crate::scenario_command;
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Played in the short form, each against the same seed without faults where it has such a bound.
+/// Scenarios of the short form. One with a bound relative to a run without faults is played without them as well.
 const SHORT: [&str; 10] = [
     "calm",
     "kill-restart",
@@ -23,12 +23,12 @@
     "index-half",
     "bad-pairs",
 ];
-/// Played in the long form: fleets of 100 and 300 servers.
+/// Scenarios of the long form: clusters of 100 and 300 servers.
 const LONG: [&str; 2] = ["long-100", "long-300"];
-/// Runs at once, each of which keeps well under a core busy.
+/// Scenarios played at once; each uses well under one core.
 const SIDE_BY_SIDE: usize = 4;
 
-/// Injected violations, and the rule that has to be named for each.
+/// Injected violations, and the rule that the invariant checker must report for each.
 const VIOLATIONS: [(InjectedViolation, Rule); 6] = [
     (InjectedViolation::LoseAnswer, Rule::Lost),
     (InjectedViolation::DoubleAnswer, Rule::Twice),
@@ -59,7 +59,7 @@
     Ok(all)
 }
 
-/// Plays the check, in its short or long form. Gives whether all passed.
+/// Plays the check, in its short or long form. Returns whether all passed.
 pub(crate) fn check(selection: &Selection, long: bool, program: Option<PathBuf>) -> io::Result<bool> {
     let side_by_side = if long { 1 } else { SIDE_BY_SIDE };
     run_checks("live", selection, check_tasks(long)?, &scenario_command::program(program)?, side_by_side)
--- a/crates/aldercrank-testbench/src/cold_start.rs
+++ b/crates/aldercrank-testbench/src/cold_start.rs
@@ -1,4 +1,4 @@
-//! Fleets that start at once: the command `coldstart` and the check of the same name.
+//! Clusters whose servers all start at once: the command `coldstart` and the check of the same name.
 
 use crate::check_runner::{repository_scenario, run_checks, CheckTask};
 use crate::figures;
@@ -10,10 +10,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Runs at once: each keeps well under a core busy.
+/// Scenarios played at once; each uses well under one core.
 const SIDE_BY_SIDE: usize = 4;
-/// What `check coldstart` plays.
-const COLD: [&str; 8] = [
+/// Scenarios of `check coldstart`.
+const SCENARIOS: [&str; 8] = [
     "cold-start-late",
     "cold-start-stop",
     "cold-start-dead",
@@ -24,7 +24,7 @@
     "cold-start",
 ];
 
-/// A start of so many, as `aldercrank-testbench coldstart` plays it.
+/// The arguments of `coldstart`.
 #[derive(Clone, Debug)]
 pub(crate) struct ColdStart {
     pub(crate) servers: usize,
@@ -38,7 +38,8 @@
     pub(crate) json: bool,
 }
 
-/// Starts a fleet at once over a cold index, shows what came of it, and the same for an earlier build.
+/// Starts all servers of a cluster at once with a cold index and prints the results, beside those of an earlier build
+/// if one is given. Returns whether no rule was broken.
 pub(crate) fn run(start: &ColdStart) -> io::Result<bool> {
     let mut scenario = repository_scenario("cold-start-index")?;
     scenario.name = format!("{} servers start at once", start.servers);
@@ -72,22 +73,23 @@
     let or_never = |s: Option<f64>| s.map_or("never".to_string(), |s| format!("{s:.1}"));
     println!("{:<52}{:>12}{}", now.scenario, "", if before.is_some() { "      before" } else { "" });
     row("membership service, connections", &|o| o.membership.connections.to_string());
-    row("  most in a second", &|o| o.membership.most_second.to_string());
-    row("  most in a tenth of a second", &|o| o.membership.most_tenth.to_string());
+    row("  maximum in a second", &|o| o.membership.most_second.to_string());
+    row("  maximum in a tenth of a second", &|o| o.membership.most_tenth.to_string());
     row("  reports rejected", &|o| o.membership.rejected.to_string());
-    row("all listed after, s", &|o| or_never(o.membership.all_listed_s));
-    row("lapses of running servers", &|o| o.membership.flaps.to_string());
-    row("index, most outstanding calls", &|o| o.index_most.to_string());
-    row("  slowest second, times one alone", &|o| format!("{:.1}", o.index_slowest));
+    row("all servers listed after, s", &|o| or_never(o.membership.all_listed_s));
+    row("registrations of running servers that lapsed", &|o| o.membership.flaps.to_string());
+    row("index, maximum of outstanding calls", &|o| o.index_most.to_string());
+    row("  slowest second, relative to a call alone", &|o| format!("{:.1}", o.index_slowest));
     row("  collapses", &|o| o.index_collapses.to_string());
-    row("value", &|o| format!("{:.3}", o.value));
-    row("  steady after, s", &|o| or_never(o.steady_s));
-    row("  least possible, s", &|o| format!("{:.1}", o.least_steady_s));
-    row("most completed by one server, times the mean", &|o| format!("{:.2}", o.crowded));
+    row("value obtained, share of the value sought", &|o| format!("{:.3}", o.value));
+    row("  at its steady level after, s", &|o| or_never(o.steady_s));
+    row("  earliest possible, s", &|o| format!("{:.1}", o.least_steady_s));
+    row("busiest server, completed relative to the mean", &|o| format!("{:.2}", o.crowded));
     row("rules broken", &|o| o.counts.violations.to_string());
 }
 
-/// A fleet that starts at once, and what it comes to at the membership service; an earlier build beside it for its figures.
+/// Plays the check, in its short or long form, and prints the figures of an earlier build first if one is given.
+/// Returns whether all passed.
 pub(crate) fn check(
     selection: &Selection,
     long: bool,
@@ -95,11 +97,12 @@
     against: Option<PathBuf>,
 ) -> io::Result<bool> {
     let mut scenarios: Vec<Scenario> =
-        COLD.iter().map(|name| repository_scenario(name)).collect::<io::Result<_>>()?;
+        SCENARIOS.iter().map(|name| repository_scenario(name)).collect::<io::Result<_>>()?;
     if long {
-        // How evenly a first load is shared hangs on a machine that keeps up with it: no verdict for a busy one.
+        // How evenly the first load is shared depends on a machine that keeps up with it, so this scenario is
+        // played alone, in the long form only.
         scenarios.push(repository_scenario("cold-start-even")?);
-        scenarios.iter_mut().for_each(grown);
+        scenarios.iter_mut().for_each(scale_to_300_servers);
     }
     if let Some(old) = against {
         let old = scenario_command::program(Some(old))?;
@@ -117,25 +120,25 @@
     )
 }
 
-/// The same start of three hundred servers: what they share can do as much more.
-fn grown(scenario: &mut Scenario) {
+/// Scales a scenario to three hundred servers, and the capacity of the services that they share in proportion.
+fn scale_to_300_servers(scenario: &mut Scenario) {
     const SERVERS: usize = 300;
-    const MOST_RATE: f64 = 2000.0;
+    const MAX_RATE: f64 = 2000.0;
     let times = SERVERS as f64 / scenario.fleet.servers as f64;
     scenario.name = scenario.name.replace("forty", "three hundred");
     scenario.fleet.servers = SERVERS;
     scenario.membership_capacity *= times;
-    let rate = (scenario.callers.rate * times).min(MOST_RATE);
-    let calls = rate / scenario.callers.rate;
+    let rate = (scenario.callers.rate * times).min(MAX_RATE);
+    let rate_factor = rate / scenario.callers.rate;
     (scenario.callers.rate, scenario.span) = (rate, scenario.span.mul_f64(1.5));
     (scenario.index.slots, scenario.index.limit) =
         (scenario.index.slots * times, scenario.index.limit * times);
-    // The test cluster itself takes a moment for each process: hundreds in one turn would delay it.
+    // Signals to hundreds of processes in one step would delay the test cluster itself, so they are spread out.
     for step in scenario.timeline.iter_mut().filter(|s| matches!(s.fault, Fault::Kill | Fault::Shutdown)) {
         step.each = step.each.max(Duration::from_millis(4));
     }
-    // It warms by calls, which come so much oftener.
-    scenario.index.warming = (f64::from(scenario.index.warming) * calls) as u32;
+    // The index takes a number of calls to warm up, and calls arrive faster by this factor.
+    scenario.index.warming = (f64::from(scenario.index.warming) * rate_factor) as u32;
     scenario.bounds.index_most = scenario.bounds.index_most.map(|most| (most as f64 * times) as u64);
     scenario.bounds.membership_rejected =
         scenario.bounds.membership_rejected.map(|most| (most as f64 * times) as u64);
--- a/crates/aldercrank-testbench/src/consensus_check.rs
+++ b/crates/aldercrank-testbench/src/consensus_check.rs
@@ -1,5 +1,5 @@
-//! `aldercrank-testbench check agree`: servers that agree on versions of their configuration, with faults between them;
-//! and a build that acts without a lease, which the invariant checker must name.
+//! `aldercrank-testbench check agree`: servers that agree on versions of their configuration, with faults between them,
+//! and a build that acts without a lease, which the invariant checker must report.
 
 use crate::check_runner::{repository_scenario, run_checks, CheckTask};
 use crate::scenario_command;
@@ -11,7 +11,7 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Longest first, so that the last to begin are short.
+/// Scenarios of the short form, longest first, so that those started last are short.
 const SHORT: [&str; 11] = [
     "agree-each-second",
     "agree-list-dead",
@@ -25,10 +25,10 @@
     "agree-odd",
     "agree-flap",
 ];
-/// Runs at once: with the calm ones beside them, and few busy ones among them.
+/// Scenarios played at once, besides the runs without faults that some of them need. Few of them keep the machine busy.
 const SIDE_BY_SIDE: usize = 7;
 
-/// Adds ten minutes of faults, drawn from the scenario's seed, about one every three seconds.
+/// Adds random faults to a scenario of ten minutes, about one every three seconds, drawn from its seed.
 fn with_random_faults(mut scenario: Scenario) -> io::Result<Scenario> {
     let mut random = RandomStream::of(scenario.seed, "drawn faults");
     let mut at = 8.0;
@@ -62,13 +62,13 @@
     Ok(scenario)
 }
 
-/// The testbench's own program, as a server with this fault injected.
+/// This testbench as the server program, with this fault injected.
 fn faulty_program(program: &Program, injected_fault: &str) -> io::Result<Program> {
     let first = vec!["broken".to_string(), injected_fault.to_string()];
     Ok(Program { path: std::env::current_exe()?, first, ..program.clone() })
 }
 
-/// An injected fault by its name on the command line.
+/// The injected fault with this name on the command line.
 pub(crate) fn injected_fault(name: &str) -> Option<InjectedFault> {
     match name {
         "no-fence" => Some(InjectedFault::NoLeaseCheck),
@@ -76,7 +76,7 @@
     }
 }
 
-/// Plays the check, in its short or long form. Gives whether all passed.
+/// Plays the check, in its short or long form. Returns whether all passed.
 pub(crate) fn check(selection: &Selection, long: bool, program: Option<PathBuf>) -> io::Result<bool> {
     let program = scenario_command::program(program)?;
     if long {
@@ -97,7 +97,8 @@
         .collect::<io::Result<_>>()?;
     for task in &mut tasks {
         if let CheckTask::Scenario(scenario) = task {
-            // Milliseconds are held in the long form, played alone; side by side they are figures.
+            // Scenarios played in parallel slow each other down, so the bounds on milliseconds are checked in the long
+            // form only, which plays one at a time.
             (scenario.bounds.free_p99_ms, scenario.bounds.fenced_p99_ms) = (None, None);
         }
     }
--- a/crates/aldercrank-testbench/src/cost_budget.rs
+++ b/crates/aldercrank-testbench/src/cost_budget.rs
@@ -1,5 +1,5 @@
-//! `aldercrank-testbench check cost`: the budget of what a request of each kind may cost, by counts that do not depend on how fast the machine is, and
-//! the verdict on what was measured.
+//! `aldercrank-testbench check cost`: compares the measured cost of a request of each kind with a budget. Only counts
+//! that do not depend on the speed of the machine are in the budget.
 
 use crate::cost_case::{self, CostCase};
 use crate::request_cost::{self, RequestCost};
@@ -9,10 +9,12 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Calls of periodic work that may fall into even the best round.
+/// Tolerance for the system calls and allocations of periodic work, per request: it may fall into even the cheapest
+/// round.
 const PERIODIC_SLACK: f64 = 0.06;
-/// Tolerance as a share of the budget; more where the count depends on how the bytes come in pieces.
+/// Tolerance as a share of the budget.
 const TOLERANCE: f64 = 0.02;
+/// Tolerance for the system calls of cases whose number of reads and writes depends on how the bytes are split up.
 const PIECEWISE_TOLERANCE: [(&str, f64); 2] = [("with a call", 0.15), ("completed, 1 MiB result", 0.5)];
 
 /// The counts of one case, by what is counted.
@@ -20,7 +22,7 @@
 /// The counts of each case, by its name.
 pub type Budget = BTreeMap<String, Counts>;
 
-/// Bounds that hold whatever the budget says: cases, what is counted, the most.
+/// Fixed upper bounds that apply whatever the budget allows: case, what is counted, maximum.
 pub const BOUNDS: [(&str, &str, f64); 6] = [
     ("completed", "system calls", 6.0),
     ("completed, 32 open", "system calls", 2.0),
@@ -30,7 +32,7 @@
     ("completed, 32 open", "allocations", 4.0),
 ];
 
-/// The counts of a measured case, rounded as the budget has them.
+/// The counts of a measured case, rounded as in the budget.
 pub(crate) fn counts(cost: &RequestCost) -> Counts {
     let round = |n: f64| (n * 100.0).round() / 100.0;
     let mut counts = Counts::from([("system calls".to_string(), round(cost.system_calls()))]);
@@ -42,22 +44,23 @@
     counts
 }
 
-/// What costs more than its budget or a fixed bound allows, one line each; empty where all is within.
-pub fn over(budget: &Budget, measured: &Budget) -> Vec<String> {
+/// One line for each count above its budget or fixed bound, and for each case that the budget or the measurement lacks.
+pub fn excesses(budget: &Budget, measured: &Budget) -> Vec<String> {
     let mut lines = Vec::new();
     for (case, counts) in measured {
         let Some(allowed) = budget.get(case) else {
-            lines.push(format!("{case}: not in the budget; write it with check cost --write"));
+            lines.push(format!("{case}: not in the budget; add it with check --write cost"));
             continue;
         };
         for (what, n) in counts {
-            let most = allowed.get(what).copied().unwrap_or(0.0);
-            let pieces = PIECEWISE_TOLERANCE.iter().find(|(name, _)| name == case).map(|(_, share)| *share);
-            let share = pieces.filter(|_| what == "system calls").unwrap_or(TOLERANCE);
-            let smaller = if what.starts_with("bytes") { 16.0 } else { PERIODIC_SLACK };
-            let room = (most * share).max(smaller);
-            if *n > most + room {
-                lines.push(format!("{case}: {what} {n} a request, {most} before"));
+            let budgeted = allowed.get(what).copied().unwrap_or(0.0);
+            let piecewise =
+                PIECEWISE_TOLERANCE.iter().find(|(name, _)| name == case).map(|(_, share)| *share);
+            let share = piecewise.filter(|_| what == "system calls").unwrap_or(TOLERANCE);
+            let min_room = if what.starts_with("bytes") { 16.0 } else { PERIODIC_SLACK };
+            let room = (budgeted * share).max(min_room);
+            if *n > budgeted + room {
+                lines.push(format!("{case}: {what} {n} per request, {budgeted} in the budget"));
             }
         }
     }
@@ -67,7 +70,8 @@
     for (case, what, most) in BOUNDS {
         let n = measured.get(case).and_then(|counts| counts.get(what)).copied();
         if n.is_none_or(|n| n > most + PERIODIC_SLACK) {
-            lines.push(format!("{case}: {what} {n:?} a request, at most {most} allowed"));
+            let found = n.map_or("not measured".to_string(), |n| format!("{n} per request"));
+            lines.push(format!("{case}: {what} {found}, at most {most} allowed"));
         }
     }
     lines
@@ -77,23 +81,23 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("budget.json")
 }
 
-/// What is malformed in the text of a budget.
+/// Why the text of a budget is malformed.
 #[derive(Debug, thiserror::Error)]
 pub enum BudgetError {
-    /// The text is no JSON document.
+    /// The text is not a JSON document.
     #[error("{0}")]
     NotJson(#[from] serde_json::Error),
-    /// The document is not a map of cases.
-    #[error("not a map of cases")]
+    /// The document is not an object of cases.
+    #[error("not an object that maps cases to counts")]
     NotCases,
-    /// A case has something else than a map of counts.
-    #[error("{case} is no map of counts")]
+    /// The value of a case is not an object of counts.
+    #[error("{case} is not an object of counts")]
     NotCounts {
         /// The name of the case.
         case: String,
     },
     /// A count is not a number.
-    #[error("{case}: {what} is no number")]
+    #[error("{case}: {what} is not a number")]
     NotNumber {
         /// The name of the case.
         case: String,
@@ -102,18 +106,18 @@
     },
 }
 
-/// Reads a budget.
+/// Parses a budget from JSON.
 ///
 /// # Errors
 ///
-/// The first thing that is malformed.
-pub fn read(text: &str) -> Result<Budget, BudgetError> {
+/// The first malformed value.
+pub fn parse(text: &str) -> Result<Budget, BudgetError> {
     let json: Value = serde_json::from_str(text)?;
     let cases = json.as_object().ok_or(BudgetError::NotCases)?;
-    cases.iter().map(|(case, counts)| Ok((case.clone(), read_counts(case, counts)?))).collect()
+    cases.iter().map(|(case, counts)| Ok((case.clone(), parse_counts(case, counts)?))).collect()
 }
 
-fn read_counts(case: &str, counts: &Value) -> Result<Counts, BudgetError> {
+fn parse_counts(case: &str, counts: &Value) -> Result<Counts, BudgetError> {
     let counts = counts.as_object().ok_or_else(|| BudgetError::NotCounts { case: case.to_string() })?;
     let number = |(what, count): (&String, &Value)| match count.as_f64() {
         Some(count) => Ok((what.clone(), count)),
@@ -122,7 +126,8 @@
     counts.iter().map(number).collect()
 }
 
-/// Measures the ordinary cases and holds them against the budget. Gives whether all are within.
+/// Measures the cases of the budget and compares them with it, after writing it anew if `write` is set. Returns whether
+/// all counts are within the budget and the fixed bounds.
 pub(crate) fn check(write: bool) -> io::Result<bool> {
     let mut measured = Budget::new();
     for case in cost_case::budget_cases() {
@@ -137,19 +142,19 @@
     }
     let text =
         std::fs::read_to_string(&path).map_err(|e| io::Error::other(format!("{}: {e}", path.display())))?;
-    let budget = read(&text).map_err(|e| io::Error::other(format!("{}: {e}", path.display())))?;
-    let over = over(&budget, &measured);
-    over.iter().for_each(|line| println!("OVER  {line}"));
+    let budget = parse(&text).map_err(|e| io::Error::other(format!("{}: {e}", path.display())))?;
+    let excesses = excesses(&budget, &measured);
+    excesses.iter().for_each(|line| println!("OVER  {line}"));
     let completed = measured.get("completed").cloned().unwrap_or_default();
     println!(
-        "check cost: {} of {} kinds within budget; completed: {} system calls, {} allocations a request",
+        "check cost: {} of {} kinds within budget; completed: {} system calls, {} allocations per request",
         measured.len()
-            - measured.keys().filter(|c| over.iter().any(|l| l.starts_with(&format!("{c}:")))).count(),
+            - measured.keys().filter(|c| excesses.iter().any(|l| l.starts_with(&format!("{c}:")))).count(),
         measured.len(),
         completed.get("system calls").copied().unwrap_or_default(),
         completed.get("allocations").copied().unwrap_or_default(),
     );
-    Ok(over.is_empty())
+    Ok(excesses.is_empty())
 }
 
 /// The measured rows as JSON.
@@ -166,7 +171,7 @@
 pub(crate) fn print_table(rows: &[(CostCase, RequestCost)]) {
     println!(
         "{:<34}{:>8}{:>8}{:>10}{:>10}{:>9}{:>9}  system calls by name",
-        "a request", "calls", "allocs", "bytes", "copied", "cpu us", "peak MB"
+        "case", "calls", "allocs", "bytes", "copied", "cpu us", "peak MB"
     );
     for (case, cost) in rows {
         let heap = |of: fn(&request_cost::HeapUse) -> f64| {
--- a/crates/aldercrank-testbench/src/cost_case.rs
+++ b/crates/aldercrank-testbench/src/cost_case.rs
@@ -1,6 +1,6 @@
-//! The cases that are measured: what kind of request, how many at once, and what the server holds beside them.
+//! The measured cases: the kind of request, how many are open at once, and the state that the server keeps meanwhile.
 
-/// A kind of request, by what becomes of it.
+/// A kind of request, by its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestKind {
     Completed,
@@ -9,7 +9,7 @@
     Rejected,
     /// Completed, with an idempotency key.
     Keyed,
-    /// A duplicate, answered from the cached response of the first.
+    /// A duplicate, answered with the cached response of the first attempt.
     Duplicate,
     /// Cancelled by its caller while it runs.
     Cancelled,
@@ -22,25 +22,26 @@
 pub(crate) struct CostCase {
     pub(crate) name: String,
     pub(crate) kind: RequestKind,
-    /// Requests that are sent in one write and are open at once.
+    /// Number of requests that are sent in one write and open at once.
     pub(crate) concurrent: usize,
-    /// Bytes of each request's body and result.
+    /// Bytes of each request's body.
     pub(crate) body: usize,
+    /// Bytes of each request's result.
     pub(crate) result: usize,
-    /// Requests that stay queued throughout.
+    /// Number of requests that stay queued throughout.
     pub(crate) queued: usize,
     pub(crate) idle_connections: usize,
-    /// Deduplication entries that the server keeps throughout.
+    /// Number of deduplication entries that the server keeps throughout.
     pub(crate) dedup_entries: usize,
-    /// Requests of one round.
+    /// Number of requests in one round.
     pub(crate) requests: usize,
 }
 
-/// Requests of one round of a case that shows growth.
+/// Requests in one round of a growth case.
 pub(crate) const GROWTH_REQUESTS: usize = 500;
 
 impl CostCase {
-    /// A case of small requests, one at a time, with nothing beside them.
+    /// A case of small requests, one at a time, with no other load on the server.
     pub(crate) fn new(name: &str, kind: RequestKind) -> CostCase {
         CostCase {
             name: name.to_string(),
@@ -60,7 +61,7 @@
     }
 }
 
-/// The cases whose counts do not depend on the machine: those of the budget.
+/// The cases of the budget. Their counts do not depend on the machine.
 pub(crate) fn budget_cases() -> Vec<CostCase> {
     let completed = CostCase::completed;
     vec![
@@ -80,7 +81,7 @@
     ]
 }
 
-/// The cases that show what a request costs as something grows.
+/// The cases that show how the cost grows with the requests in flight, connections or deduplication entries.
 pub(crate) fn growth_cases() -> Vec<CostCase> {
     let grown = |size: usize, what: &str| CostCase {
         requests: GROWTH_REQUESTS,
--- a/crates/aldercrank-testbench/src/cost_command.rs
+++ b/crates/aldercrank-testbench/src/cost_command.rs
@@ -1,5 +1,5 @@
-//! The commands `cost` and `instructions`: measure the cost of a request, print it, draw it, compare it with an earlier
-//! build.
+//! The commands `cost` and `instructions`: measure the cost of a request, print it, plot it and compare it with that of
+//! an earlier build.
 
 use crate::command_line::CostArguments;
 use crate::cost_budget;
@@ -10,21 +10,22 @@
 use std::io;
 use std::path::Path;
 
-/// Requests of one round, when two builds are compared and when instructions are counted.
+/// Requests in a round of a comparison of two builds.
 const COMPARED_REQUESTS: usize = 320;
+/// Requests in a round when instructions are counted.
 const COUNTED_REQUESTS: usize = 1024;
-/// Rounds of each build when two are compared.
+/// Rounds of each build in a comparison of two builds.
 const COMPARED_ROUNDS: usize = 5;
 
-/// What is measured, and what could not be.
+/// The results, and the cases without one.
 #[derive(Default)]
 struct Measured {
     rows: Vec<(CostCase, RequestCost)>,
-    /// One line for each case that could not be measured.
+    /// One message for each case that could not be measured.
     missing: Vec<String>,
 }
 
-/// Measures the cases that the build supports; an earlier build may not support all.
+/// Measures the cases. An earlier build may not support all of them, so a case that fails does not end the measurement.
 fn measure(build: &Build, cases: Vec<CostCase>, rounds: usize) -> Measured {
     let mut measured = Measured::default();
     for case in cases {
@@ -37,7 +38,7 @@
     measured
 }
 
-/// Carries `cost` out. Gives whether all cases were measured.
+/// Runs `cost`. Returns whether all cases were measured.
 pub(crate) fn run(arguments: &CostArguments) -> io::Result<bool> {
     let build = arguments.program.clone().map_or(Build::Counted, Build::Program);
     let rounds = arguments.rounds.max(1);
@@ -57,7 +58,7 @@
         measured.missing.extend(earlier.missing);
         cost_plot::draw(file, &measured.rows, &earlier.rows)
             .map_err(|error| io::Error::other(error.to_string()))?;
-        println!("drawn: {}", file.display());
+        println!("plot written: {}", file.display());
     }
     for line in &measured.missing {
         eprintln!("{line}");
@@ -68,7 +69,7 @@
     Ok(measured.missing.is_empty())
 }
 
-/// Prints the time on a core of this build and an earlier one, measured in turns.
+/// Prints the CPU time per request of this build and an earlier one, measured in alternating rounds.
 fn compare(old: &Path) -> io::Result<()> {
     let case = |name: &str, queued, concurrent| CostCase {
         queued,
@@ -85,12 +86,13 @@
     let (new_build, old_build) = (Build::Program(program_beside()), Build::Program(old.to_path_buf()));
     for case in cases {
         let (new, old, ratio) = request_cost::compare(&new_build, &old_build, &case, COMPARED_ROUNDS)?;
-        println!("{}: {new:?} against {old:?} on a core for each request, ratio {ratio:.3}", case.name);
+        println!("{}: CPU time per request {new:?}, earlier build {old:?}, ratio {ratio:.3}", case.name);
     }
     Ok(())
 }
 
-/// Carries `instructions` out: counts under valgrind, as one thing after another grows.
+/// Runs `instructions`: counts the instructions per request under valgrind, for several numbers of queued requests,
+/// idle connections and deduplication entries.
 pub(crate) fn print_instructions() -> io::Result<bool> {
     let case =
         |name: &str| CostCase { requests: COUNTED_REQUESTS, ..CostCase::new(name, RequestKind::Completed) };
@@ -104,7 +106,7 @@
     ];
     for case in cases {
         let instructions = request_cost::instructions(&case)?;
-        println!("{:<34}{instructions:>10.0} instructions a request", case.name);
+        println!("{:<34}{instructions:>10.0} instructions per request", case.name);
     }
     Ok(true)
 }
--- a/crates/aldercrank-testbench/src/cost_plot.rs
+++ b/crates/aldercrank-testbench/src/cost_plot.rs
@@ -1,5 +1,5 @@
-//! Cost as things grow, drawn as SVG: one panel for each thing that grows, time on a core for each request over its
-//! number.
+//! Plots the CPU time per request as SVG, with one panel each for its growth with the requests in flight, the
+//! connections and the deduplication entries.
 
 use crate::cost_case::{CostCase, GROWTH_REQUESTS};
 use crate::request_cost::RequestCost;
@@ -10,16 +10,16 @@
 
 /// Width and height of the drawing, in pixels.
 const SIZE: (u32, u32) = (1080, 360);
-/// The colour of an earlier build's line, which differs from black in grey as well.
+/// The colour of the earlier build's line: a grey that differs from black in a print without colours as well.
 const EARLIER: RGBColor = RGBColor(150, 150, 150);
 
-/// What grew, and the time on a core in microseconds.
+/// The size that grows, and the CPU time per request in microseconds.
 type Point = (f64, f64);
-/// How far a case has grown in one of the sizes.
+/// Returns one of the sizes of a case.
 type SizeOf = fn(&CostCase) -> usize;
 type Panel<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// The line of one build in a panel.
+/// One build's line in a panel.
 struct BuildLine {
     label: &'static str,
     points: Vec<Point>,
@@ -27,20 +27,20 @@
     filled: bool,
 }
 
-/// The least and the greatest of some numbers.
+/// The minimum and maximum of some numbers.
 struct Range {
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
 impl Range {
     fn of(numbers: impl Iterator<Item = f64>) -> Range {
-        let none = Range { least: f64::MAX, most: 0.0 };
-        numbers.fold(none, |range, n| Range { least: range.least.min(n), most: range.most.max(n) })
+        let empty = Range { min: f64::MAX, max: 0.0 };
+        numbers.fold(empty, |range, n| Range { min: range.min.min(n), max: range.max.max(n) })
     }
 }
 
-/// The points of the cases in which this size grows.
+/// The points of the growth cases of this size.
 fn points(rows: &[(CostCase, RequestCost)], size: SizeOf) -> Vec<Point> {
     let grown = rows.iter().filter(|(case, _)| size(case) > 0 && case.requests == GROWTH_REQUESTS);
     grown.map(|(case, cost)| (size(case) as f64, cost.cpu_time.as_nanos() as f64 / 1e3)).collect()
@@ -54,7 +54,7 @@
     cause: Box<dyn Error>,
 }
 
-/// Draws this build, and an earlier one's rows where there are any. Fails where the file can't be written.
+/// Draws this build's rows and those of an earlier build, if any. Fails if the file cannot be written.
 pub(crate) fn draw(
     file: &Path,
     rows: &[(CostCase, RequestCost)],
@@ -79,7 +79,7 @@
         let lines = [
             BuildLine { label: "this build", points: points(rows, size), colour: BLACK, filled: true },
             BuildLine {
-                label: "the earlier one",
+                label: "earlier build",
                 points: points(earlier, size),
                 colour: EARLIER,
                 filled: false,
@@ -99,22 +99,22 @@
 ) -> Result<(), Box<dyn Error>> {
     let all = || lines.iter().flat_map(|line| &line.points);
     let (size, time) = (Range::of(all().map(|point| point.0)), Range::of(all().map(|point| point.1)));
-    if time.most == 0.0 {
+    if time.max == 0.0 {
         return Ok(());
     }
     let mut chart = ChartBuilder::on(panel)
-        .caption(format!("time on a core, by {name}"), ("sans-serif", 16))
+        .caption(format!("CPU time by {name}"), ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(36)
         .y_label_area_size(52)
         .build_cartesian_2d(
-            (size.least * 0.8..size.most * 1.25).log_scale(),
-            (time.least.min(10.0) * 0.8..time.most.max(100.0) * 1.5).log_scale(),
+            (size.min * 0.8..size.max * 1.25).log_scale(),
+            (time.min.min(10.0) * 0.8..time.max.max(100.0) * 1.5).log_scale(),
         )?;
     chart
         .configure_mesh()
         .x_desc(name)
-        .y_desc("microseconds a request")
+        .y_desc("microseconds per request")
         .x_label_formatter(&|x| format!("{x:.0}"))
         .y_label_formatter(&|y| format!("{y:.0}"))
         .x_labels(5)
--- a/crates/aldercrank-testbench/src/edge_client.rs
+++ b/crates/aldercrank-testbench/src/edge_client.rs
@@ -6,26 +6,26 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Requests that may be open on a connection, as the edge protocol limits them.
+/// The edge protocol's limit on open requests per connection.
 pub(crate) const MAX_OPEN_CALLS: usize = 32;
-/// How long a response is waited for.
+/// How long `read_answer` waits for a response by default.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// The longest response that is read.
+/// The longest response that is accepted.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// Memory that each request says it needs.
+/// The memory need that each request states.
 const REQUEST_MEMORY_KB: f64 = 20.0;
 
-/// A request to be sent.
+/// A request to send to the server.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub(crate) attempt: u64,
     pub(crate) class: &'static str,
     pub(crate) token: Option<u64>,
-    /// How long its caller waits.
+    /// How long the caller waits for the answer.
     pub(crate) budget: Duration,
-    /// Bytes of its body.
+    /// Size of the body in bytes.
     pub(crate) body: usize,
-    /// Priority rank, from 0 up to 1.
+    /// Priority rank, from 0 to 1.
     pub(crate) rank: f64,
 }
 
@@ -44,7 +44,7 @@
     Failed,
 }
 
-/// Responses that were read and not yet taken.
+/// Answers that were read from the connection and not yet returned by `read_answer`.
 #[derive(Default)]
 struct Received(VecDeque<(u32, Answer)>);
 
@@ -71,7 +71,6 @@
 }
 
 impl EdgeConnection {
-    /// Connects to a server.
     pub(crate) fn connect(to: SocketAddr) -> io::Result<EdgeConnection> {
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
@@ -83,17 +82,17 @@
         EdgeConnection { stream, input: Vec::new(), received: Received::default(), last_message: 0 }
     }
 
-    /// A second handle, which reads responses while this one sends.
+    /// A second handle on this connection, to read responses from while this one sends.
     pub(crate) fn reader(&self) -> io::Result<EdgeConnection> {
         self.stream.try_clone().map(EdgeConnection::on)
     }
 
-    /// Sets how long `read_answer` waits.
+    /// Sets how long `read_answer` waits for a response.
     pub(crate) fn set_read_timeout(&self, span: Duration) -> io::Result<()> {
         self.stream.set_read_timeout(Some(span))
     }
 
-    /// Encodes one request into `output`; gives its message id.
+    /// Encodes one request into `output`; returns its message id.
     pub(crate) fn append_request(&mut self, output: &mut Vec<u8>, request: &ClientRequest) -> u32 {
         self.last_message += 1;
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -113,7 +112,7 @@
         self.last_message
     }
 
-    /// Sends these in one write.
+    /// Sends all requests in one write.
     pub(crate) fn send_requests(&mut self, requests: &[ClientRequest]) -> io::Result<()> {
         let mut bytes = Vec::new();
         for request in requests {
@@ -127,14 +126,14 @@
         self.stream.write_all(bytes)
     }
 
-    /// Cancels the last request.
+    /// Cancels the last request that was sent.
     pub(crate) fn cancel_last(&mut self) -> io::Result<()> {
         let mut bytes = Vec::new();
         msgpack_rpc::write_cancel(&mut bytes, MessageId(self.last_message));
         self.stream.write_all(&bytes)
     }
 
-    /// The next answer with its message id; nothing where none has come within the read timeout.
+    /// The next answer with its message id, or `None` if none arrives within the read timeout.
     pub(crate) fn read_answer(&mut self) -> io::Result<Option<(u32, Answer)>> {
         let mut chunk = [0; 64 * 1024];
         loop {
@@ -143,7 +142,9 @@
                 return Ok(Some(answer));
             }
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Err(io::Error::new(ErrorKind::UnexpectedEof, "the server has closed")),
+                Ok(0) => {
+                    return Err(io::Error::new(ErrorKind::UnexpectedEof, "the server closed the connection"))
+                }
                 Ok(n) => self.input.extend_from_slice(&chunk[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return Ok(None),
                 Err(e) => return Err(e),
@@ -151,18 +152,18 @@
         }
     }
 
-    /// Decodes all complete messages that were read.
+    /// Decodes all complete messages in `input`.
     fn decode(&mut self) -> io::Result<()> {
-        let mut taken = 0;
+        let mut consumed = 0;
         loop {
-            let rest = &self.input[taken..];
+            let rest = &self.input[consumed..];
             let read = msgpack_rpc::read_response(rest, MAX_RESPONSE_BYTES, &mut self.received);
             match read.map_err(io::Error::other)? {
-                Some(length) => taken += length,
+                Some(length) => consumed += length,
                 None => break,
             }
         }
-        self.input.drain(..taken);
+        self.input.drain(..consumed);
         Ok(())
     }
 }
--- a/crates/aldercrank-testbench/src/figures.rs
+++ b/crates/aldercrank-testbench/src/figures.rs
@@ -1,14 +1,16 @@
-//! One line of figures for each kind of run, as the checks print them.
+//! The line of figures that the checks print for each scenario played.
 
 use aldercrank_test_cluster::invariant_checker::{Rule, Violation};
 use aldercrank_test_cluster::run_record::Outcome;
 
-/// The value of a run as a share of that of the run without faults, where there is one.
+/// The value relative to that of the same seed without faults, if it was played.
 fn of_calm(outcome: &Outcome, calm: Option<&Outcome>) -> String {
-    calm.map_or(String::new(), |calm| format!(" of calm {:.3}", outcome.value / calm.value.max(1e-9)))
+    calm.map_or(String::new(), |calm| {
+        format!(" ({:.3} of that without faults)", outcome.value / calm.value.max(1e-9))
+    })
 }
 
-fn lost(outcome: &Outcome) -> usize {
+fn lost_or_late(outcome: &Outcome) -> usize {
     outcome.violations.iter().filter(|b| matches!(b.rule, Rule::Lost | Rule::Late)).count()
 }
 
@@ -16,18 +18,19 @@
     outcome.violations.iter().filter(|b| b.rule == Rule::Twice).count()
 }
 
-/// A run with faults between servers and what they depend on.
+/// The figures of a cluster with faults between the servers and their dependencies.
 pub(crate) fn of_cluster(o: &Outcome, calm: Option<&Outcome>) -> String {
     let of_calm = of_calm(o, calm);
     format!(
-        "{}: {} servers, value {:.3}{of_calm}, {} attempts, {} runs, lost {}, twice {}, across incarnations {}, rules broken {}, \
-         test cluster {:.2} cores, {} MB, start {:.1} s",
+        "{}: {} servers, value {:.3}{of_calm}, {} attempts, {} runs, lost or late {}, twice {}, \
+         runs repeated on another incarnation {}, rules broken {}, \
+         test cluster {:.2} cores, {} MB, all listed after {:.1} s",
         o.scenario,
         o.servers,
         o.value,
         o.counts.attempts,
         o.counts.runs,
-        lost(o),
+        lost_or_late(o),
         twice(o),
         o.counts.across,
         o.counts.violations,
@@ -37,13 +40,14 @@
     )
 }
 
-/// A start of a whole fleet.
+/// The figures of a start of all servers at once.
 pub(crate) fn of_cold_start(o: &Outcome) -> String {
     let listed = o.membership.all_listed_s.map_or("never".to_string(), |at| format!("after {at:.1} s"));
     format!(
-        "{}: {} connections at the membership service, at most {} in a second and {} in a tenth ({} and {} from 5 s on), \
-         {} reports rejected, all listed {listed}, {} lapses, value {:.3}, steady after {} s ({:.1} at least), index at \
-         most {} and {:.1} times one alone, most on one server {:.2}, rules broken {}",
+        "{}: {} connections at the membership service, at most {} in a second and {} in a tenth of a \
+         second ({} and {} from 5 s on), {} reports rejected, all listed {listed}, {} registrations of running servers \
+         lapsed, value {:.3}, steady after {} s (earliest possible {:.1} s), index at most {} outstanding calls and \
+         {:.1} times the duration of a call alone, busiest server {:.2} times the mean, rules broken {}",
         o.scenario,
         o.membership.connections,
         o.membership.most_second,
@@ -62,33 +66,34 @@
     )
 }
 
-/// A run in which servers go by a versioned configuration.
+/// The figures of a cluster with a versioned configuration.
 pub(crate) fn of_versions(o: &Outcome, calm: Option<&Outcome>) -> String {
     let of_calm = of_calm(o, calm);
-    let a = o.version_figures.clone().unwrap_or_default();
-    let each = a.peer_messages as f64 / o.servers as f64 / o.span_s;
+    let versions = o.version_figures.clone().unwrap_or_default();
+    let messages = versions.peer_messages as f64 / o.servers as f64 / o.span_s;
     format!(
-        "{}: {} servers, value {:.3}{of_calm}, lost {}, twice {}, rules broken {}, {} acts by {} of {} versions, \
-         contradicting acts at most {:.0} ms apart, in force after {:.0} and {:.0} ms (p99, free and fenced), \
-         {each:.1} messages a server and second, {} reads of the membership service, index at most {}",
+        "{}: {} servers, value {:.3}{of_calm}, lost or late {}, twice {}, rules broken {}, \
+         {} decisions by {} of {} versions, conflicting versions in use at most {:.0} ms apart, \
+         in use after {:.0} and {:.0} ms (p99, free and fenced), {messages:.1} messages per server and second, \
+         {} reads of the membership service, index at most {} outstanding calls",
         o.scenario,
         o.servers,
         o.value,
-        lost(o),
+        lost_or_late(o),
         twice(o),
         o.counts.violations,
-        a.decisions,
-        a.acted_on,
-        a.published + 1,
-        a.farthest_ms,
-        a.free_p99_ms,
-        a.fenced_p99_ms,
-        a.reads,
+        versions.decisions,
+        versions.acted_on,
+        versions.published + 1,
+        versions.farthest_ms,
+        versions.free_p99_ms,
+        versions.fenced_p99_ms,
+        versions.reads,
         o.index_most
     )
 }
 
-/// A violation of a rule: when, on which attempt and server, and what was seen.
+/// A violation as text: the rule, when, by which attempt and server, and what was observed.
 pub(crate) fn of_violation(violation: &Violation) -> String {
     let attempt = violation.attempt.as_deref().unwrap_or_default();
     let server = violation.server.as_deref().unwrap_or_default();
--- a/crates/aldercrank-testbench/src/lib.rs
+++ b/crates/aldercrank-testbench/src/lib.rs
@@ -1,6 +1,6 @@
-//! Plays the aldercrank server from outside: an open-loop load, what a request costs, scenarios on a cluster of real
-//! processes, and the checks that hold the results against their bounds. The programs `aldercrank-testbench` and
-//! `aldercrank-lab` (its earlier name) call [`main`].
+//! Black-box tests of the aldercrank server: an open-loop load generator, measurements of the cost of a request,
+//! scenarios on a cluster of server processes, and checks that compare the results with their bounds. The programs
+//! `aldercrank-testbench` and `aldercrank-lab` (its earlier name) call [`main`].
 
 mod check_runner;
 mod cluster_checks;
@@ -33,16 +33,18 @@
 use std::io;
 use std::process::ExitCode;
 
-/// Exit codes: what was asked for came out well, did not, or could not be done.
+/// Exit code of a check or measurement that ran and failed.
 const EXIT_FAILED: u8 = 1;
+/// Exit code of a command that could not be carried out.
 const EXIT_NOT_RUN: u8 = 2;
 
-/// Counts what the counted server allocates; the testbench's own processes pay a little for it.
+/// Counts the allocations of `serve_counted`. The testbench's other processes bear the small overhead as well.
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Thousands of connections need as many descriptors; the server inherits what is allowed here.
-fn raise_descriptors() {
+/// Raises the limit on open descriptors to its hard limit: some cases open thousands of connections. Server processes
+/// inherit the limit.
+fn raise_descriptor_limit() {
     use nix::sys::resource::{getrlimit, setrlimit, Resource};
     if let Ok((_, hard)) = getrlimit(Resource::RLIMIT_NOFILE) {
         let _ = setrlimit(Resource::RLIMIT_NOFILE, hard, hard);
@@ -53,7 +55,7 @@
     let CheckArguments { selection, write, long, program, against, name } = arguments;
     let Some(check) = CheckName::named(name) else {
         let names = CheckName::all_names();
-        return Err(io::Error::other(format!("no check is named {name}; there are: {names}")));
+        return Err(io::Error::other(format!("unknown check {name}; known checks: {names}")));
     };
     if matches!(check, CheckName::Cost | CheckName::Platform | CheckName::Soak) {
         selection.check_is_empty()?;
@@ -69,7 +71,7 @@
     }
 }
 
-/// Carries a command out. Gives whether what it measured or checked came out as it has to.
+/// Runs a command. Returns whether its checks passed or its measurements succeeded.
 fn run(command: Command) -> io::Result<bool> {
     match command {
         Command::Load(load) => load_generator::run(&load),
@@ -90,9 +92,9 @@
     }
 }
 
-/// Runs the command that the arguments name. Gives the exit code of the process.
+/// Runs the command on the command line and returns the exit code of the process.
 pub fn main() -> ExitCode {
-    raise_descriptors();
+    raise_descriptor_limit();
     match run(commands().run()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(EXIT_FAILED),
--- a/crates/aldercrank-testbench/src/load_generator.rs
+++ b/crates/aldercrank-testbench/src/load_generator.rs
@@ -1,5 +1,5 @@
-//! `aldercrank-testbench load`: an open-loop load. A request is sent when it is due, however slow the responses are, and
-//! its response time counts from then.
+//! `aldercrank-testbench load`: an open-loop load. Each request is sent when it is due, however slow the responses are,
+//! and its response time is measured from its due time.
 
 use crate::edge_client::{Answer, ClientRequest, EdgeConnection, MAX_OPEN_CALLS};
 use crate::server_under_test::{program_beside, Build, ServerSetup, ServerUnderTest};
@@ -13,9 +13,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Of so many requests one is keyed.
+/// One in this many requests has an idempotency key.
 const KEYED_EVERY: u64 = 4;
-/// How long responses are waited for after the last request.
+/// How long to wait for outstanding responses after the last request.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The arguments of `load`.
@@ -30,18 +30,22 @@
     pub(crate) json: bool,
 }
 
-/// The requests in flight and how the others were answered.
+/// The requests in flight and the answers to the others.
 #[derive(Default)]
 struct ResponseLog {
+    /// When each request in flight was due, by connection and message id.
     due: BTreeMap<(usize, u32), Instant>,
+    /// Answers in each second: completed, rejected, failed.
     seconds: Vec<[u64; 3]>,
+    /// Response times in microseconds, by kind of answer.
     times: BTreeMap<&'static str, Histogram<u64>>,
-    /// Responses to requests that were not open.
+    /// Responses to requests that were not in flight.
     unexpected: u64,
     lost: u64,
 }
 
-fn kind(answer: Answer) -> (&'static str, usize) {
+/// The name of an answer and its column in `ResponseLog::seconds`.
+fn name_and_column(answer: Answer) -> (&'static str, usize) {
     match answer {
         Answer::Completed => ("completed", 0),
         Answer::Rejected => ("rejected", 1),
@@ -50,8 +54,8 @@
 }
 
 impl ResponseLog {
-    fn open(&self, on: usize) -> usize {
-        self.due.range((on, 0)..=(on, u32::MAX)).count()
+    fn open_on(&self, connection: usize) -> usize {
+        self.due.range((connection, 0)..=(connection, u32::MAX)).count()
     }
 
     fn record(&mut self, message: (usize, u32), answer: Answer, began: Instant) {
@@ -59,19 +63,19 @@
             self.unexpected += 1;
             return;
         };
-        let (name, place) = kind(answer);
+        let (name, column) = name_and_column(answer);
         let second = began.elapsed().as_secs() as usize;
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, [0; 3]);
         }
-        self.seconds[second][place] += 1;
+        self.seconds[second][column] += 1;
         let times = self.times.entry(name).or_insert_with(|| Histogram::new(3).expect("three digits"));
-        // It widens as it must, up to times beyond any that could be.
+        // The histogram resizes itself, so no response time is out of its range.
         let _ = times.record(due.elapsed().as_micros() as u64);
     }
 }
 
-/// Sends the load and prints how it was answered. Gives whether each request was answered once.
+/// Sends the load and prints a summary of the answers. Returns whether each request was answered exactly once.
 pub(crate) fn run(load: &Load) -> io::Result<bool> {
     if load.rate == 0 || load.connections == 0 || load.cores == 0 {
         return Err(io::Error::other("rate, connections and cores must be 1 or more"));
@@ -84,16 +88,16 @@
         (Arc::new(Mutex::new(ResponseLog::default())), Arc::new(AtomicBool::new(false)), Instant::now());
     let mut connections: Vec<EdgeConnection> = Vec::new();
     let total = u64::from(load.rate) * u64::from(load.seconds);
-    eprintln!("sending {} a second for {} s to {}", load.rate, load.seconds, server.edge);
+    eprintln!("sending {} requests per second for {} s to {}", load.rate, load.seconds, server.edge);
     for n in 0..total {
         let due = began + Duration::from_secs_f64(n as f64 / f64::from(load.rate));
         thread::sleep(due.saturating_duration_since(Instant::now()));
-        // As edge nodes do: a connection with the most open requests that it may have is passed over.
-        let on = (0..connections.len())
+        // Like an edge node, skips connections that have reached the limit of open requests.
+        let available = (0..connections.len())
             .map(|i| (n as usize + i) % connections.len())
-            .find(|on| lock(&log).open(*on) < MAX_OPEN_CALLS);
-        let on = match on.filter(|_| connections.len() >= load.connections) {
-            Some(on) => on,
+            .find(|connection| lock(&log).open_on(*connection) < MAX_OPEN_CALLS);
+        let connection = match available.filter(|_| connections.len() >= load.connections) {
+            Some(connection) => connection,
             None => {
                 connections.push(connect(&server, connections.len(), &log, &finished, began)?);
                 connections.len() - 1
@@ -103,14 +107,14 @@
         let class = if token.is_some() { "licence-buy" } else { "map-extract" };
         let (budget, rank) = (Duration::from_secs(3), rank(n, token.is_some()));
         let request = ClientRequest { attempt: n + 1, class, token, budget, body: 100, rank };
-        // Noted before it is sent: the answer may come at once.
+        // Recorded before it is sent, as the answer may arrive at once.
         let mut bytes = Vec::new();
-        let message_id = connections[on].append_request(&mut bytes, &request);
-        lock(&log).due.insert((on, message_id), due);
-        connections[on].send(&bytes)?;
+        let message_id = connections[connection].append_request(&mut bytes, &request);
+        lock(&log).due.insert((connection, message_id), due);
+        connections[connection].send(&bytes)?;
     }
-    let rest = Instant::now() + DRAIN_TIMEOUT;
-    while Instant::now() < rest && !lock(&log).due.is_empty() {
+    let drain_end = Instant::now() + DRAIN_TIMEOUT;
+    while Instant::now() < drain_end && !lock(&log).due.is_empty() {
         thread::sleep(Duration::from_millis(10));
     }
     finished.store(true, Ordering::Relaxed);
@@ -120,7 +124,7 @@
     Ok(log.lost == 0 && log.unexpected == 0)
 }
 
-/// A server with this many cores, otherwise as in `examples/config.json`.
+/// The settings of `examples/config.json` with this many cores, and memory in proportion.
 fn setup(cores: usize) -> ServerSetup {
     ServerSetup {
         cores: cores as f64,
@@ -134,11 +138,11 @@
 
 /// Priority ranks spread evenly over each class's band; keyed requests rank above the others.
 fn rank(n: u64, keyed: bool) -> f64 {
-    let place = (n as f64 * 0.618_033_988_75).fract() * 0.999;
-    (place + f64::from(u8::from(keyed))) / 2.0
+    let position = (n as f64 * 0.618_033_988_75).fract() * 0.999;
+    (position + f64::from(u8::from(keyed))) / 2.0
 }
 
-/// One more connection, and a thread that records its responses.
+/// Opens a connection and starts a thread that records its responses.
 fn connect(
     server: &ServerUnderTest,
     number: usize,
@@ -184,11 +188,14 @@
     for (second, [completed, rejected, failed]) in log.seconds.iter().enumerate() {
         println!("{second:>8}{completed:>10}{rejected:>10}{failed:>10}");
     }
-    println!("{:>10}{:>10}{:>12}{:>12}{:>12}", "answer", "count", "p50 ms", "p99 ms", "most ms");
+    println!("{:>10}{:>10}{:>12}{:>12}{:>12}", "answer", "count", "p50 ms", "p99 ms", "max ms");
     for (name, h) in &log.times {
         let ms = |us: u64| us as f64 / 1e3;
         let (p50, p99) = (ms(h.value_at_quantile(0.5)), ms(h.value_at_quantile(0.99)));
         println!("{name:>10}{:>10}{p50:>12.1}{p99:>12.1}{:>12.1}", h.len(), ms(h.max()));
     }
-    println!("{total} sent, {} not answered, {} answered twice or not sent", log.lost, log.unexpected);
+    println!(
+        "{total} requests sent, {} not answered, {} unexpected responses (duplicate or to no request)",
+        log.lost, log.unexpected
+    );
 }
--- a/crates/aldercrank-testbench/src/platform_check.rs
+++ b/crates/aldercrank-testbench/src/platform_check.rs
@@ -1,6 +1,6 @@
-//! `aldercrank-testbench check platform`: the program in a scenario that takes every path, observed from outside. It must
-//! not use what the operators' platform refuses: certain system calls, a second process, descriptors and listeners of
-//! other kinds, static linking.
+//! `aldercrank-testbench check platform`: traces the server program in a scenario that exercises all of its code paths.
+//! It must not use what the operators' platform refuses: certain system calls, child processes, sockets other than TCP
+//! and UDP over IPv4, other unusual descriptors, listeners that are not configured, static linking.
 
 use crate::scenario_command;
 use aldercrank_test_cluster::cluster::{run_dir, RunOptions, TestCluster};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use syscalls::Sysno;
 
-/// System calls that the platform answers with an error, or does not know.
+/// System calls that the platform denies or does not implement.
 const REFUSED_SYSTEM_CALLS: [&str; 10] = [
     "fork",
     "vfork",
@@ -33,40 +33,43 @@
 /// How often descriptors are inspected.
 const INSPECTION_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Calls, a reload, links lost, misuse by garbled messages, interrupts, a drain: on two servers.
+/// Two servers with index calls, an invalid reload, resets of pool links, garbled messages, failures of the index and
+/// the membership service, and a drain.
 const SCENARIO: &str = "seconds 6\nfleet servers=2\ncallers rate=80 edges=2 leave=0.05\n\
     at 1 \"pool-resets\" every=0.4 for=1\nat 1.5 \"bad-config\" server=\"n1\"\n\
     at 2.2 \"garble\" with=\"edges\" way=\"to\" share-of-pieces=0.2 for=0.8\nat 3 \"index\" state=\"dead\" for=0.5\n\
     at 3.2 \"list\" state=\"down\" for=0.5\nat 3.6 \"leave\" server=\"n2\"\n";
 
-/// What was observed of one process and those that it started.
+/// What was observed of one server process, its threads and its children.
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
 struct Observations {
+    /// Number of system calls by name.
     calls: BTreeMap<String, u64>,
-    /// What it must not do, each once.
+    /// Each kind of forbidden behavior that was observed.
     faults: BTreeSet<String>,
 }
 
-type Shared = Arc<Mutex<Observations>>;
+type SharedObservations = Arc<Mutex<Observations>>;
 
-fn lock(observations: &Shared) -> std::sync::MutexGuard<'_, Observations> {
+fn lock(observations: &SharedObservations) -> std::sync::MutexGuard<'_, Observations> {
     observations.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Follows a process, its threads and what it starts, from the thread that started it. Gives its exit code.
-fn follow(pid: Pid, observations: &Shared) -> nix::Result<Option<i32>> {
+/// Traces a process, its threads and its children until the process ends. Must run on the thread that attached to it.
+/// Returns the exit code, or `None` if a signal ended the process.
+fn follow(pid: Pid, observations: &SharedObservations) -> nix::Result<Option<i32>> {
     let flags = WaitPidFlag::__WALL | WaitPidFlag::__WNOTHREAD;
     loop {
-        // A process that has ended since is reported next, so its errors here do not matter.
+        // Errors for a process that has ended meanwhile are ignored: `waitpid` reports its end next.
         let _ = match waitpid(None, Some(flags))? {
             WaitStatus::PtraceSyscall(of) => {
-                entered(of, observations);
+                record_system_call(of, observations);
                 ptrace::syscall(of, None)
             }
             WaitStatus::PtraceEvent(of, _, event) => {
                 let starts = [nix::libc::PTRACE_EVENT_FORK, nix::libc::PTRACE_EVENT_VFORK];
                 if starts.contains(&event) {
-                    lock(observations).faults.insert(format!("{} starts a second process", who(of, pid)));
+                    lock(observations).faults.insert(format!("{} starts a second process", role(of, pid)));
                 }
                 ptrace::syscall(of, None)
             }
@@ -82,7 +85,7 @@
     }
 }
 
-fn who(of: Pid, pid: Pid) -> &'static str {
+fn role(of: Pid, pid: Pid) -> &'static str {
     if of == pid {
         "the program"
     } else {
@@ -90,7 +93,7 @@
     }
 }
 
-fn entered(of: Pid, observations: &Shared) {
+fn record_system_call(of: Pid, observations: &SharedObservations) {
     let Ok(info) = ptrace::syscall_info(of) else { return };
     if info.op != nix::libc::PTRACE_SYSCALL_INFO_ENTRY {
         return;
@@ -103,11 +106,13 @@
         observations.faults.insert(format!("system call {name}, which the platform refuses"));
     }
     if name == "socket" && !matches!(regs.rdi as i32, nix::libc::AF_INET) {
-        observations.faults.insert(format!("a socket of family {}, where only IPv4 is known", regs.rdi));
+        observations
+            .faults
+            .insert(format!("a socket of address family {}; the platform supports only IPv4", regs.rdi));
     }
 }
 
-/// The kinds of socket that the kernel knows of, by inode: those that are not TCP or UDP over IPv4.
+/// The sockets other than TCP and UDP over IPv4 in the process's network namespace: inode and kind.
 fn other_sockets(pid: u32) -> BTreeMap<String, &'static str> {
     let mut found = BTreeMap::new();
     let tables = [("unix", 6), ("tcp6", 9), ("udp6", 9), ("raw", 9), ("netlink", 9), ("packet", 8)];
@@ -122,7 +127,7 @@
     found
 }
 
-/// Listening TCP sockets over IPv4: inode, and the address as the kernel writes it.
+/// Listening TCP sockets over IPv4: inode, and address in the kernel's hexadecimal notation.
 fn listeners(pid: u32) -> BTreeMap<String, String> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/net/tcp")).unwrap_or_default();
     let row = |line: &str| {
@@ -133,21 +138,21 @@
     text.lines().skip(1).filter_map(row).collect()
 }
 
-/// What this process has open: the program may have it from here, through whoever called the testbench.
-fn inherited() -> BTreeSet<String> {
+/// The descriptors that are open in this process. The program may have inherited them, so they are allowed.
+fn inherited_descriptors() -> BTreeSet<String> {
     let Ok(open) = std::fs::read_dir("/proc/self/fd") else { return BTreeSet::new() };
     open.flatten()
         .filter_map(|fd| Some(std::fs::read_link(fd.path()).ok()?.to_string_lossy().into_owned()))
         .collect()
 }
 
-/// Inspects a process once: its descriptors, its listeners, how it is linked.
+/// Inspects the descriptors and listeners of a process once.
 fn inspect(
     pid: u32,
     dir: &Path,
-    given: &BTreeSet<String>,
+    inherited: &BTreeSet<String>,
     listen: &mut BTreeSet<String>,
-    observations: &Shared,
+    observations: &SharedObservations,
 ) {
     let Ok(open) = std::fs::read_dir(format!("/proc/{pid}/fd")) else { return };
     let links: Vec<String> = open
@@ -159,92 +164,94 @@
     for link in links {
         let inode = link.strip_prefix("socket:[").and_then(|l| l.strip_suffix(']'));
         let kind = link.strip_prefix("anon_inode:").map(|k| k.trim_matches(['[', ']']));
-        let own = Path::new(&link).starts_with(dir) || link == "/dev/null" || given.contains(&link);
+        let allowed = Path::new(&link).starts_with(dir) || link == "/dev/null" || inherited.contains(&link);
         match (inode, kind) {
             (Some(inode), _) => {
                 if let Some(table) = others.get(inode) {
-                    observations.faults.insert(format!("a socket of the kind {table}"));
+                    observations.faults.insert(format!("a {table} socket"));
                 }
                 if let Some(at) = listening.get(inode) {
                     listen.insert(at.clone());
                 }
             }
             (None, Some("eventpoll" | "eventfd" | "signalfd" | "timerfd")) => {}
-            (None, None) if own => {}
-            // Where the program itself, or its libraries, are being loaded.
+            (None, None) if allowed => {}
+            // Open while the program and its libraries are loaded.
             (None, None)
                 if link.starts_with("/lib")
                     || link.starts_with("/usr/lib")
                     || link.starts_with("/etc/ld") => {}
             (None, None) if link.starts_with("/proc/") || link.starts_with("/sys/") => {}
             _ => {
-                observations.faults.insert(format!("a descriptor of {link}"));
+                observations.faults.insert(format!("an open descriptor of {link}"));
             }
         }
     }
 }
 
-/// What the platform asks of the program as a file: linked dynamically, against the C library.
-fn linked(pid: u32) -> Option<bool> {
+/// Whether the process is linked dynamically against the C library, as the platform requires; `None` if it has ended.
+fn is_linked_dynamically(pid: u32) -> Option<bool> {
     let maps = std::fs::read_to_string(format!("/proc/{pid}/maps")).ok()?;
     (!maps.is_empty()).then(|| maps.contains("/libc.so") || maps.contains("/libc-"))
 }
 
-/// Inspects its descriptors, listeners and linking again and again until it has ended.
-fn inspect_until(
+/// Inspects the descriptors, listeners and linking of a process at intervals until `ended` is set.
+fn inspect_until_ended(
     pid: u32,
     program: &Path,
     dir: &Path,
     listen: &str,
-    observations: &Shared,
-    over: &AtomicBool,
+    observations: &SharedObservations,
+    ended: &AtomicBool,
 ) {
-    let (mut listening, mut dynamic, given) = (BTreeSet::new(), None, inherited());
-    while !over.load(Ordering::Relaxed) {
-        // Until then it is the `hold` command, about to become the program.
+    let (mut listening, mut dynamic, inherited) = (BTreeSet::new(), None, inherited_descriptors());
+    while !ended.load(Ordering::Relaxed) {
+        // Until it has executed the program, the process is the testbench's `hold` command.
         if std::fs::read_link(format!("/proc/{pid}/exe")).is_ok_and(|is| is == program) {
-            inspect(pid, dir, &given, &mut listening, observations);
-            dynamic = linked(pid).or(dynamic);
+            inspect(pid, dir, &inherited, &mut listening, observations);
+            dynamic = is_linked_dynamically(pid).or(dynamic);
         }
         std::thread::sleep(INSPECTION_INTERVAL);
     }
     let mut observations = lock(observations);
     for at in listening.iter().filter(|at| !at.ends_with(listen)) {
-        observations.faults.insert(format!("a listener at {at}, which is not in its configuration"));
+        observations.faults.insert(format!("a listener at {at}, which is not the configured one"));
     }
     if dynamic == Some(false) {
         observations.faults.insert("not linked dynamically against the C library".to_string());
     }
 }
 
-/// The port that a configuration names to listen on, as the kernel writes it.
+/// The configured port to listen on, in the kernel's hexadecimal notation.
 fn configured_port(config: &Path) -> Option<String> {
     let json: serde_json::Value = serde_json::from_str(&std::fs::read_to_string(config).ok()?).ok()?;
     let port = json["listen"].as_str()?.rsplit(':').next()?.parse::<u16>().ok()?;
     Some(format!(":{port:04X}"))
 }
 
-/// Starts the program as `hold` does, passes signals on to it, and writes down what was observed of it. Ends with its
-/// exit code.
+/// Starts the program through `hold`, forwards SIGTERM and SIGHUP to it, and writes what was observed of it to the
+/// directory `report`. This process exits with the program's exit code.
 pub(crate) fn watch(parent: u32, report: &Path, arguments: &[String]) -> io::Result<bool> {
     use nix::sys::signal::{SigSet, Signal};
     end_with(parent)?;
-    let mut passed = SigSet::empty();
-    passed.add(Signal::SIGTERM);
-    passed.add(Signal::SIGHUP);
-    passed.thread_block()?;
-    let signals = nix::sys::signalfd::SignalFd::new(&passed)?;
-    let (started, start_seen) = std::sync::mpsc::channel();
+    let mut forwarded = SigSet::empty();
+    forwarded.add(Signal::SIGTERM);
+    forwarded.add(Signal::SIGHUP);
+    forwarded.thread_block()?;
+    let signals = nix::sys::signalfd::SignalFd::new(&forwarded)?;
+    let (started, child_started) = std::sync::mpsc::channel();
     let (report, arguments) = (report.to_path_buf(), arguments.to_vec());
-    // What is traced answers to one thread only, the one that started it.
+    // Ptrace requests are accepted only from the thread that attached, so one thread starts, traces and waits.
     std::thread::spawn(move || {
-        let code = traced(&report, &arguments, &started).unwrap_or_else(|e| {
+        let code = run_traced(&report, &arguments, &started).unwrap_or_else(|e| {
             eprintln!("aldercrank-testbench: {e}");
             Some(2)
         });
         std::process::exit(code.unwrap_or(101));
     });
-    let child = start_seen.recv().map_err(|_| io::Error::other("the program could not be started"))?;
+    let child = child_started
+        .recv()
+        .map_err(|_| io::Error::other("the program could not be started under the tracer"))?;
     loop {
         if let Some(signal) = signals.read_signal()? {
             let signal = Signal::try_from(signal.ssi_signo as i32)?;
@@ -253,7 +260,7 @@
     }
 }
 
-fn traced(
+fn run_traced(
     report: &Path,
     arguments: &[String],
     started: &std::sync::mpsc::Sender<Pid>,
@@ -262,7 +269,7 @@
     let mut command = std::process::Command::new(own);
     command.arg("hold").arg(std::process::id().to_string()).args(arguments);
     let child = command.spawn()?;
-    let (pid, observations) = (Pid::from_raw(child.id() as i32), Shared::default());
+    let (pid, observations) = (Pid::from_raw(child.id() as i32), SharedObservations::default());
     let options = Options::PTRACE_O_TRACESYSGOOD
         | Options::PTRACE_O_EXITKILL
         | Options::PTRACE_O_TRACEFORK
@@ -272,22 +279,24 @@
     let _ = started.send(pid);
     let config = arguments.last().map(PathBuf::from).unwrap_or_default();
     let (dir, listen) = (config.parent().unwrap_or(Path::new("/")).to_path_buf(), configured_port(&config));
-    let over = Arc::new(AtomicBool::new(false));
+    let ended = Arc::new(AtomicBool::new(false));
     let inspector = {
-        let (over, observations, program) =
-            (over.clone(), observations.clone(), PathBuf::from(&arguments[0]));
+        let (ended, observations, program) =
+            (ended.clone(), observations.clone(), PathBuf::from(&arguments[0]));
         let listen = listen.unwrap_or_default();
-        std::thread::spawn(move || inspect_until(child.id(), &program, &dir, &listen, &observations, &over))
+        std::thread::spawn(move || {
+            inspect_until_ended(child.id(), &program, &dir, &listen, &observations, &ended);
+        })
     };
     let code = follow(pid, &observations)?;
-    over.store(true, Ordering::Relaxed);
+    ended.store(true, Ordering::Relaxed);
     let _ = inspector.join();
     let file = report.join(format!("seen-{pid}.json"));
     std::fs::write(file, serde_json::to_string(&*lock(&observations))?)?;
     Ok(code)
 }
 
-/// Plays the check. Gives whether the program used nothing that the platform refuses and broke no rule.
+/// Runs the check. Returns whether the program used nothing that the platform refuses and broke no rule.
 pub(crate) fn check(program: Option<PathBuf>) -> io::Result<bool> {
     let mut program = scenario_command::program(program)?;
     let scenario = Scenario::parse(SCENARIO).map_err(io::Error::other)?;
@@ -296,7 +305,7 @@
     program.verb = ("watch".to_string(), vec![report.to_string_lossy().into_owned()]);
     let options = RunOptions { program, dir: run_dir("platform"), keep: false, verbose: false };
     let outcome = TestCluster::play(&scenario, &options);
-    let observations = gather(&report);
+    let observations = merge_reports(&report);
     let _ = std::fs::remove_dir_all(&report);
     let (outcome, (incarnations, observations)) = (outcome?, observations?);
     let calls: u64 = observations.calls.values().sum();
@@ -311,14 +320,15 @@
     }
     observations.faults.iter().for_each(|fault| println!("REFUSED {fault}"));
     let (faults, broken) = (observations.faults.len(), outcome.counts.violations);
-    println!("check platform: {faults} things that the platform refuses, {broken} rules broken");
-    // A run in which nothing was observed would prove nothing.
-    let whole = incarnations == outcome.starts as usize && calls > 1000 && outcome.counts.completed > 50;
-    Ok(faults == 0 && broken == 0 && whole)
+    println!("check platform: {faults} uses of what the platform refuses, {broken} rules broken");
+    // The check is meaningless unless every incarnation was traced and did real work.
+    let was_observed =
+        incarnations == outcome.starts as usize && calls > 1000 && outcome.counts.completed > 50;
+    Ok(faults == 0 && broken == 0 && was_observed)
 }
 
-/// What was observed of all incarnations together.
-fn gather(report: &Path) -> io::Result<(usize, Observations)> {
+/// The number of traced incarnations, and their observations merged.
+fn merge_reports(report: &Path) -> io::Result<(usize, Observations)> {
     let (mut incarnations, mut all) = (0, Observations::default());
     for file in std::fs::read_dir(report)? {
         let observations: Observations = serde_json::from_str(&std::fs::read_to_string(file?.path())?)?;
--- a/crates/aldercrank-testbench/src/request_cost.rs
+++ b/crates/aldercrank-testbench/src/request_cost.rs
@@ -1,5 +1,5 @@
-//! What one request of each kind costs the server: system calls by name, heap, copies, time on a core. Each figure is
-//! the least of several rounds, so that periodic work (a report, a tick) is not in it.
+//! The cost of one request of each kind to the server: system calls by name, allocations, copies and CPU time. Each
+//! figure is the minimum of several rounds, so that it does not include periodic work (a report, a tick).
 
 use crate::cost_case::{CostCase, RequestKind};
 use crate::edge_client::{Answer, ClientRequest, EdgeConnection, MAX_OPEN_CALLS};
@@ -10,23 +10,25 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// How long callers wait: far beyond a round, and all of it, or an attempt would be taken for a retry.
+/// How long callers wait: far longer than a round. Requests are sent with all of it left, as the server takes an
+/// attempt with less for a retry.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(1200);
-/// How long the testbench waits for a state of the stub services.
+/// How long the testbench waits for the stub services to reach a state.
 const STATE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What one request cost.
+/// The cost of one request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestCost {
-    /// System calls by name.
+    /// Number of system calls by name.
     pub(crate) calls: BTreeMap<&'static str, f64>,
-    /// Where the program counts them.
+    /// `None` if the program does not count its allocations.
     pub(crate) heap: Option<HeapUse>,
     pub(crate) cpu_time: Duration,
-    /// The server's most resident memory, in KB.
+    /// The server's peak resident memory, in KB.
     pub(crate) peak_kb: u64,
 }
 
+/// Allocations, bytes allocated and bytes copied per request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HeapUse {
     pub(crate) allocations: f64,
@@ -40,18 +42,18 @@
     }
 }
 
-/// A server with everything that a case needs beside the requests that are measured.
+/// A server prepared for a case: with the connections, queued requests and deduplication entries that stay throughout.
 struct Measurement {
     server: ServerUnderTest,
     case: CostCase,
     connections: Vec<EdgeConnection>,
-    /// Which connection each queued request came on, by its id.
+    /// The connection of each queued request, by attempt id.
     queued: BTreeMap<String, usize>,
     next_attempt: u64,
 }
 
 fn setup(case: &CostCase) -> ServerSetup {
-    // The tick is half the slack: far beyond a round.
+    // The tick is half the slack, so 20 s, which is far longer than a round.
     ServerSetup {
         cores: if case.queued > 0 { 4.0 } else { 4096.0 },
         memory_kb: 1e9,
@@ -63,7 +65,7 @@
 }
 
 fn unexpected(what: &str) -> io::Error {
-    io::Error::other(format!("the stub services saw what they should not: {what}"))
+    io::Error::other(format!("unexpected behavior of the server: {what}"))
 }
 
 fn wait_until(what: &str, mut until: impl FnMut() -> bool) -> io::Result<()> {
@@ -84,7 +86,7 @@
         let mut connections = Vec::with_capacity(count);
         for n in 0..count {
             let mut edge = EdgeConnection::connect(server.edge)?;
-            // One that never says anything whole would be closed.
+            // The server closes connections that never send a complete message.
             let budget = Duration::from_secs(1);
             edge.send_requests(&[ClientRequest {
                 attempt: u64::MAX - n as u64,
@@ -100,7 +102,7 @@
         let mut measurement =
             Measurement { server, case: case.clone(), connections, queued: BTreeMap::new(), next_attempt: 1 };
         measurement.set_pool_behavior(RunBehavior::Immediate, 0);
-        // What has been learnt of how long runs take, and buffers that have been as full before.
+        // Lets the server learn how long runs take and grow its buffers before anything is measured.
         measurement.send_batches(
             RequestKind::Completed,
             256,
@@ -137,21 +139,22 @@
         ClientRequest { attempt: self.next_attempt, class, token, budget, body: self.case.body, rank: 0.5 }
     }
 
-    /// Fills the queue: the concurrency window is as wide as the cores.
+    /// Fills the queue. Four more requests are sent than stay queued: the concurrency window is as wide as the four
+    /// cores.
     fn fill_queue(&mut self) -> io::Result<()> {
-        let all = if self.case.queued > 0 { self.case.queued + 4 } else { 0 };
-        for i in 0..all {
+        let total = if self.case.queued > 0 { self.case.queued + 4 } else { 0 };
+        for i in 0..total {
             let (request, on) = (self.next_request(RequestKind::Completed), 1 + i / MAX_OPEN_CALLS);
             self.queued.insert(request.id(), on);
             self.connections[on].send_requests(&[request])?;
         }
         let pool = &self.server.pool;
-        wait_until("the window is not full", || pool.running() >= 4.min(all))?;
-        // All are read once a later one is answered.
-        self.send_batches(RequestKind::Rejected, usize::from(all > 0), 1)
+        wait_until("the concurrency window was not filled in time", || pool.running() >= 4.min(total))?;
+        // Once a request sent later is answered, the server has read all the others.
+        self.send_batches(RequestKind::Rejected, usize::from(total > 0), 1)
     }
 
-    /// Sends `count` requests, `concurrent` in one write each, and reads their answers.
+    /// Sends `count` requests, `concurrent` in each write, and reads their answers.
     fn send_batches(&mut self, kind: RequestKind, count: usize, concurrent: usize) -> io::Result<()> {
         let mut left = count;
         while left > 0 {
@@ -160,12 +163,12 @@
             self.connections[0].send_requests(&requests)?;
             for _ in 0..n {
                 let answer = self.connections[0].read_answer()?.map(|(_, answer)| answer);
-                let good = match answer {
+                let expected = match answer {
                     Some(Answer::Completed) => kind != RequestKind::Rejected,
                     Some(Answer::Rejected) => kind == RequestKind::Rejected,
                     _ => false,
                 };
-                if !good {
+                if !expected {
                     return Err(unexpected(&format!("{kind:?} was answered with {answer:?}")));
                 }
             }
@@ -174,7 +177,7 @@
         Ok(())
     }
 
-    /// One round of the requests that are measured.
+    /// Sends the requests of one measured round.
     fn round(&mut self) -> io::Result<()> {
         let (kind, requests, concurrent) = (self.case.kind, self.case.requests, self.case.concurrent);
         match kind {
@@ -186,7 +189,7 @@
     }
 
     fn wait_for_running(&self, n: usize) -> io::Result<()> {
-        wait_until("a run did not begin or end", || self.server.pool.running() == n)
+        wait_until("a run did not start or end in time", || self.server.pool.running() == n)
     }
 
     fn send_and_cancel(&mut self) -> io::Result<()> {
@@ -209,10 +212,10 @@
         self.wait_for_running(0)
     }
 
-    /// The oldest run ends, the next queued request starts, and one more is queued: all else stays.
+    /// Ends the oldest run, so that the next queued request starts, and queues one more request.
     fn advance_queue(&mut self) -> io::Result<()> {
         let ended = self.server.pool.finish_oldest().and_then(|attempt| self.queued.remove(&attempt));
-        let on = ended.ok_or_else(|| unexpected("no queued request ran"))?;
+        let on = ended.ok_or_else(|| unexpected("none of the queued requests was running"))?;
         match self.connections[on].read_answer()? {
             Some((_, Answer::Completed)) => {}
             other => return Err(unexpected(&format!("a queued request was answered with {other:?}"))),
@@ -223,7 +226,7 @@
         self.wait_for_running(4)
     }
 
-    /// Time on a core for each request of one round.
+    /// CPU time per request of one round.
     fn cpu_time(&mut self) -> io::Result<Duration> {
         let before = self.server.cpu_time()?;
         self.round()?;
@@ -231,7 +234,7 @@
     }
 }
 
-/// Measures one case: its heap and time first, its system calls in a run of their own, which tracing slows.
+/// Measures one case. System calls are counted on a second server, as tracing slows a server down.
 pub(crate) fn measure(build: &Build, case: &CostCase, rounds: usize) -> io::Result<RequestCost> {
     let mut measurement = Measurement::begin(build, case)?;
     measurement.round()?;
@@ -241,7 +244,7 @@
         cpu_time = cpu_time.min(measurement.cpu_time()?);
         let after = measurement.server.counts()?;
         if let (Some(before), Some(after)) = (before, after) {
-            heap = Some(smaller(heap, per_request(before, after, case.requests)));
+            heap = Some(fieldwise_min(heap, per_request(before, after, case.requests)));
         }
     }
     let peak_kb = measurement.server.peak_kb()?;
@@ -258,7 +261,7 @@
     }
 }
 
-fn smaller(smallest: Option<HeapUse>, round: HeapUse) -> HeapUse {
+fn fieldwise_min(smallest: Option<HeapUse>, round: HeapUse) -> HeapUse {
     let Some(smallest) = smallest else { return round };
     HeapUse {
         allocations: smallest.allocations.min(round.allocations),
@@ -288,8 +291,8 @@
     Ok(calls.filter(|(_, n)| *n >= 0.005).collect())
 }
 
-/// Instructions a request, by valgrind's callgrind: of a run with three times as many requests less those of one, so that
-/// starting and ending are not in it.
+/// Instructions per request, counted by valgrind's callgrind. They are the difference between two measurements, one of
+/// them with three times as many requests, so that starting and ending the server is not included.
 pub(crate) fn instructions(case: &CostCase) -> io::Result<f64> {
     let (few, many) = (case.requests, case.requests * 3);
     let total = |requests: usize| -> io::Result<f64> {
@@ -303,12 +306,14 @@
         let text = std::fs::read_to_string(&file)?;
         let _ = std::fs::remove_file(&file);
         let line = text.lines().find_map(|line| line.strip_prefix("totals:"));
-        line.and_then(|n| n.trim().parse().ok()).ok_or_else(|| io::Error::other("callgrind counted nothing"))
+        line.and_then(|n| n.trim().parse().ok())
+            .ok_or_else(|| io::Error::other("no totals in the output of callgrind"))
     };
     Ok((total(many)? - total(few)?) / (many - few) as f64)
 }
 
-/// Two builds in turns on the same case: the median of the ratios of their times on a core, round by round.
+/// Measures two builds on the same case in alternating rounds. Returns the median CPU time per request of each, and the
+/// median of the ratios of their CPU times in each round.
 pub(crate) fn compare(
     new: &Build,
     old: &Build,
--- a/crates/aldercrank-testbench/src/request_trace.rs
+++ b/crates/aldercrank-testbench/src/request_trace.rs
@@ -1,5 +1,5 @@
-//! `aldercrank-testbench why`: one request through every process that handled it. What crossed the wire comes from the
-//! record of a run, what its servers logged meanwhile from their logs; both are printed in order of time.
+//! `aldercrank-testbench why`: the trace of one request through every process that handled it. Merges what crossed the
+//! wire, from `trace.jsonl` in the kept directory, with what the servers logged meanwhile, in order of time.
 
 use aldercrank_test_cluster::ids::{RequestNo, ServerNo};
 use aldercrank_test_cluster::run_record::Line;
@@ -10,43 +10,42 @@
 
 /// One line of the trace.
 struct TraceLine {
-    /// Microseconds since the start of the run.
+    /// Microseconds since the start of the scenario.
     us: i64,
     process: String,
-    /// Whether it is about this very request, not about its server.
-    own: bool,
+    /// Whether the line is about this request; otherwise it is about a server that handled it.
+    is_own: bool,
     text: String,
 }
 
-/// The number of a request, given as such or by the id of an attempt, which begins with it.
-fn number(request: &str) -> io::Result<RequestNo> {
+/// Parses a request number, or takes it from an attempt id, whose first eight hex digits are the request number plus
+/// one.
+fn parse_request_number(request: &str) -> io::Result<RequestNo> {
     let number = match request.len() {
         16 => u32::from_str_radix(&request[..8], 16).ok().and_then(|n| n.checked_sub(1)),
         _ => request.parse().ok(),
     };
-    number.map(RequestNo).ok_or_else(|| {
-        io::Error::other(format!("{request} is neither a request's number nor an attempt's id"))
-    })
+    number
+        .map(RequestNo)
+        .ok_or_else(|| io::Error::other(format!("{request} is neither a request number nor an attempt id")))
 }
 
 fn read(file: &Path) -> io::Result<String> {
-    std::fs::read_to_string(file).map_err(|e| {
-        io::Error::other(format!("{}: {e}; a run writes it with `fleet --keep DIR`", file.display()))
-    })
+    std::fs::read_to_string(file)
+        .map_err(|e| io::Error::other(format!("{}: {e}; `fleet --keep DIR` writes it", file.display())))
 }
 
-fn record(dir: &Path) -> io::Result<Vec<Line>> {
+fn read_trace(dir: &Path) -> io::Result<Vec<Line>> {
     let file = dir.join("trace.jsonl");
     let text = read(&file)?;
     let line = |(n, line): (usize, &str)| {
-        serde_json::from_str(line).map_err(|e| {
-            io::Error::other(format!("{}:{}: not a line of a record: {e}", file.display(), n + 1))
-        })
+        serde_json::from_str(line)
+            .map_err(|e| io::Error::other(format!("{}:{}: malformed trace line: {e}", file.display(), n + 1)))
     };
     text.lines().enumerate().map(line).collect()
 }
 
-/// What the servers logged of the request, or of themselves between its first and last moment.
+/// The servers' log lines about the request, and those about no request in the time `span` (in microseconds).
 fn log_lines(
     dir: &Path,
     request: RequestNo,
@@ -59,13 +58,13 @@
     for server in servers.iter().map(|n| ServerNo(*n).to_string()) {
         let incarnations = (1..).map(|incarnation| dir.join(format!("{server}.{incarnation}.log")));
         for text in incarnations.map_while(|file| std::fs::read_to_string(file).ok()) {
-            // The last line may be cut off by the end of the process.
+            // The last line may be truncated if the process was killed.
             for line in text.lines().filter_map(|l| serde_json::from_str::<Value>(l).ok()) {
                 let us = (line["at"].as_f64().unwrap_or_default() * 1e6) as i64 - begun;
                 let attempt = line["attempt"].as_str();
-                let own = attempt.is_some_and(|attempt| attempt.starts_with(&prefix));
-                if own || (attempt.is_none() && us >= span.0 && us <= span.1) {
-                    lines.push(TraceLine { us, process: server.clone(), own, text: log_text(&line) });
+                let is_own = attempt.is_some_and(|attempt| attempt.starts_with(&prefix));
+                if is_own || (attempt.is_none() && us >= span.0 && us <= span.1) {
+                    lines.push(TraceLine { us, process: server.clone(), is_own, text: log_text(&line) });
                 }
             }
         }
@@ -73,7 +72,7 @@
     Ok(lines)
 }
 
-/// A log line as a person reads it.
+/// A log line as one line of text: the message, then its other fields as ` name=value`.
 fn log_text(line: &Value) -> String {
     let known = ["at", "level", "server", "said"];
     let fields = line.as_object().into_iter().flatten().filter(|(name, _)| !known.contains(&name.as_str()));
@@ -81,31 +80,33 @@
     format!("logs: {}{}", line["said"].as_str().unwrap_or_default(), fields.concat())
 }
 
-/// Prints the trace of a request. Gives whether it is in the record; fails where the record is missing or malformed.
+/// Prints the trace of a request. Returns whether the request is in the trace; fails if the trace is missing or
+/// malformed.
 pub(crate) fn print_trace(dir: &Path, request: &str) -> io::Result<bool> {
-    let number = number(request)?;
-    let lines = record(dir)?;
-    let own = |line: &&Line| line.request == Some(number.0);
-    let (Some(first), Some(last)) = (lines.iter().find(own), lines.iter().rfind(own)) else {
-        println!("request {} is not in this record", number.0);
+    let number = parse_request_number(request)?;
+    let lines = read_trace(dir)?;
+    let is_own = |line: &&Line| line.request == Some(number.0);
+    let (Some(first), Some(last)) = (lines.iter().find(is_own), lines.iter().rfind(is_own)) else {
+        println!("request {} is not in this trace", number.0);
         return Ok(false);
     };
     let span = (first.us, last.us);
-    let servers: BTreeSet<u16> = lines.iter().filter(own).filter_map(|l| l.server).collect();
-    // What happened to the servers that handled it meanwhile explains its outcome.
+    let servers: BTreeSet<u16> = lines.iter().filter(is_own).filter_map(|l| l.server).collect();
+    // Also prints events of the servers that handled the request, such as a restart, as they may explain its outcome.
     let belongs = |l: &&Line| {
-        own(l)
+        is_own(l)
             || l.request.is_none()
                 && (span.0..=span.1).contains(&l.us)
                 && l.server.is_some_and(|s| servers.contains(&s))
     };
-    let who = |l: &Line| l.server.map_or("caller".to_string(), |s| ServerNo(s).to_string());
-    let trace_line = |l: &Line| TraceLine { us: l.us, process: who(l), own: own(&l), text: l.what.clone() };
+    let process = |l: &Line| l.server.map_or("caller".to_string(), |s| ServerNo(s).to_string());
+    let trace_line =
+        |l: &Line| TraceLine { us: l.us, process: process(l), is_own: is_own(&l), text: l.what.clone() };
     let mut trace: Vec<TraceLine> = lines.iter().filter(belongs).map(trace_line).collect();
     trace.extend(log_lines(dir, number, &servers, span)?);
     trace.sort_by_key(|t| t.us);
     for t in trace {
-        let marker = if t.own { ' ' } else { '*' };
+        let marker = if t.is_own { ' ' } else { '*' };
         println!("{:>12.6} s {marker} {:<8}{}", t.us as f64 / 1e6, t.process, t.text);
     }
     Ok(true)
--- a/crates/aldercrank-testbench/src/scenario_command.rs
+++ b/crates/aldercrank-testbench/src/scenario_command.rs
@@ -1,4 +1,4 @@
-//! `aldercrank-testbench fleet` and `hunt`: play a scenario on a cluster of real processes and print what it came to;
+//! `aldercrank-testbench fleet` and `hunt`: play a scenario on a cluster of server processes and print its results;
 //! search for scenarios that break a rule.
 
 use crate::command_line::SearchArguments;
@@ -26,20 +26,22 @@
     pub(crate) file: PathBuf,
 }
 
-/// The program under test, by default the one beside this. Fails where there is none.
+/// The program under test, by default `aldercrank` in the directory of this program. Fails if there is no such file.
 pub(crate) fn program(named: Option<PathBuf>) -> io::Result<Program> {
     let path = named.unwrap_or_else(program_beside);
     if !path.is_file() {
-        let why =
-            format!("{}: no such program; build it (cargo build --release) or name one", path.display());
+        let why = format!(
+            "{}: no such program; build it (cargo build --release) or pass --program FILE",
+            path.display()
+        );
         return Err(io::Error::other(why));
     }
     Ok(Program::new(path.canonicalize()?, std::env::current_exe()?))
 }
 
-/// Reads a scenario file. Fails with all that is wrong in it.
+/// Reads a scenario file. Fails with all errors in it.
 pub(crate) fn load(file: &Path) -> io::Result<Scenario> {
-    Scenario::load(file).map_err(|wrong| io::Error::other(format!("not a scenario:\n{wrong}")))
+    Scenario::load(file).map_err(|errors| io::Error::other(format!("invalid scenario:\n{errors}")))
 }
 
 /// Plays one scenario in a directory of its own.
@@ -48,19 +50,19 @@
     TestCluster::play(scenario, &RunOptions { program: program.clone(), dir, keep: false, verbose })
 }
 
-/// The same seed without faults, where it is asked for or a bound is a share of it.
+/// Plays the same seed without faults if `requested` or if a bound is relative to it.
 pub(crate) fn play_without_faults(
     scenario: &Scenario,
     program: &Program,
-    asked: bool,
+    requested: bool,
 ) -> io::Result<Option<Outcome>> {
     let bounds = &scenario.bounds;
     let relative =
         bounds.of_calm.or(bounds.idempotent_of_calm).or(bounds.cut_off_idempotent_of_calm).is_some();
-    (asked || relative).then(|| play(&scenario.calm(), program, false)).transpose()
+    (requested || relative).then(|| play(&scenario.calm(), program, false)).transpose()
 }
 
-/// Plays a scenario and prints its figures. Gives whether all rules and bounds hold.
+/// Plays a scenario and prints its results. Returns whether all rules and bounds hold.
 pub(crate) fn run(options: &ScenarioRun) -> io::Result<bool> {
     let mut scenario = load(&options.file)?;
     scenario.seed = options.seed.unwrap_or(scenario.seed);
@@ -90,43 +92,43 @@
 
 fn print_table(o: &Outcome, calm: Option<&Outcome>, missed: &[String]) {
     println!("{}: {} servers, {} s, seed {}", o.scenario, o.servers, o.span_s, o.seed);
-    let program_beside =
+    let without_faults =
         |f: &dyn Fn(&Outcome) -> f64| calm.map_or(String::new(), |c| format!("{:>14.3}", f(c)));
     println!("{:<34}{:>10}{}", "", "", if calm.is_some() { "without faults" } else { "" });
-    println!("{:<34}{:>10.3}{}", "value got of value sought", o.value, program_beside(&|o| o.value));
+    println!("{:<34}{:>10.3}{}", "value obtained of value sought", o.value, without_faults(&|o| o.value));
     for (n, (name, share)) in o.classes.iter().enumerate() {
-        println!("{:<34}{share:>10.3}{}", format!("  {name}"), program_beside(&|o| o.classes[n].1));
+        println!("{:<34}{share:>10.3}{}", format!("  {name}"), without_faults(&|o| o.classes[n].1));
     }
     for (end, count) in &o.ends {
         let other = calm.map_or(String::new(), |c| format!("{:>14}", c.ends.get(end).copied().unwrap_or(0)));
         println!("{:<34}{count:>10}{other}", format!("  {end:?}"));
     }
-    println!("{:<34}{:>10}", "completed without their call", o.degraded);
-    println!("{:<34}{:>10.1}{}", "completed, median ms", o.p50_ms, program_beside(&|o| o.p50_ms));
-    println!("{:<34}{:>10.1}{}", "completed, 99th percentile ms", o.p99_ms, program_beside(&|o| o.p99_ms));
+    println!("{:<34}{:>10}", "completed without the index call", o.degraded);
+    println!("{:<34}{:>10.1}{}", "completed, median ms", o.p50_ms, without_faults(&|o| o.p50_ms));
+    println!("{:<34}{:>10.1}{}", "completed, 99th percentile ms", o.p99_ms, without_faults(&|o| o.p99_ms));
     println!("{:<34}{:>10}", "attempts", o.counts.attempts);
     println!("{:<34}{:>10}", "runs", o.counts.runs);
-    println!("{:<34}{:>10}", "runs of one request, other incarnations", o.counts.across);
+    println!("{:<34}{:>10}", "runs repeated on another incarnation", o.counts.across);
     println!("{:<34}{:>10}", "connections at the membership service", o.membership.connections);
-    println!("{:<34}{:>10}", "  most in a second", o.membership.most_second);
-    println!("{:<34}{:>10}", "  most in a tenth of a second", o.membership.most_tenth);
+    println!("{:<34}{:>10}", "  maximum in a second", o.membership.most_second);
+    println!("{:<34}{:>10}", "  maximum in a tenth of a second", o.membership.most_tenth);
     println!("{:<34}{:>10}", "  reports rejected", o.membership.rejected);
-    println!("{:<34}{:>10}", "times a running server lapsed", o.membership.flaps);
-    println!("{:<34}{:>10}", "most outstanding calls at the index", o.index_most);
-    println!("{:<34}{:>10}", "most memory of a server, KB", o.memory_kb);
-    println!("{:<34}{:>10}", "most descriptors of a server", o.descriptors);
-    println!("{:<34}{:>10.2}", "servers' time on a core, s", o.servers_cpu_s);
+    println!("{:<34}{:>10}", "lapsed while running", o.membership.flaps);
+    println!("{:<34}{:>10}", "maximum of outstanding index calls", o.index_most);
+    println!("{:<34}{:>10}", "maximum memory of a server, KB", o.memory_kb);
+    println!("{:<34}{:>10}", "maximum descriptors of a server", o.descriptors);
+    println!("{:<34}{:>10.2}", "CPU time of the servers, s", o.servers_cpu_s);
     if let Some(a) = &o.version_figures {
         println!("{:<34}{:>10}", "versions published", a.published);
-        println!("{:<34}{:>10}", "  acted on, the first among them", a.acted_on);
-        println!("{:<34}{:>10.0}", "conflicting versions, furthest ms", a.farthest_ms);
-        println!("{:<34}{:>10.0}", "free version everywhere, p99 ms", a.free_p99_ms);
-        println!("{:<34}{:>10.0}", "fenced version everywhere, p99 ms", a.fenced_p99_ms);
+        println!("{:<34}{:>10}", "  acted on, including the first", a.acted_on);
+        println!("{:<34}{:>10.0}", "conflicting versions, max apart ms", a.farthest_ms);
+        println!("{:<34}{:>10.0}", "free version in use, p99 ms", a.free_p99_ms);
+        println!("{:<34}{:>10.0}", "fenced version in use, p99 ms", a.fenced_p99_ms);
         println!("{:<34}{:>10}", "messages between servers", a.peer_messages);
         println!("{:<34}{:>10}", "reads of the membership service", a.reads);
     }
-    println!("{:<34}{:>10.2}", "test cluster's time on a core, s", o.cluster_cpu_s);
-    println!("{:<34}{:>10.2}", "start until all listed, s", o.start_s);
+    println!("{:<34}{:>10.2}", "CPU time of the test cluster, s", o.cluster_cpu_s);
+    println!("{:<34}{:>10.2}", "start until all are listed, s", o.start_s);
     for broken in &o.violations {
         let (attempt, server) =
             (broken.attempt.clone().unwrap_or_default(), broken.server.clone().unwrap_or_default());
@@ -136,11 +138,11 @@
     println!("rules broken: {}, bounds missed: {}", o.counts.violations, missed.len());
 }
 
-/// Searches that run side by side.
+/// Searches that run in parallel.
 const PARALLEL_SEARCHES: u64 = 4;
 
-/// Searches for timelines of faults that break a rule or lose the most, and writes the smallest. Gives whether no rule
-/// was broken.
+/// Searches for timelines of faults that break a rule or cost the most value, and writes the smallest ones found.
+/// Returns whether no rule was broken.
 pub(crate) fn search(arguments: &SearchArguments) -> io::Result<bool> {
     let program = &program(arguments.program.clone())?;
     let target = if arguments.rules { SearchTarget::Versions } else { SearchTarget::Servers };
@@ -165,7 +167,12 @@
     for (n, find) in finds.iter().enumerate() {
         let file = arguments.into.join(format!("found-{}-{}.kdl", arguments.seed, n + 1));
         std::fs::write(&file, &find.text)?;
-        println!("{}: value {:.3} of calm, {} rules broken", file.display(), find.of_calm, find.violations);
+        println!(
+            "{}: {:.3} of the value without faults, {} rules broken",
+            file.display(),
+            find.of_calm,
+            find.violations
+        );
     }
     Ok(finds.iter().all(|find| find.violations == 0))
 }
--- a/crates/aldercrank-testbench/src/selection.rs
+++ b/crates/aldercrank-testbench/src/selection.rs
@@ -1,32 +1,32 @@
-//! Which scenarios of a check are played: all of them, all but some, or one alone.
+//! Selects the scenarios of a check: all of them, all but some, or only one.
 
 use std::io;
 
 /// The scenarios that a command line selects, by name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Selection {
-    /// These are left out.
+    /// Scenarios to skip.
     pub(crate) except: Vec<String>,
-    /// This one alone is played.
+    /// The only scenario to play, if given.
     pub(crate) only: Option<String>,
 }
 
 impl Selection {
-    /// Whether the scenario of this name is to be played.
+    /// Whether the scenario with this name is selected.
     pub(crate) fn includes(&self, name: &str) -> bool {
         let selected = self.only.as_deref().is_none_or(|only| only == name);
-        selected && !self.except.iter().any(|left_out| left_out == name)
+        selected && !self.except.iter().any(|skipped| skipped == name)
     }
 
-    /// An error where a check without scenarios is asked for some of them.
+    /// Fails if anything is selected, for a check without scenarios.
     pub(crate) fn check_is_empty(&self) -> io::Result<()> {
         if self.except.is_empty() && self.only.is_none() {
             return Ok(());
         }
-        Err(io::Error::other("this check has no scenarios to select"))
+        Err(io::Error::other("this check has no scenarios: --except and --only do not apply"))
     }
 
-    /// An error where a selected name is none of these.
+    /// Fails if a selected name is not among `names`.
     pub(crate) fn check(&self, names: &[String]) -> io::Result<()> {
         let unknown = self.except.iter().chain(&self.only).find(|name| !names.contains(name));
         match unknown {
--- a/crates/aldercrank-testbench/src/server_modes.rs
+++ b/crates/aldercrank-testbench/src/server_modes.rs
@@ -1,4 +1,4 @@
-//! The server's own code in a process of the testbench: with its allocations and copies counted, or with a fault
+//! Runs the server's code in a testbench process, either with its allocations and copies counted or with a fault
 //! injected into its consensus.
 
 use crate::consensus_check::injected_fault;
@@ -7,10 +7,10 @@
 use aldercrank_server::net::serve;
 use std::io;
 
-/// Serves until SIGTERM with a fault injected that the checks must find. Fails where the fault is unknown or the
-/// configuration can't be served.
+/// Serves until SIGTERM with an injected fault that the checks must detect. Fails if the fault is unknown or the
+/// configuration is invalid.
 pub(crate) fn serve_faulty(name: &str, config: String, service: Option<String>) -> io::Result<bool> {
-    let unknown = || io::Error::other(format!("no injected fault is named {name}"));
+    let unknown = || io::Error::other(format!("unknown injected fault {name}"));
     let fault = injected_fault(name).ok_or_else(unknown)?;
     let load = move || -> Result<Config, ConfigError> {
         let mut config = Config::load(Some(&config), service.as_deref())?;
@@ -23,8 +23,8 @@
     Ok(true)
 }
 
-/// Serves until SIGTERM, and answers each line of standard input with allocations, bytes allocated and bytes copied so
-/// far. Ends when standard input does.
+/// Serves until SIGTERM and answers each line on standard input with the numbers of allocations, bytes allocated and
+/// bytes copied so far. Exits at the end of standard input.
 pub(crate) fn serve_counted(config: String, service: Option<String>) -> io::Result<bool> {
     std::thread::spawn(|| {
         for _ in io::stdin().lines() {
@@ -33,7 +33,7 @@
             let copied = aldercrank_server::payload::copied();
             println!("{allocations} {} {copied}", heap.bytes_allocated);
         }
-        // Whoever asked has ended.
+        // The process that reads the counts has ended.
         std::process::exit(0);
     });
     let load = move || Config::load(Some(&config), service.as_deref());
--- a/crates/aldercrank-testbench/src/server_under_test.rs
+++ b/crates/aldercrank-testbench/src/server_under_test.rs
@@ -1,4 +1,4 @@
-//! The server under test: its configuration, its process, and what can be read of it from outside.
+//! The server under test: its configuration, its process, and measurements of the process from outside.
 
 use crate::edge_client::EdgeConnection;
 use crate::stub_services::{self, StubWorkerPool};
@@ -9,30 +9,30 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long a server has to come up, and to end, however slow its machine is made.
+/// How long a server may take to start and to exit, even on a slow machine.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What is measured.
+/// The server build that is measured.
 #[derive(Clone, Debug)]
 pub(crate) enum Build {
-    /// This repository's server in a process of the testbench's, with its heap and copies counted.
+    /// This repository's server, run in a testbench process that counts its allocations and copies.
     Counted,
-    /// A program that serves a configuration, such as an earlier build.
+    /// A server program, such as an earlier build.
     Program(PathBuf),
-    /// As `Counted`, under valgrind's callgrind, which counts instructions into a file.
+    /// Like `Counted`, under valgrind's callgrind, which writes its instruction counts to this file.
     Instructions(PathBuf),
 }
 
-/// What the server is configured with.
+/// Settings of the server that differ between measurements.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerSetup {
     pub(crate) cores: f64,
     pub(crate) memory_kb: f64,
-    /// Slack of response times; half of it is the module's tick.
+    /// The slack of response times. Half of it is the tick of the admission module.
     pub(crate) slack: Duration,
     pub(crate) timeout: Duration,
     pub(crate) index_pause: Duration,
-    /// The longest result, where it is not the server's own bound.
+    /// The longest result in KB, if it differs from the server's default.
     pub(crate) result_kb: Option<usize>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl ServerSetup {
-    /// The configuration file's JSON, under the operators' names.
+    /// The server's configuration file.
     fn configuration(&self, at: &Addresses) -> serde_json::Value {
         let us = |span: Duration| span.as_micros() as u64;
         let class = |name: &str, effect: &str| {
@@ -71,7 +71,7 @@
 }
 
 impl Build {
-    /// The program and the command by which it serves; the configuration follows.
+    /// The program with its subcommand that serves; the caller appends the configuration file.
     fn command(&self) -> io::Result<Command> {
         let own = std::env::current_exe()?;
         let mut command = match self {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Counts since the start of the process.
+/// Allocations, bytes allocated and bytes copied since the start of the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) allocations: u64,
@@ -97,7 +97,7 @@
     pub(crate) copied: u64,
 }
 
-/// A server process with its stub services; it is killed when this is dropped.
+/// A server process with its stub services. Dropping it kills the process.
 pub(crate) struct ServerUnderTest {
     child: Child,
     counts: Option<BufReader<ChildStdout>>,
@@ -106,27 +106,28 @@
     config: PathBuf,
 }
 
-/// Each run has a loopback address of its own, so that a port that is free for a moment is no other's.
-fn address() -> String {
-    static RUNS: AtomicU32 = AtomicU32::new(1);
-    let (pid, run) = (std::process::id() % 60_000, RUNS.fetch_add(1, Ordering::Relaxed) % 250 + 1);
-    format!("127.{}.{}.{run}", 16 + pid / 250, 1 + pid % 250)
+/// A loopback address for one server and its stub services. Each has its own, so that no other server can take a port
+/// between its choice and its use.
+fn unused_address() -> String {
+    static SERVERS: AtomicU32 = AtomicU32::new(1);
+    let (pid, server) = (std::process::id() % 60_000, SERVERS.fetch_add(1, Ordering::Relaxed) % 250 + 1);
+    format!("127.{}.{}.{server}", 16 + pid / 250, 1 + pid % 250)
 }
 
 impl ServerUnderTest {
     /// Starts the server with its stub services and waits until it serves.
     pub(crate) fn start(build: &Build, setup: &ServerSetup) -> io::Result<ServerUnderTest> {
-        let ip = address();
+        let ip = unused_address();
         let pool = StubWorkerPool::start(&ip)?;
-        let index = stub_services::http(&ip, setup.index_pause, stub_services::FOUND)?;
-        let members = stub_services::http(&ip, Duration::ZERO, stub_services::LISTED)?;
+        let index = stub_services::http(&ip, setup.index_pause, stub_services::INDEX_RESPONSE)?;
+        let members = stub_services::http(&ip, Duration::ZERO, stub_services::MEMBERSHIP_RESPONSE)?;
         let edge = TcpListener::bind((&ip[..], 0))?.local_addr()?;
         let config = setup.configuration(&Addresses { listen: edge, pool: pool.addr, members, index });
         let file = format!("aldercrank-testbench-{}-{}.json", std::process::id(), edge.port());
         let path = std::env::temp_dir().join(file);
         std::fs::write(&path, config.to_string())?;
         let mut command = build.command()?;
-        // An earlier build may not know the service file; it gets one only where the case needs it.
+        // An earlier build may not support the service file, so it is passed only if the case needs it.
         let service = path.with_extension("kdl");
         if let Some(kb) = setup.result_kb {
             std::fs::write(&service, format!("results {{\n    longest-kb {kb}\n}}\n"))?;
@@ -137,63 +138,66 @@
         let stdout = child.stdout.take().map(BufReader::new);
         let counts = stdout.filter(|_| matches!(build, Build::Counted));
         let mut server = ServerUnderTest { child, counts, pool, edge, config: path };
-        server.ready()?;
+        server.wait_until_ready()?;
         Ok(server)
     }
 
-    /// Waits until it serves.
-    fn ready(&mut self) -> io::Result<()> {
+    /// Waits until the server listens and is connected to its worker pool.
+    fn wait_until_ready(&mut self) -> io::Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait()? {
-                let why = format!("the server has ended with {status}: try check-config on its file");
+                let why = format!(
+                    "the server exited with {status}; run `aldercrank check-config` on its configuration"
+                );
                 return Err(io::Error::other(why));
             }
-            // Connected to its worker pool it runs requests; before that it rejects all.
+            // The server rejects all requests until it is connected to its worker pool.
             if EdgeConnection::connect(self.edge).is_ok() && self.pool.is_connected() {
                 std::thread::sleep(Duration::from_millis(100));
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        Err(io::Error::other("the server does not listen after half a minute"))
+        Err(io::Error::other("the server was not ready within 30 s"))
     }
 
     pub(crate) fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Time on a core so far, of the thread that serves.
+    /// CPU time of the main thread, which serves, since its start.
     pub(crate) fn cpu_time(&self) -> io::Result<Duration> {
         let path = format!("/proc/{0}/task/{0}/schedstat", self.pid());
         let text = std::fs::read_to_string(path)?;
         let ns = text.split_whitespace().next().and_then(|n| n.parse().ok());
-        ns.map(Duration::from_nanos).ok_or_else(|| io::Error::other("no time in schedstat"))
+        ns.map(Duration::from_nanos)
+            .ok_or_else(|| io::Error::other("no CPU time in /proc/PID/task/PID/schedstat"))
     }
 
-    /// The most memory that it has had resident, in KB.
+    /// Peak resident memory in KB.
     pub(crate) fn peak_kb(&self) -> io::Result<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.pid()))?;
         let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         let kb = line.and_then(|l| l.split_whitespace().next()?.parse().ok());
-        kb.ok_or_else(|| io::Error::other("no peak in status"))
+        kb.ok_or_else(|| io::Error::other("no VmHWM in /proc/PID/status"))
     }
 
-    /// Sends SIGTERM and waits for its end.
+    /// Sends SIGTERM and waits until the process exits.
     pub(crate) fn end(&mut self) -> io::Result<()> {
         let pid = nix::unistd::Pid::from_raw(self.pid() as i32);
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGTERM)?;
         let until = Instant::now() + READY_TIMEOUT;
         while self.child.try_wait()?.is_none() {
             if Instant::now() > until {
-                return Err(io::Error::other("the server does not end after SIGTERM"));
+                return Err(io::Error::other("the server did not exit within 30 s of SIGTERM"));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
         Ok(())
     }
 
-    /// Its counts; nothing for a program that does not count.
+    /// The counts so far; `None` unless the build is `Counted`.
     pub(crate) fn counts(&mut self) -> io::Result<Option<Counts>> {
         let Some(from) = &mut self.counts else { return Ok(None) };
         if let Some(to) = &mut self.child.stdin {
@@ -204,14 +208,14 @@
         let n: Vec<u64> = line.split_whitespace().filter_map(|n| n.parse().ok()).collect();
         match n[..] {
             [allocations, bytes, copied] => Ok(Some(Counts { allocations, bytes, copied })),
-            _ => Err(io::Error::other("the counted server has ended")),
+            _ => Err(io::Error::other("no counts from the counted server: it has exited")),
         }
     }
 }
 
 impl Drop for ServerUnderTest {
     fn drop(&mut self) {
-        // A tracer may have taken its end already.
+        // Errors are ignored: a tracer may already have waited for the process.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.config);
@@ -219,7 +223,7 @@
     }
 }
 
-/// The program beside this one.
+/// The server program in the directory of this program.
 pub(crate) fn program_beside() -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
     own.parent().unwrap_or(Path::new(".")).join("aldercrank")
--- a/crates/aldercrank-testbench/src/shutdown_soak.rs
+++ b/crates/aldercrank-testbench/src/shutdown_soak.rs
@@ -1,5 +1,5 @@
-//! `aldercrank-testbench soak`: short runs, each drawn from its seed, in which servers are sent signals in series and
-//! killed exactly at their stop timeout, while callers go on using the connections that they have.
+//! `aldercrank-testbench soak`: short scenarios, each drawn from a seed, in which servers receive series of signals and
+//! are killed exactly at their stop timeout, while callers go on using their open connections.
 
 use crate::check_runner::{run_checks, CheckTask, PRINTED_VIOLATIONS};
 use crate::figures;
@@ -18,14 +18,15 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Servers of each run. Three of them are the committee where there is a versioned configuration.
+/// Servers in each scenario. If there is a versioned configuration, all three are committee members.
 const SERVERS: usize = 3;
-/// Seconds from the begin of the callers to the first series of signals, and from one to the next.
+/// Seconds from the callers' first requests to the first series of signals.
 const FIRST_SERIES_S: f64 = 1.5;
+/// Seconds from one series of signals to the next.
 const SERIES_INTERVAL_S: f64 = 3.4;
-/// Series of signals of one run.
+/// Number of series of signals in one scenario.
 const SERIES: usize = 3;
-/// Series that are drawn. Each has SIGTERM in it.
+/// The series to draw from. Each contains SIGTERM.
 const SIGNALS: [&str; 12] = [
     "term",
     "hup term",
@@ -40,14 +41,14 @@
     "term stop cont",
     "hup term pool-restart",
 ];
-/// Milliseconds between the signals of a series.
+/// The gaps between the signals of a series to draw from, in milliseconds.
 const GAPS_MS: [f64; 5] = [0.0, 0.3, 1.0, 20.0, 200.0];
-/// Idle connections that one edge node opens at most: with those in use, all edge nodes stay within half of the
-/// descriptor limit, as the protocol has it.
+/// The most idle connections that one edge node opens. With the connections in use, all edge nodes together stay within
+/// half of the server's descriptor limit, as the protocol demands.
 const MAX_IDLE_CONNECTIONS: usize = 79;
-/// Seeds of the check in CI.
+/// Seeds of `check shutdown`.
 const CHECK_SEEDS: std::ops::RangeInclusive<u64> = 1..=12;
-/// Runs of the check at once.
+/// Scenarios of `check shutdown` played at once.
 const CHECK_SIDE_BY_SIDE: usize = 4;
 
 /// The arguments of `soak`.
@@ -59,14 +60,14 @@
     pub(crate) side_by_side: usize,
 }
 
-/// A scenario in two parts, so that a shorter timeline can be looked for.
+/// A scenario as its base and its steps, so that a failing one can be reduced by leaving out steps.
 struct DrawnScenario {
     base: String,
     steps: Vec<String>,
 }
 
 impl DrawnScenario {
-    /// The scenario of a seed: always the same.
+    /// Draws the scenario of a seed. A seed always gives the same scenario.
     fn of(seed: u64) -> DrawnScenario {
         let mut random = RandomStream::of(seed, "shutdown soak");
         let usage = ["until-closing", "until-end"][random.below(2)];
@@ -90,7 +91,8 @@
         }
         if has_versions {
             base += "rules committee=3 within-ms=1000 disks=#true\n";
-            // Each stands for longer than a decision, and is published at any moment of a stop.
+            // Each version stays published for longer than a decision takes, and may be published at any time during a
+            // shutdown.
             for (number, server) in servers.into_iter().enumerate() {
                 steps.extend(publication_steps(&mut random, number, server));
             }
@@ -108,7 +110,8 @@
     }
 }
 
-/// A version that is published while `draining` drains, and at times another member that is away in that moment.
+/// Publishes a version while the server `draining` drains. With a probability of 0.3 another committee member is killed
+/// or suspended at the same time.
 fn publication_steps(random: &mut RandomStream, number: usize, draining: usize) -> Vec<String> {
     let items = ["licence-buy.points=6", "licence-buy.window-ms=5000", "licence-buy.points=4"];
     let item = items[number % items.len()];
@@ -123,7 +126,7 @@
     steps
 }
 
-/// One series of signals to one server, and what surrounds it.
+/// One series of signals to one server, in most cases with another fault or a change of load at the same time.
 fn series_steps(random: &mut RandomStream, number: usize, server: usize, has_versions: bool) -> Vec<String> {
     let at = FIRST_SERIES_S + SERIES_INTERVAL_S * number as f64 + 0.3 * random.unit();
     let server = server + 1;
@@ -141,7 +144,7 @@
             let times = 3 + random.below(4);
             steps.push(format!("at {at:.3} \"rate\" times={times} for=0.4"));
         }
-        // While the service is away no version is read.
+        // Versions are read from the membership service, so it stays up if there are any.
         2 if !has_versions => {
             let state = ["silent", "down", "closing"][random.below(3)];
             steps.push(format!("at {before:.3} \"list\" state=\"{state}\" for=2.4"));
@@ -156,7 +159,7 @@
     steps
 }
 
-/// What a run came to: its violations and missed bounds, as lines.
+/// One line for each violation and missed bound.
 fn failures(scenario: &Scenario, outcome: &Outcome) -> Vec<String> {
     let violations = outcome.violations.iter().take(PRINTED_VIOLATIONS).map(figures::of_violation);
     violations.chain(missed_bounds(scenario, outcome, None)).collect()
@@ -169,7 +172,7 @@
     passed: bool,
 }
 
-/// Plays one seed. A run that fails is kept, and a shorter timeline is looked for.
+/// Plays one seed. If it fails, its directory is kept and its timeline is reduced.
 fn play_seed(seed: u64, program: &Program) -> io::Result<RunResult> {
     let drawn = DrawnScenario::of(seed);
     let scenario = drawn.scenario()?;
@@ -183,7 +186,7 @@
     let failures = failures(&scenario, &outcome);
     let counts = outcome.counts;
     println!(
-        "seed {seed}: {} attempts, {} runs, {} unread, {} starts, {} KB, {} descriptors{}",
+        "seed {seed}: {} attempts, {} runs, {} unread, {} starts, at most {} KB and {} descriptors per server{}",
         counts.attempts,
         counts.runs,
         counts.unread,
@@ -195,15 +198,15 @@
     if failures.is_empty() {
         std::fs::remove_dir_all(&dir)?;
     } else {
-        println!("    again: aldercrank-testbench soak --seed {seed} --runs 1");
-        println!("    kept: {} (aldercrank-testbench why DIR REQUEST)", dir.display());
+        println!("    to repeat: aldercrank-testbench soak --seed {seed} --runs 1");
+        println!("    kept in {}; trace a request with: aldercrank-testbench why DIR REQUEST", dir.display());
         let shortest = shortest_failing(drawn, program)?;
-        println!("    shortest timeline that failed again:\n{}", shortest.document());
+        println!("    shortest timeline that still fails:\n{}", shortest.document());
     }
     Ok(RunResult { attempts: counts.attempts, unread: counts.unread, passed: failures.is_empty() })
 }
 
-/// Leaves out each step without which the run violates a rule as well.
+/// Leaves out the steps that are not needed for a violation of a rule.
 fn shortest_failing(drawn: DrawnScenario, program: &Program) -> io::Result<DrawnScenario> {
     let DrawnScenario { base, steps } = drawn;
     let steps = remove_needless_steps(steps, |fewer| {
@@ -214,10 +217,10 @@
     Ok(DrawnScenario { base, steps })
 }
 
-/// Plays the seeds and prints a line for each and a last one with the totals. Gives whether all passed.
+/// Plays the seeds and prints a line for each and the totals at the end. Returns whether all passed.
 pub(crate) fn run(soak: &Soak) -> io::Result<bool> {
     if soak.runs == 0 || soak.side_by_side == 0 {
-        return Err(io::Error::other("no seed to play: --runs and --side-by-side begin at 1"));
+        return Err(io::Error::other("--runs and --side-by-side must be 1 or more"));
     }
     let program = &scenario_command::program(soak.program.clone())?;
     let (next, results) = (AtomicU64::new(0), Mutex::new(Vec::new()));
@@ -238,18 +241,16 @@
     let attempts: u64 = results.iter().map(|result| result.attempts).sum();
     let unread: u64 = results.iter().map(|result| result.unread).sum();
     let passed = results.iter().filter(|result| result.passed).count();
-    println!(
-        "soak: {passed} of {} runs without a failure, {attempts} attempts, {unread} unread",
-        results.len()
-    );
+    println!("soak: {passed} of {} seeds passed, {attempts} attempts, {unread} unread", results.len());
     Ok(passed == results.len())
 }
 
-/// Injected violations, and the rule that has to be named for each.
+/// Injected violations, and the rule that the invariant checker must report for each.
 const VIOLATIONS: [(InjectedViolation, Rule); 2] =
     [(InjectedViolation::LoseLastAnswer, Rule::Lost), (InjectedViolation::IgnoreTerm, Rule::Drain)];
 
-/// Plays some seeds, and runs with an injected violation that the checker must name. Gives whether all passed.
+/// Plays `check shutdown`: some seeds, and scenarios with an injected violation that the invariant checker must report.
+/// Returns whether all passed.
 pub(crate) fn check(selection: &Selection, program: Option<PathBuf>) -> io::Result<bool> {
     let drawn = CHECK_SEEDS.map(|seed| DrawnScenario::of(seed).scenario().map(CheckTask::Scenario));
     let mut tasks: Vec<CheckTask> = drawn.collect::<io::Result<_>>()?;
@@ -261,7 +262,7 @@
     run_checks("shutdown", selection, tasks, &scenario_command::program(program)?, CHECK_SIDE_BY_SIDE)
 }
 
-/// A server that is asked to shut down, with callers that use their connections to the end.
+/// One server is asked to shut down while callers use their connections until the server closes them.
 fn violation_scenario() -> io::Result<Scenario> {
     let steps = vec!["at 2 \"signals\" server=\"n1\" send=\"term\"".to_string()];
     let base = "seconds 6\nfleet servers=2 zones=1 stop-ms=2000 grace-ms=600\n\
--- a/crates/aldercrank-testbench/src/soak_check.rs
+++ b/crates/aldercrank-testbench/src/soak_check.rs
@@ -1,5 +1,6 @@
-//! `aldercrank-testbench check soak`: ten million requests with ever new idempotency keys through the core and the
-//! admission module in virtual time. Their memory must not grow after the first tenth.
+//! `aldercrank-testbench check soak`: passes ten million requests, each with a new idempotency key where it has one,
+//! through the core and the admission module in virtual time. Their memory must not grow after the first tenth of the
+//! requests.
 
 use crate::HEAP;
 use aldercrank::{IncomingRequest, Outcome, RequestId, Settings};
@@ -16,17 +17,18 @@
 use std::time::Duration;
 
 const REQUESTS: u64 = 10_000_000;
-/// Time between two requests.
+/// Virtual time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(1);
-/// How long each runs.
+/// Virtual run time of each request.
 const RUN_TIME: Duration = Duration::from_millis(2);
-/// Requests on each connection before it closes.
+/// Requests on each connection before it is closed.
 const REQUESTS_PER_CONNECTION: u64 = 1000;
-/// Memory after each tenth, as a share of that after the first, at most.
+/// Upper bound on the memory after each tenth, relative to the memory after the first.
 const MAX_GROWTH: f64 = 1.05;
-/// Bytes for cached responses.
+/// Size of the cache for responses, in bytes.
 const CACHE_BYTES: usize = 1 << 20;
 
+/// The state behind `RecordingPorts`: virtual time, timers, runs and the number of responses.
 #[derive(Default)]
 struct VirtualServer {
     now: Duration,
@@ -34,9 +36,11 @@
     runs: VecDeque<(Duration, AttemptId)>,
     polls: VecDeque<u64>,
     completed: u64,
+    /// Rejected or failed.
     others: u64,
 }
 
+/// Ports of the core that record its output in a `VirtualServer`.
 #[derive(Clone, Default)]
 struct RecordingPorts(Rc<RefCell<VirtualServer>>);
 
@@ -86,19 +90,19 @@
         "profiles": [class("map-extract", "retryable"), class("licence-buy", "dedup")]}))
 }
 
-/// Bytes on the heap now.
+/// Bytes currently allocated on the heap.
 fn heap_bytes() -> usize {
     let heap = HEAP.stats();
     heap.bytes_allocated.saturating_sub(heap.bytes_deallocated)
 }
 
-/// Advances the time: timers that are due, load metrics, and ends of runs.
+/// Advances virtual time to `now`: fires the timers that are due, answers requests for load metrics and ends runs.
 fn advance(core: &mut Core<RecordingPorts>, server: &RecordingPorts, now: Duration) {
     server.0.borrow_mut().now = now;
     loop {
         let due = server.0.borrow_mut().timers.due(now);
-        let Some(reminder) = due else { break };
-        core.timer_fired(now, reminder);
+        let Some(timer) = due else { break };
+        core.timer_fired(now, timer);
     }
     loop {
         let tag = server.0.borrow_mut().polls.pop_front();
@@ -118,7 +122,7 @@
     }
 }
 
-/// Sends request `n`; gives how many responses are no longer owed, since their callers have gone.
+/// Sends request `n`. Returns the number of responses that are no longer owed because their callers are gone.
 fn send(core: &mut Core<RecordingPorts>, now: Duration, n: u64) -> u64 {
     let attempt = AttemptId::new(&format!("{n:016x}")).expect("sixteen hex digits");
     let reply_to = ReplyTo {
@@ -141,7 +145,8 @@
         ReceivedRequest { attempt, dedup_key, arrival: incoming, unread: REQUEST_INTERVAL, body: b"a body" },
     );
     let owed = core.responses_owed();
-    // One in a hundred has a caller that goes; a connection goes with all that is open on it.
+    // The caller of one request in a hundred goes away, and a closed connection takes the callers of all its open
+    // requests with it.
     if n.is_multiple_of(100) {
         core.caller_gone(now, reply_to);
     }
@@ -151,13 +156,14 @@
     (owed - core.responses_owed()) as u64
 }
 
-/// Plays the check. Gives whether memory stayed flat and each request was answered once.
+/// Runs the check. Returns whether memory stayed flat, each request was answered once and fewer than one in a hundred
+/// were not completed.
 pub(crate) fn check() -> std::io::Result<bool> {
     let server = RecordingPorts::default();
     let before = heap_bytes();
     let mut core = Core::new(&settings(), Duration::ZERO, CACHE_BYTES, server.clone());
     core.pool_bound(Duration::ZERO);
-    let (mut now, mut first, mut most, mut gone) = (Duration::ZERO, 0, 0, 0);
+    let (mut now, mut first_bytes, mut max_bytes, mut gone) = (Duration::ZERO, 0, 0, 0);
     for tenth in 1..=10 {
         for n in 0..REQUESTS / 10 {
             now += REQUEST_INTERVAL;
@@ -172,18 +178,18 @@
             core.requests_in_flight()
         );
         if tenth == 1 {
-            first = bytes;
+            first_bytes = bytes;
         }
-        most = most.max(bytes);
+        max_bytes = max_bytes.max(bytes);
     }
     let (completed, others) = (server.0.borrow().completed, server.0.borrow().others);
-    let flat = most as f64 <= first as f64 * MAX_GROWTH;
-    // Each request whose caller stayed has had one response or is still owed it.
-    let all = completed + others + gone + core.responses_owed() as u64 == REQUESTS;
+    let flat = max_bytes as f64 <= first_bytes as f64 * MAX_GROWTH;
+    // Each request whose caller stayed was answered once or is still owed its answer.
+    let each_answered_once = completed + others + gone + core.responses_owed() as u64 == REQUESTS;
     println!(
-        "check soak: {most} bytes at most, {first} after the first tenth; {completed} completed, {others} not, \
-         {gone} callers gone, {} still owed",
+        "check soak: at most {max_bytes} bytes on the heap, {first_bytes} after the first tenth; \
+         {completed} completed, {others} not, {gone} callers gone, {} still owed",
         core.responses_owed()
     );
-    Ok(flat && all && others < REQUESTS / 100)
+    Ok(flat && each_answered_once && others < REQUESTS / 100)
 }
--- a/crates/aldercrank-testbench/src/stub_services.rs
+++ b/crates/aldercrank-testbench/src/stub_services.rs
@@ -1,5 +1,5 @@
-//! Stub services on loopback: worker pool, index, membership service. Each runs on a thread of its own that ends with
-//! the process.
+//! Stubs of the worker pool, the index and the membership service on loopback. Each runs on threads of its own, which
+//! end with the process.
 
 use aldercrank_protocol::http;
 use aldercrank_protocol::worker_pool::{self, AttemptId, CommandHandler, NoticeNumber, RunEnd};
@@ -10,43 +10,44 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the worker pool has been up when a server connects: it is warm.
+/// The age that the worker pool states when a server connects: old enough to be warm.
 const POOL_AGE: Duration = Duration::from_secs(100);
 /// The run time that is reported for runs without work.
 const SHORT_RUN: Duration = Duration::from_millis(1);
-/// The class whose runs make a call first, where runs do.
+/// The class whose runs make a call first, if `PoolBehavior::calls` is set.
 const CLASS_WITH_CALL: &str = "map-extract";
 
 /// How the worker pool runs requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum RunBehavior {
-    /// Each run ends as soon as it is started.
+    /// Each run ends at once.
     #[default]
     Immediate,
-    /// Runs wait until `finish_oldest`.
+    /// Each run ends when `finish_oldest` is called.
     OnDemand,
-    /// Each takes this long on a core of its own, longer when the cores are shared among more.
+    /// Each run takes `span` on a core of its own, and longer in proportion if there are more runs than cores when it
+    /// starts.
     Work { span: Duration, cores: usize },
 }
 
-/// What the worker pool does from now on.
+/// How the worker pool handles requests that are started from now on.
 #[derive(Debug, Default)]
 pub(crate) struct PoolBehavior {
     pub(crate) runs: RunBehavior,
     /// Whether requests of the class `map-extract` make a call first.
     pub(crate) calls: bool,
-    /// Bytes of each result.
+    /// Size of each result in bytes.
     pub(crate) result: usize,
 }
 
-/// What a stub worker pool remembers.
+/// The state of a stub worker pool.
 #[derive(Default)]
 struct State {
     behavior: PoolBehavior,
     link: Option<TcpStream>,
     last_notice: u64,
     running: VecDeque<AttemptId>,
-    /// When runs with work were started, since the server learns from how long they took.
+    /// Start times of runs with `RunBehavior::Work`, whose run times are reported to the server.
     started_at: BTreeMap<AttemptId, Instant>,
 }
 
@@ -56,7 +57,7 @@
         NoticeNumber(self.last_notice)
     }
 
-    /// Writes that a run has ended.
+    /// Writes the event that a run has ended.
     fn end_run(&mut self, output: &mut Vec<u8>, attempt: AttemptId, end: RunEnd) {
         let length = if end == RunEnd::Completed { self.behavior.result } else { 0 };
         let run_time = self.started_at.remove(&attempt).map_or(SHORT_RUN, |at| at.elapsed());
@@ -65,8 +66,8 @@
     }
 
     fn remove_running(&mut self, attempt: AttemptId) -> bool {
-        let place = self.running.iter().position(|running| *running == attempt);
-        place.and_then(|place| self.running.remove(place)).is_some()
+        let position = self.running.iter().position(|running| *running == attempt);
+        position.and_then(|position| self.running.remove(position)).is_some()
     }
 
     fn send(&mut self, bytes: &[u8]) {
@@ -76,7 +77,7 @@
     }
 }
 
-/// A worker pool that serves one link at a time.
+/// A stub worker pool that serves one connection at a time.
 #[derive(Clone)]
 pub(crate) struct StubWorkerPool {
     state: Arc<Mutex<State>>,
@@ -84,7 +85,7 @@
 }
 
 impl StubWorkerPool {
-    /// Listens on this address.
+    /// Starts a worker pool on a free port of this address.
     pub(crate) fn start(ip: &str) -> io::Result<StubWorkerPool> {
         let listener = TcpListener::bind((ip, 0))?;
         let pool = StubWorkerPool { state: Arc::default(), addr: listener.local_addr()? };
@@ -101,7 +102,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes what it does from now on.
+    /// Changes the behavior for requests that are started from now on.
     pub(crate) fn set_behavior(&self, behavior: PoolBehavior) {
         self.state().behavior = behavior;
     }
@@ -111,12 +112,12 @@
         self.state().link.is_some()
     }
 
-    /// How many runs have been started and not ended.
+    /// Number of runs in progress.
     pub(crate) fn running(&self) -> usize {
         self.state().running.len()
     }
 
-    /// Ends the oldest run; gives its attempt id.
+    /// Ends the oldest run and returns its attempt id, or `None` if there is no run.
     pub(crate) fn finish_oldest(&self) -> Option<String> {
         let mut state = self.state();
         let mut bytes = Vec::new();
@@ -136,22 +137,22 @@
                 return Ok(());
             }
             input.extend_from_slice(&chunk[..n]);
-            // All commands that have come are carried out before anything is written: events go out together.
-            let (mut output, mut taken) = (Vec::new(), 0);
+            // Carries out all commands received before writing, so that their events go out in one write.
+            let (mut output, mut consumed) = (Vec::new(), 0);
             loop {
                 let mut receiver = CommandReceiver { pool: self, output: &mut output };
-                let read = worker_pool::read_command(&input[taken..], &mut receiver);
+                let read = worker_pool::read_command(&input[consumed..], &mut receiver);
                 match read.map_err(io::Error::other)? {
-                    Some(length) => taken += length,
+                    Some(length) => consumed += length,
                     None => break,
                 }
             }
-            input.drain(..taken);
+            input.drain(..consumed);
             self.state().send(&output);
         }
     }
 
-    /// Starts the work of a run, whose call, if it made one, is over.
+    /// Starts the work of a run, after its call if it made one.
     fn run(&self, output: &mut Vec<u8>, attempt: AttemptId) {
         let mut state = self.state();
         match state.behavior.runs {
@@ -177,7 +178,7 @@
     }
 }
 
-/// Carries out commands and collects the events that they lead to.
+/// Carries out commands and collects the resulting events.
 struct CommandReceiver<'a> {
     pool: &'a StubWorkerPool,
     output: &'a mut Vec<u8>,
@@ -217,7 +218,7 @@
     }
 }
 
-/// Starts an HTTP server that gives each request this response, after a pause.
+/// Starts an HTTP server that answers each request with this response after a pause.
 pub(crate) fn http(ip: &str, pause: Duration, response: &'static str) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((ip, 0))?;
     let addr = listener.local_addr()?;
@@ -245,7 +246,7 @@
     }
 }
 
-/// The response of the index.
-pub(crate) const FOUND: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfound";
-/// The response of the membership service.
-pub(crate) const LISTED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+/// The index's response to every call.
+pub(crate) const INDEX_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfound";
+/// The membership service's response to every report.
+pub(crate) const MEMBERSHIP_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
--- a/crates/aldercrank-testbench/src/syscall_trace.rs
+++ b/crates/aldercrank-testbench/src/syscall_trace.rs
@@ -1,4 +1,4 @@
-//! Counts another process's system calls by name, from outside: nothing in the program knows of it.
+//! Counts the system calls of another process by name, with ptrace, so that the program needs no support for it.
 
 use nix::sys::ptrace::{self, Options};
 use nix::sys::wait::{waitpid, WaitPidFlag, WaitStatus};
@@ -9,38 +9,38 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use syscalls::Sysno;
 
-/// System calls by name.
+/// Number of system calls by name.
 pub(crate) type Calls = BTreeMap<&'static str, u64>;
 
-/// Follows the first thread of a process until that ends.
+/// Traces the main thread of a process until the process ends.
 pub(crate) struct Tracer {
     calls: Arc<Mutex<Calls>>,
 }
 
 impl Tracer {
-    /// Begins to trace. Fails where the system does not let a process trace its own child.
+    /// Starts tracing. Fails if the system does not allow a process to trace its child.
     pub(crate) fn start(pid: u32) -> io::Result<Tracer> {
         let calls: Arc<Mutex<Calls>> = Arc::default();
         let (counted, pid) = (calls.clone(), Pid::from_raw(pid as i32));
         let (attached, attach_result) = channel();
-        // What is traced answers to one thread only.
+        // Ptrace requests are accepted only from the thread that attached.
         std::thread::spawn(move || {
             let seized =
                 ptrace::seize(pid, Options::PTRACE_O_TRACESYSGOOD).and_then(|()| ptrace::interrupt(pid));
-            let good = seized.is_ok();
+            let is_attached = seized.is_ok();
             let _ = attached.send(seized);
-            if good {
+            if is_attached {
                 let _ = follow(pid, &counted);
             }
         });
         match attach_result.recv() {
             Ok(Ok(())) => Ok(Tracer { calls }),
-            Ok(Err(e)) => Err(io::Error::other(format!("cannot trace the server: {e}"))),
-            Err(_) => Err(io::Error::other("the tracer has ended")),
+            Ok(Err(e)) => Err(io::Error::other(format!("cannot attach to the server with ptrace: {e}"))),
+            Err(_) => Err(io::Error::other("the tracer thread ended before it attached to the server")),
         }
     }
 
-    /// The calls so far.
+    /// The system calls counted so far.
     pub(crate) fn calls(&self) -> Calls {
         self.calls.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/aldercrank-testbench/tests/suite/golden_command_line.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_command_line.rs
@@ -1,14 +1,14 @@
-//! Golden file of the testbench's command line: which subcommands and flags it accepts. Help texts are not recorded.
+//! Golden file of the subcommands and flags that the testbench accepts. Help texts are not recorded.
 
-use crate::common::LAB;
+use crate::common::TESTBENCH;
 use crate::compare;
 use std::process::Command;
 
-/// A flag that no subcommand knows; it is the last word, so an error that names it means all before it was accepted,
-/// and nothing is started.
+/// A flag that no subcommand knows. It comes last, so an error that names it shows that all before it was accepted, and
+/// nothing is started.
 const UNKNOWN: &str = "--no-such-flag";
 
-/// Each flag with a value, where it takes one.
+/// Command lines that together contain each subcommand and flag, with a value for each flag that takes one.
 const ACCEPTED: [&str; 28] = [
     "load",
     "load --program FILE --rate 5 --seconds 1 --connections 2 --cores 3 --work-ms 4 --json",
@@ -41,7 +41,7 @@
 ];
 
 fn run(line: &str, last: &str) -> (Option<i32>, String) {
-    let output = Command::new(LAB).args(line.split_whitespace()).arg(last).output().unwrap();
+    let output = Command::new(TESTBENCH).args(line.split_whitespace()).arg(last).output().unwrap();
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
@@ -53,11 +53,11 @@
         assert!(output_text.contains(UNKNOWN), "{line}: not accepted: {output_text}");
         assert_eq!(run(line, "--help").0, Some(0), "{line} --help");
     }
-    let list: String = ACCEPTED.iter().map(|line| format!("{line}\n")).collect();
-    compare::check("command-line/laboratory-accepts.txt", &list);
+    let recording: String = ACCEPTED.iter().map(|line| format!("{line}\n")).collect();
+    compare::check("command-line/laboratory-accepts.txt", &recording);
 }
 
-/// The way of asking above tells a flag that is not known from one that is.
+/// Shows that the method of the test above detects unknown flags and subcommands.
 #[test]
 fn an_unknown_flag_or_subcommand_is_rejected() {
     for line in
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_unknown_check_is_an_error_of_its_own() {
+fn an_unknown_check_is_reported_by_name() {
     let (code, output_text) = run("check", "no-such-check");
     assert_eq!(code, Some(2), "{output_text}");
     assert!(output_text.contains("no-such-check"), "{output_text}");
--- a/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
@@ -1,4 +1,5 @@
-//! Golden file of the JSON configuration that the live fleet writes for its servers, and what a server reads in it.
+//! Golden file of the JSON configuration that the test cluster writes for its servers, and of what a server decodes
+//! from it.
 
 use crate::compare;
 use aldercrank::Value;
@@ -19,7 +20,7 @@
     }
 }
 
-/// What a server reads, by the file's own names.
+/// The decoded configuration, under the names in the file.
 fn decoded(config: &Config) -> String {
     let mut lines = format!("  name {:?}\n  listen {}\n", config.name, config.listen);
     writeln!(lines, "  pool {}\n  members {}\n  index {:?}", config.pool, config.members, config.index)
@@ -35,19 +36,20 @@
 #[test]
 fn the_configuration_that_the_test_cluster_writes_is_read_as_recorded() {
     let scenario = Scenario::parse(SCENARIO).unwrap();
-    let place = |port: u16| ([127, 0, 0, 1], port).into();
+    let address = |port: u16| ([127, 0, 0, 1], port).into();
     let addresses = ServerAddresses {
-        listen: place(7001),
-        pool: place(9300),
-        index: place(8900),
-        membership: place(8761),
+        listen: address(7001),
+        pool: address(9300),
+        index: address(8900),
+        membership: address(8761),
     };
-    let mut built = String::new();
+    let mut recording = String::new();
     for (server, cold) in [(0, false), (1, true)] {
         let json = config(&scenario, ServerNo(server), cold, &addresses);
         let text = serde_json::to_string_pretty(&json).unwrap();
-        let read = Config::parse(&text, |_| None).unwrap();
-        writeln!(built, "== server {}, cold {cold}\n{text}\n--\n{}", server + 1, decoded(&read)).unwrap();
+        let parsed = Config::parse(&text, |_| None).unwrap();
+        writeln!(recording, "== server {}, cold {cold}\n{text}\n--\n{}", server + 1, decoded(&parsed))
+            .unwrap();
     }
-    compare::check("config/written-by-the-fleet.txt", &built);
+    compare::check("config/written-by-the-fleet.txt", &recording);
 }
--- a/crates/aldercrank-testbench/tests/suite/main.rs
+++ b/crates/aldercrank-testbench/tests/suite/main.rs
@@ -1,6 +1,6 @@
-//! The testbench's tests: each starts several processes of the program.
+//! The testbench's tests. Most of them start several server processes.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// Support code is public only to the modules of this test, and tests with scenarios may be long.
 #![allow(
     missing_docs,
     unreachable_pub,
