--- a/crates/aldercrank-testbench/tests/suite/known_red.rs
+++ b/crates/aldercrank-testbench/tests/suite/known_red.rs
@@ -1,26 +1,27 @@
-//! The list of what is known to fail: CI passes over exactly these tests and scenarios, and over no more than three.
+//! Tests of `.ci/known-red`: CI skips exactly the tests and scenarios listed in KNOWN-RED.txt, three at most.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// Stands in for cargo: `red` fails, `green` passes, and there is no other test.
+/// A stub for cargo: `red` fails, `green` passes, and there is no other test.
 const CARGO: &str = "#!/bin/sh\necho \"cargo $*\" >>calls\ncase \"$*\" in\n\
     *--skip*) exit 0 ;;\n\
     *--exact\\ red) echo 'test red ... FAILED'; exit 101 ;;\n\
     *--exact\\ green) echo 'test green ... ok'; exit 0 ;;\n\
     *) exit 0 ;;\nesac\n";
 
-/// Stands in for the testbench: the scenario `red` fails, `lost` can't be played, all others pass.
+/// A stub for the testbench: the scenario `red` fails, `lost` cannot be played, all others pass.
 const TESTBENCH: &str = "#!/bin/sh\necho \"testbench $*\" >>calls\ncase \"$*\" in\n\
     *--only\\ red) exit 1 ;;\n\
     *--only\\ lost) exit 2 ;;\n\
     *) exit 0 ;;\nesac\n";
 
+/// A directory with the script and the stubs, removed at the end of the test.
 struct Checkout(PathBuf);
 
 impl Checkout {
-    /// A checkout with the script, stub services for cargo and the testbench, and this list.
+    /// Creates a checkout with this text as its KNOWN-RED.txt, if any.
     fn with(name: &str, list: Option<&str>) -> Checkout {
         let dir = std::env::temp_dir().join(format!("aldercrank-known-red-{name}-{}", std::process::id()));
         std::fs::create_dir_all(dir.join(".ci")).unwrap();
@@ -65,7 +66,7 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// An entry for what fails.
+/// An entry of the list for this test or scenario.
 fn entry(what_fails: &str) -> String {
     format!("{what_fails} | a command, seed 1 | what was seen | 1\n")
 }
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_list_that_is_not_true_or_too_long_fails() {
+fn an_outdated_malformed_or_too_long_list_fails() {
     let cases = [
         ("green", entry("test green"), "passes now"),
         ("absent", entry("test nothing"), "there is no test"),
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn a_scenario_that_fails_at_times_may_pass_while_the_test_that_shows_its_fault_is_listed() {
+fn an_intermittently_failing_scenario_may_pass_while_the_test_for_its_fault_is_listed() {
     let list = entry("test red") + &entry("check agree green with red");
     let output = Checkout::with("check-at-times", Some(&list)).run_check();
     assert!(output.status.success(), "{output:?}");
@@ -126,11 +127,11 @@
 }
 
 #[test]
-fn a_listed_scenario_that_passes_cannot_be_played_or_has_no_listed_test_fails() {
+fn a_listed_scenario_that_passes_or_cannot_be_played_or_depends_on_an_unlisted_test_fails() {
     let cases = [
         ("check-green", entry("check agree green"), "passes now"),
         ("check-lost", entry("check agree lost"), "could not be run: exit code 2"),
-        ("check-alone", entry("check agree green with red"), "hangs on red, which is not listed"),
+        ("check-alone", entry("check agree green with red"), "depends on the test red, which is not listed"),
     ];
     for (name, list, expected) in cases {
         let output = Checkout::with(name, Some(&list)).run_check();
