--- a/crates/aldercrank-test-cluster/src/kdl_properties.rs
+++ b/crates/aldercrank-test-cluster/src/kdl_properties.rs
@@ -1,49 +1,50 @@
-//! Reads the values of one KDL node, `node "text" name=value`, with bounds. What is wrong becomes a fault at its place;
-//! what the caller has not asked for is unknown.
+//! Reads the arguments and properties of a KDL node, `node "argument" name=value`, and checks their types and ranges.
+//! Invalid values are reported as errors at their position, and so are arguments and properties that were never read.
 
 use aldercrank_service_config::{kind, Reader};
 use kdl::{KdlNode, KdlValue};
 
-/// The values of a node that is being read.
+/// Reads the arguments and properties of one node.
 pub struct NodeProperties<'a, 'r, 't> {
     reader: &'r mut Reader<'t>,
     node: &'a KdlNode,
-    /// The names that the caller has asked for.
+    /// The names of the properties that were read or looked for.
     known_names: Vec<&'static str>,
-    /// How many values without a name the caller has read.
-    positional_read: usize,
+    /// The number of arguments that were read.
+    arguments_read: usize,
 }
 
 impl<'a, 'r, 't> NodeProperties<'a, 'r, 't> {
-    /// Begins to read a node.
+    /// Creates a reader of this node.
     pub fn new(reader: &'r mut Reader<'t>, node: &'a KdlNode) -> NodeProperties<'a, 'r, 't> {
-        NodeProperties { reader, node, known_names: Vec::new(), positional_read: 0 }
+        NodeProperties { reader, node, known_names: Vec::new(), arguments_read: 0 }
     }
 
     fn offset(&self) -> usize {
         self.node.name().span().offset()
     }
 
-    /// Reports a fault of the node as a whole.
-    pub fn fault(&mut self, what: impl Into<String>) {
-        let what = format!("{}: {}", self.node.name().value(), what.into());
-        self.reader.fault(self.offset(), what);
+    /// Reports an error at the position of the node's name.
+    pub fn report_error(&mut self, message: impl Into<String>) {
+        let message = format!("{}: {}", self.node.name().value(), message.into());
+        self.reader.fault(self.offset(), message);
     }
 
-    fn named(&mut self, name: &'static str) -> Option<(&'a KdlValue, usize)> {
+    /// The value of a property and its offset in the text.
+    fn property(&mut self, name: &'static str) -> Option<(&'a KdlValue, usize)> {
         self.known_names.push(name);
         let entry = self.node.entries().iter().find(|e| e.name().is_some_and(|n| n.value() == name))?;
         Some((entry.value(), entry.span().offset()))
     }
 
-    /// The next value without a name.
-    fn positional(&mut self) -> Option<(&'a KdlValue, usize)> {
-        let entry = self.node.entries().iter().filter(|e| e.name().is_none()).nth(self.positional_read)?;
-        self.positional_read += 1;
+    /// The value of the next argument and its offset in the text.
+    fn next_argument(&mut self) -> Option<(&'a KdlValue, usize)> {
+        let entry = self.node.entries().iter().filter(|e| e.name().is_none()).nth(self.arguments_read)?;
+        self.arguments_read += 1;
         Some((entry.value(), entry.span().offset()))
     }
 
-    fn number_of(
+    fn number_in_range(
         &mut self,
         name: &str,
         value: &KdlValue,
@@ -56,71 +57,73 @@
             KdlValue::Float(n) => Some(*n),
             _ => None,
         };
-        let fits = number.filter(|n| (least..=most).contains(n));
-        if fits.is_none() {
+        let in_range = number.filter(|n| (least..=most).contains(n));
+        if in_range.is_none() {
             let found = kind(value);
             self.reader.fault(offset, format!("{name} takes a number from {least} to {most}, found {found}"));
         }
-        fits
+        in_range
     }
 
-    /// A number from `least` to `most`; `None` if it is absent or wrong.
+    /// A property that is a number from `least` to `most`; `None` if it is absent or invalid.
     pub fn number(&mut self, name: &'static str, least: f64, most: f64) -> Option<f64> {
-        let (value, offset) = self.named(name)?;
-        self.number_of(name, value, offset, least, most)
+        let (value, offset) = self.property(name)?;
+        self.number_in_range(name, value, offset, least, most)
     }
 
-    /// The next value without a name, a number from `least` to `most`. It is a fault if it is absent.
-    pub fn first_number(&mut self, what: &str, least: f64, most: f64) -> Option<f64> {
-        let Some((value, offset)) = self.positional() else {
-            self.fault(format!("needs {what}"));
+    /// The next argument, a number from `least` to `most`. Reports an error if it is absent. `what` describes it in
+    /// errors.
+    pub fn number_argument(&mut self, what: &str, least: f64, most: f64) -> Option<f64> {
+        let Some((value, offset)) = self.next_argument() else {
+            self.report_error(format!("missing argument: {what}"));
             return None;
         };
-        self.number_of(what, value, offset, least, most)
+        self.number_in_range(what, value, offset, least, most)
     }
 
-    fn text_of(&mut self, name: &str, value: &KdlValue, offset: usize) -> Option<String> {
+    fn expect_string(&mut self, name: &str, value: &KdlValue, offset: usize) -> Option<String> {
         if let KdlValue::String(text) = value {
             return Some(text.clone());
         }
         let found = kind(value);
-        self.reader.fault(offset, format!("{name} takes a text, found {found}"));
+        self.reader.fault(offset, format!("{name} takes a string, found {found}"));
         None
     }
 
-    /// A text; `None` if it is absent or wrong.
-    pub fn text(&mut self, name: &'static str) -> Option<String> {
-        let (value, offset) = self.named(name)?;
-        self.text_of(name, value, offset)
+    /// A property that is a string; `None` if it is absent or invalid.
+    pub fn string(&mut self, name: &'static str) -> Option<String> {
+        let (value, offset) = self.property(name)?;
+        self.expect_string(name, value, offset)
     }
 
-    /// The next value without a name, a text. It is a fault if it is absent.
-    pub fn first_text(&mut self, what: &str) -> Option<String> {
-        let Some((value, offset)) = self.positional() else {
-            self.fault(format!("needs {what}"));
+    /// The next argument, a string. Reports an error if it is absent. `what` describes it in errors.
+    pub fn string_argument(&mut self, what: &str) -> Option<String> {
+        let Some((value, offset)) = self.next_argument() else {
+            self.report_error(format!("missing argument: {what}"));
             return None;
         };
-        self.text_of(what, value, offset)
+        self.expect_string(what, value, offset)
     }
 
-    /// One of the `known` words, by its index; `None` if it is absent or wrong.
-    pub fn word(&mut self, name: &'static str, known: &[&str]) -> Option<usize> {
-        let (value, offset) = self.named(name)?;
-        let text = self.text_of(name, value, offset)?;
-        self.index_of(&text, offset, known)
+    /// The index in `known` of a property that is a keyword; `None` if it is absent or invalid.
+    pub fn keyword(&mut self, name: &'static str, known: &[&str]) -> Option<usize> {
+        let (value, offset) = self.property(name)?;
+        let text = self.expect_string(name, value, offset)?;
+        self.keyword_index(&text, offset, known)
     }
 
-    /// The next value without a name, one of the `known` words, by its index. It is a fault if it is absent.
-    pub fn first_word(&mut self, what: &str, known: &[&str]) -> Option<usize> {
-        let Some((value, offset)) = self.positional() else {
-            self.fault(format!("needs {what}: {}", known.join(", ")));
+    /// The index in `known` of the next argument, a keyword. Reports an error if it is absent. `what` describes it in
+    /// errors.
+    pub fn keyword_argument(&mut self, what: &str, known: &[&str]) -> Option<usize> {
+        let Some((value, offset)) = self.next_argument() else {
+            self.report_error(format!("missing argument: {what}, one of {}", known.join(", ")));
             return None;
         };
-        let text = self.text_of(what, value, offset)?;
-        self.index_of(&text, offset, known)
+        let text = self.expect_string(what, value, offset)?;
+        self.keyword_index(&text, offset, known)
     }
 
-    fn index_of(&mut self, text: &str, offset: usize, known: &[&str]) -> Option<usize> {
+    fn keyword_index(&mut self, text: &str, offset: usize, known: &[&str]) -> Option<usize> {
         let index = known.iter().position(|k| *k == text);
         if index.is_none() {
             self.reader.unknown(offset, text, known);
@@ -128,9 +131,9 @@
         index
     }
 
-    /// `#true` or `#false`; `None` if it is absent or wrong.
+    /// A property that is `#true` or `#false`; `None` if it is absent or invalid.
     pub fn flag(&mut self, name: &'static str) -> Option<bool> {
-        let (value, offset) = self.named(name)?;
+        let (value, offset) = self.property(name)?;
         if let KdlValue::Bool(flag) = value {
             return Some(*flag);
         }
@@ -139,9 +142,9 @@
         None
     }
 
-    /// Reports the values that were not read as unknown.
-    pub fn finish(self) {
-        let mut positional = 0;
+    /// Reports an error for each argument and property that was not read, and for child nodes.
+    pub fn reject_unread(self) {
+        let mut arguments = 0;
         for entry in self.node.entries() {
             let offset = entry.span().offset();
             match entry.name() {
@@ -150,21 +153,21 @@
                 }
                 Some(_) => {}
                 None => {
-                    positional += 1;
-                    if positional > self.positional_read {
-                        let what = format!(
-                            "{} takes {} without a name",
+                    arguments += 1;
+                    if arguments > self.arguments_read {
+                        let message = format!(
+                            "{}: too many arguments, it takes {}",
                             self.node.name().value(),
-                            self.positional_read
+                            self.arguments_read
                         );
-                        self.reader.fault(offset, what);
+                        self.reader.fault(offset, message);
                     }
                 }
             }
         }
         if let Some(children) = self.node.children() {
-            let what = format!("{} takes no block", self.node.name().value());
-            self.reader.fault(children.span().offset(), what);
+            let message = format!("{} takes no child nodes", self.node.name().value());
+            self.reader.fault(children.span().offset(), message);
         }
     }
 }
--- a/crates/aldercrank-test-cluster/src/scenario.rs
+++ b/crates/aldercrank-test-cluster/src/scenario.rs
@@ -1,5 +1,6 @@
-//! A scenario: the cluster, its request classes and callers, the faults of its timeline, and the bounds that must hold.
-//! It is read from a KDL document, in full or not at all; a document may include another and state what differs.
+//! A scenario: the cluster, its request classes and callers, the timeline of injected faults, and the bounds on the
+//! outcome. It is read from a KDL document; a document with any error yields no scenario. A document may include
+//! another and override parts of it.
 
 mod bounds;
 mod defaults;
--- a/crates/aldercrank-test-cluster/src/scenario/defaults.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! The scenario that an empty document describes.
+//! The default scenario, which an empty document yields.
 
 use super::bounds::Bounds;
 use super::model::{Callers, Fleet, RequestClass, Scenario};
@@ -26,7 +26,7 @@
     }
 }
 
-/// The class that a class of a new name is based on.
+/// The default settings of a class that the document adds under a new name.
 pub(super) fn default_class() -> RequestClass {
     RequestClass {
         name: "map-extract".to_string(),
--- a/crates/aldercrank-test-cluster/src/scenario/error.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/error.rs
@@ -1,33 +1,33 @@
-//! Why a document is no scenario.
+//! Errors in scenario documents.
 
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// What contradicts itself in a scenario as a whole.
+/// A contradiction between parts of a scenario, each of which is valid by itself.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Contradiction {
-    /// No class has a share of the requests.
-    #[error("the shares of all products come to nothing: nobody would ask for anything")]
+    /// The shares of all request classes are 0.
+    #[error("no product has a share above 0, so no requests would be sent")]
     NoRequests,
     /// The deadline of this class comes before its latency target.
-    #[error("{class}: its expiry comes before its SLA time")]
+    #[error("{class}: expiry-ms is less than sla-ms")]
     DeadlineBeforeTarget {
-        /// The class.
+        /// The name of the class.
         class: String,
     },
-    /// A step begins after the end of the run.
-    #[error("{fault} at {at} s: the run is over after {span} s")]
+    /// A step begins at or after the end of the run.
+    #[error("{fault} at {at} s: the run ends after {span} s")]
     StepAfterEnd {
         /// The fault's name in the document.
         fault: String,
-        /// When it begins, in seconds.
+        /// The start of the step, in seconds since the callers started.
         at: f64,
-        /// The span of the run in seconds.
+        /// The duration of the run in seconds.
         span: f64,
     },
-    /// A fault of the versioned configuration in a scenario without one.
-    #[error("{fault}: there is no rule book; say `rules committee=3` first")]
+    /// A fault that needs the versioned configuration, in a scenario without one.
+    #[error("{fault}: the scenario has no versioned configuration; add a node such as `rules committee=3`")]
     NoVersionedConfig {
         /// The fault's name in the document.
         fault: String,
@@ -38,62 +38,63 @@
     /// There are fewer servers than zones.
     #[error("there are more zones than servers")]
     TooManyZones,
-    /// The edge nodes may make more connections than a server takes.
+    /// The edge nodes may open more connections than a server accepts.
     #[error(
-        "{edges} edge nodes with {connections_each} connections each, and one for checks, come to {connections} on a \
-         server that takes {capacity} (0.7 of sockets={sockets}): fewer, or more sockets"
+        "{edges} edge nodes with {connections_each} connections each, and one for health checks, make {connections} \
+         connections to a server that takes {capacity} (0.7 of sockets={sockets}): lower edges= or connections=, or \
+         raise sockets="
     )]
     TooManyConnections {
-        /// Edge nodes.
+        /// The number of edge nodes.
         edges: usize,
-        /// Connections of each to one server.
+        /// Connections of one edge node to one server, without those for health checks.
         connections_each: usize,
-        /// Connections to one server in all, with those for health checks.
+        /// Connections of all edge nodes to one server, including those for health checks.
         connections: usize,
-        /// How many of these a server takes.
+        /// The number of these connections that a server accepts.
         capacity: usize,
-        /// The descriptor limit of a server.
+        /// The descriptor limit of a server process.
         sockets: usize,
     },
 }
 
-/// One thing that is wrong with a scenario.
+/// An error in a scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// A file can't be read.
+    /// A file could not be read.
     #[error("{}: {source}", .path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A fault at a place in a document.
-    #[error("{place}{fault}")]
+    /// An error at a position in a document.
+    #[error("{file}{message}")]
     Document {
-        /// The file and a colon; empty for a document that is no file.
-        place: String,
-        /// Line, column, what is wrong, and advice.
-        fault: String,
+        /// The path of the file and a colon; empty if the document does not come from a file.
+        file: String,
+        /// `line:column: ` and the error.
+        message: String,
     },
-    /// The scenario contradicts itself.
-    #[error("{place}{contradiction}")]
+    /// Parts of the scenario contradict each other.
+    #[error("{file}{contradiction}")]
     Contradictory {
-        /// The file, a colon and a space; empty for a document that is no file.
-        place: String,
+        /// The path of the file, a colon and a space; empty if the document does not come from a file.
+        file: String,
         /// The contradiction.
         contradiction: Contradiction,
     },
 }
 
-/// All that is wrong with a scenario. Displayed one to a line.
+/// All errors in a scenario, displayed one per line.
 #[derive(Debug)]
 pub struct ScenarioErrors(pub Vec<ScenarioError>);
 
 impl fmt::Display for ScenarioErrors {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (n, error) in self.0.iter().enumerate() {
-            let separator = if n == 0 { "" } else { "\n" };
+        for (index, error) in self.0.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "\n" };
             write!(f, "{separator}{error}")?;
         }
         Ok(())
--- a/crates/aldercrank-test-cluster/src/scenario/model.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/model.rs
@@ -1,4 +1,4 @@
-//! The data of a scenario, apart from its timeline and bounds.
+//! The parts of a scenario other than its timeline and bounds.
 
 use super::bounds::Bounds;
 use super::timeline::{Step, Target};
@@ -10,34 +10,34 @@
 use aldercrank_service_config::Start;
 use std::time::Duration;
 
-/// The servers.
+/// The servers of the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// How many there are.
+    /// The number of servers.
     pub servers: usize,
-    /// Zones, to which the servers belong in turn.
+    /// The number of zones. Servers are assigned to zones round-robin.
     pub zones: usize,
-    /// Cores of each worker pool.
+    /// The number of cores of each worker pool.
     pub cores: f64,
-    /// The memory that admission may reserve on a server.
+    /// The memory that admission control of one server may reserve.
     pub admission_memory_kb: f64,
-    /// Worker pools are cold at the start of the run.
+    /// Whether worker pools are cold at the start of the run.
     pub starts_cold: bool,
-    /// The share of full speed at which a cold pool starts.
+    /// The speed of a cold pool at its start, as a share of full speed.
     pub cold_speed: f64,
-    /// How long a cold pool is said to take to warm up.
+    /// The warm-up time of a cold pool that servers are configured with.
     pub warm_up: Duration,
-    /// How many times as long it takes in fact.
+    /// The actual warm-up time, as a multiple of the configured one.
     pub warm_up_factor: f64,
-    /// From the request to shut down until the process must have exited.
+    /// How long after the request to shut down the process must have exited.
     pub stop_timeout: Duration,
-    /// How long after the request to shut down a server may still take requests.
+    /// How long after the request to shut down a server may still accept requests.
     pub drain_grace: Duration,
-    /// How long after its deadline a request may be answered.
+    /// How long after its deadline a response may still arrive without being late.
     pub answer_slack: Duration,
-    /// The process's memory limit.
+    /// The memory limit of a server process.
     pub process_memory_mb: f64,
-    /// The process's descriptor limit.
+    /// The descriptor limit of a server process.
     pub max_sockets: usize,
 }
 
@@ -46,73 +46,73 @@
 pub struct RequestClass {
     /// The name on the wire.
     pub name: String,
-    /// What a further run does.
+    /// The effect of running a request again.
     pub effect: Effect,
-    /// Its share of all requests, relative to the other classes.
+    /// The weight of the class in the mix of requests, relative to the other classes.
     pub share: f64,
-    /// The priority weight: what a request that is completed in time is worth.
+    /// The priority weight: the value of a request that is completed within the latency target.
     pub value: f64,
-    /// The share of the value that remains after the latency target.
+    /// The share of the value that a request keeps if it is completed after the latency target.
     pub late_share: f64,
-    /// The mean work of a run.
+    /// The mean core time of a run at full speed.
     pub work: Duration,
     /// The probability that a run makes a call to the index.
     pub call_probability: f64,
-    /// The share of the value of a result that was made without its call.
+    /// The share of the value that a request keeps if its run continued without the call.
     pub degraded_share: f64,
-    /// From the arrival of a request.
+    /// The latency target, measured from the arrival of a request.
     pub latency_target: Duration,
-    /// From the arrival of a request.
+    /// The deadline, measured from the arrival of a request.
     pub deadline: Duration,
-    /// How long further attempts with an idempotency key must not run again.
+    /// How long after an attempt further ones with its idempotency key must not run.
     pub dedup_window: Duration,
-    /// The memory that a request declares.
+    /// The memory that a request declares that it needs.
     pub memory_kb: f64,
-    /// The length of a body in bytes.
+    /// The length of a request body in bytes.
     pub body_length: usize,
 }
 
-/// The versioned configuration on which the servers agree.
+/// The settings of the versioned configuration on which the servers agree.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionedConfigSettings {
-    /// The first so many servers are the committee.
+    /// The number of committee members, which are the first servers.
     pub committee: usize,
-    /// How far apart contradicting decisions may be.
+    /// How long after a decision by one version another server may make a contradicting one by an older version.
     pub decision_bound: Duration,
-    /// How long a server acts by its version without contact to the committee.
+    /// How long a server uses its version without contact to the committee.
     pub alone_for: Duration,
-    /// Whether servers have a directory for their durable state.
+    /// Whether servers have a directory for durable state.
     pub has_disks: bool,
-    /// Items of the first version beside the classes' effects and windows: `CLASS.ITEM=VALUE`, `shares.ZONE=N`,
-    /// separated by spaces.
+    /// Items of the first version in addition to the effects and deduplication windows of the classes:
+    /// `CLASS.ITEM=VALUE` and `shares.ZONE=N`, separated by spaces.
     pub initial_items: String,
 }
 
-/// Callers and edge nodes.
+/// The callers and the edge nodes that send their requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Callers {
-    /// Requests a second, in all.
+    /// Requests per second of all callers.
     pub rate: f64,
-    /// Edge nodes.
+    /// The number of edge nodes.
     pub edges: usize,
-    /// How they behave.
+    /// How callers and edge nodes behave.
     pub policy: CallerPolicy,
-    /// How late edge nodes see the membership.
+    /// The age of the membership that edge nodes read.
     pub membership_lag: Duration,
     /// How often edge nodes read the membership.
     pub membership_refresh: Duration,
 }
 
-/// A violation that the test cluster injects, to show that the checker reports it.
+/// A violation that the test cluster injects to verify that the checker reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedViolation {
     /// A response is dropped.
     LoseAnswer,
     /// A run is reported twice.
     DoubleRun,
-    /// Requests to shut down are reported as if they had come long before.
+    /// Requests to shut down are reported with a time long before the actual one.
     LateStart,
-    /// The maker of a result is changed.
+    /// The attempt id in a result is replaced by another.
     SwapResult,
     /// The limit of the index is reported as zero.
     Overrun,
@@ -120,18 +120,18 @@
     DoubleAnswer,
     /// A response on a connection that the server closes is dropped.
     LoseLastAnswer,
-    /// A server is not sent SIGTERM, and counts as asked to shut down.
+    /// A server counts as asked to shut down but is not sent SIGTERM.
     IgnoreTerm,
 }
 
 /// A scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name, for reports.
+    /// The name in reports.
     pub name: String,
-    /// The seed of all random numbers.
+    /// The seed of all random number streams.
     pub seed: u64,
-    /// How long requests arrive.
+    /// How long callers send requests.
     pub span: Duration,
     /// The servers.
     pub fleet: Fleet,
@@ -141,32 +141,32 @@
     pub callers: Callers,
     /// The index.
     pub index: IndexSettings,
-    /// Load reports that the membership service can take in a second.
+    /// Load reports per second that the membership service can process.
     pub membership_capacity: f64,
-    /// The versioned configuration, if the servers have one.
+    /// The versioned configuration, if servers use one.
     pub versioned_config: Option<VersionedConfigSettings>,
-    /// How servers start, by their service file.
+    /// The start section of the servers' service file.
     pub start: Start,
-    /// Callers and timeline begin with the first start, not once all servers are listed.
+    /// Whether callers and timeline begin when the first server is started, instead of once all servers are listed.
     pub from_start: bool,
-    /// The faults.
+    /// The steps that inject faults.
     pub timeline: Vec<Step>,
-    /// What must hold.
+    /// Bounds on the outcome.
     pub bounds: Bounds,
     /// The injected violation, if any.
     pub injected_violation: Option<InjectedViolation>,
 }
 
 impl Scenario {
-    /// The servers that the step of this index affects, in the order in which it does.
-    pub fn reached(&self, number: usize) -> Vec<ServerNo> {
+    /// The servers that a step of the timeline affects, in the order in which it begins at them.
+    pub fn reached(&self, step_index: usize) -> Vec<ServerNo> {
         let all: Vec<ServerNo> = (0..self.fleet.servers).map(|n| ServerNo(n as u16)).collect();
-        match &self.timeline[number].target {
+        match &self.timeline[step_index].target {
             Target::All => all,
             Target::Server(server) => vec![*server],
             Target::Share(share) => {
                 let count = (all.len() as f64 * share).round() as usize;
-                RandomStream::of(self.seed, &format!("step {number}")).sample(&all, count.max(1))
+                RandomStream::of(self.seed, &format!("step {step_index}")).sample(&all, count.max(1))
             }
             Target::Zone(zone) => {
                 all.into_iter().filter(|server| server.0 as usize % self.fleet.zones == *zone).collect()
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The same scenario without faults, and so without bounds.
+    /// The same scenario without faults, for comparison. It has no bounds, since they apply to the run with faults.
     pub fn calm(&self) -> Scenario {
         let name = format!("{}, without faults", self.name);
         Scenario {
@@ -187,7 +187,7 @@
     }
 }
 
-/// The name of the zone of this index: `a` for 0 and so on.
+/// The name of a zone by its index: `a` for 0, `b` for 1, and so on.
 pub fn zone_name(zone: usize) -> String {
     char::from(b'a' + (zone % 26) as u8).to_string()
 }
--- a/crates/aldercrank-test-cluster/src/scenario/read.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/read.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario from its KDL document. Each fault is reported with its line and column, and with advice.
+//! Reads scenarios from KDL documents. All errors of a document are reported, each with its line and column.
 
 use super::defaults::default_class;
 use super::error::{ScenarioError, ScenarioErrors};
@@ -10,12 +10,14 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How deep scenarios may include one another.
+/// The greatest nesting depth of includes.
 const MAX_INCLUDE_DEPTH: usize = 8;
 
-/// Reads a file that a document includes. Returns why it can't be, apart from the faults of the file itself.
+/// Reads a file that a document includes by its name, and adds the file's errors to the list. Returns a message if the
+/// document may not include the file.
 type Include<'a> = dyn FnMut(&mut Scenario, &str, &mut Vec<ScenarioError>) -> Option<String> + 'a;
 
+/// The names of the nodes of a document.
 const NODES: [&str; 15] = [
     "name",
     "from-start",
@@ -34,31 +36,33 @@
     "sabotage",
 ];
 
-pub(super) fn milliseconds(n: f64) -> Duration {
-    Duration::from_secs_f64(n / 1e3)
+pub(super) fn milliseconds(ms: f64) -> Duration {
+    Duration::from_secs_f64(ms / 1e3)
 }
 
-pub(super) fn seconds(n: f64) -> Duration {
-    Duration::from_secs_f64(n)
+pub(super) fn seconds(s: f64) -> Duration {
+    Duration::from_secs_f64(s)
 }
 
-fn set<T>(to: &mut T, value: Option<T>) {
+/// Overwrites `target` if the document has a valid value.
+fn set<T>(target: &mut T, value: Option<T>) {
     if let Some(value) = value {
-        *to = value;
+        *target = value;
     }
 }
 
-fn set_some<T>(to: &mut Option<T>, value: Option<T>) {
+/// Like `set`, for a target that may be absent.
+fn set_some<T>(target: &mut Option<T>, value: Option<T>) {
     if value.is_some() {
-        *to = value;
+        *target = value;
     }
 }
 
 impl Scenario {
-    /// Reads a file, and those that it includes.
+    /// Reads a file and the files that it includes.
     ///
     /// # Errors
-    /// All that is wrong with the files.
+    /// All errors of the files, or else the first contradiction between parts of the scenario.
     pub fn load(path: &Path) -> Result<Scenario, ScenarioErrors> {
         let mut scenario = Scenario::default();
         let mut errors = Vec::new();
@@ -66,27 +70,28 @@
         scenario.into_validated(errors, &format!("{}: ", path.display()))
     }
 
-    /// Reads a document that includes no other.
+    /// Reads a document that may not include others.
     ///
     /// # Errors
-    /// All that is wrong with the document.
+    /// All errors of the document, or else the first contradiction between parts of the scenario.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioErrors> {
         let mut scenario = Scenario::default();
         let mut errors = Vec::new();
-        scenario
-            .read(text, "", &mut errors, &mut |_, _, _| Some("there is no file to include from here".into()));
+        scenario.read(text, "", &mut errors, &mut |_, _, _| {
+            Some("only a scenario file can include another".into())
+        });
         scenario.into_validated(errors, "")
     }
 
-    fn into_validated(self, errors: Vec<ScenarioError>, place: &str) -> Result<Scenario, ScenarioErrors> {
+    fn into_validated(self, errors: Vec<ScenarioError>, file: &str) -> Result<Scenario, ScenarioErrors> {
         if !errors.is_empty() {
             return Err(ScenarioErrors(errors));
         }
-        let place = place.to_string();
+        let file = file.to_string();
         match self.validate() {
             Ok(()) => Ok(self),
             Err(contradiction) => {
-                Err(ScenarioErrors(vec![ScenarioError::Contradictory { place, contradiction }]))
+                Err(ScenarioErrors(vec![ScenarioError::Contradictory { file, contradiction }]))
             }
         }
     }
@@ -101,14 +106,14 @@
         let folder: PathBuf = path.parent().unwrap_or(Path::new(".")).to_path_buf();
         self.read(&text, &format!("{}:", path.display()), errors, &mut |scenario, name, errors| {
             if depth >= MAX_INCLUDE_DEPTH {
-                return Some(format!("scenarios include one another more than {MAX_INCLUDE_DEPTH} deep"));
+                return Some(format!("includes are nested more than {MAX_INCLUDE_DEPTH} deep"));
             }
             scenario.read_file(&folder.join(name), errors, depth + 1);
             None
         });
     }
 
-    fn read(&mut self, text: &str, place: &str, errors: &mut Vec<ScenarioError>, include: &mut Include) {
+    fn read(&mut self, text: &str, file: &str, errors: &mut Vec<ScenarioError>, include: &mut Include) {
         let mut reader = Reader::new(text);
         if let Some(document) = reader.document() {
             for node in document.nodes() {
@@ -119,30 +124,33 @@
                 }
                 let mut properties = NodeProperties::new(&mut reader, node);
                 if name == "include" {
-                    let file = properties.first_text("the file's name");
-                    if let Some(why) = file.and_then(|file| include(self, &file, errors)) {
-                        properties.fault(why);
+                    let included = properties.string_argument("file name");
+                    if let Some(message) = included.and_then(|name| include(self, &name, errors)) {
+                        properties.report_error(message);
                     }
                 } else {
                     self.read_node(name, &mut properties);
                 }
-                properties.finish();
+                properties.reject_unread();
             }
         }
         let faults = reader.faults();
-        let faults = faults.iter().map(|fault| fault.to_string());
-        errors.extend(faults.map(|fault| ScenarioError::Document { place: place.to_string(), fault }));
+        let messages = faults.iter().map(|fault| fault.to_string());
+        errors.extend(messages.map(|message| ScenarioError::Document { file: file.to_string(), message }));
     }
 
     fn read_node(&mut self, name: &str, properties: &mut NodeProperties) {
         match name {
-            "name" => set(&mut self.name, properties.first_text("a name")),
+            "name" => set(&mut self.name, properties.string_argument("scenario name")),
             "seed" => {
-                set(&mut self.seed, properties.first_number("a seed", 0.0, 9e15).map(|n| n as u64));
+                set(&mut self.seed, properties.number_argument("seed", 0.0, 9e15).map(|n| n as u64));
             }
             "from-start" => set(&mut self.from_start, Some(true)),
             "seconds" => {
-                set(&mut self.span, properties.first_number("the seconds", 0.5, 86_400.0).map(seconds));
+                set(
+                    &mut self.span,
+                    properties.number_argument("duration in seconds", 0.5, 86_400.0).map(seconds),
+                );
             }
             "fleet" => self.read_fleet(properties),
             "product" => self.read_class(properties),
@@ -199,7 +207,7 @@
     }
 
     fn read_injected_violation(&mut self, properties: &mut NodeProperties) {
-        let words = [
+        let keywords = [
             "lose-answer",
             "double-run",
             "late-start",
@@ -209,7 +217,7 @@
             "lose-last-answer",
             "ignore-term",
         ];
-        let kinds = [
+        let violations = [
             InjectedViolation::LoseAnswer,
             InjectedViolation::DoubleRun,
             InjectedViolation::LateStart,
@@ -219,7 +227,8 @@
             InjectedViolation::LoseLastAnswer,
             InjectedViolation::IgnoreTerm,
         ];
-        self.injected_violation = properties.first_word("what is broken", &words).map(|i| kinds[i]);
+        let index = properties.keyword_argument("violation", &keywords);
+        self.injected_violation = index.map(|i| violations[i]);
     }
 
     fn read_fleet(&mut self, properties: &mut NodeProperties) {
@@ -240,14 +249,14 @@
     }
 
     fn read_class(&mut self, properties: &mut NodeProperties) {
-        let Some(name) = properties.first_text("its name") else { return };
+        let Some(name) = properties.string_argument("class name") else { return };
         let index = self.classes.iter().position(|class| class.name == name).unwrap_or_else(|| {
             self.classes.push(RequestClass { name, ..default_class() });
             self.classes.len() - 1
         });
         let class = &mut self.classes[index];
         let effects = [Effect::Idempotent, Effect::Keyed, Effect::Unsafe];
-        let effect = properties.word("effect", &["inquiry-like", "referenced", "once-only"]);
+        let effect = properties.keyword("effect", &["inquiry-like", "referenced", "once-only"]);
         set(&mut class.effect, effect.map(|i| effects[i]));
         set(&mut class.share, properties.number("share", 0.0, 1e6));
         set(&mut class.value, properties.number("value", 0.0, 1e6));
@@ -267,10 +276,10 @@
         let policy = &mut callers.policy;
         set(&mut callers.rate, properties.number("rate", 0.1, 1e6));
         set(&mut callers.edges, properties.number("edges", 1.0, 1000.0).map(|n| n as usize));
-        let kinds =
+        let choices =
             [ServerChoice::RoundRobin, ServerChoice::Least, ServerChoice::TwoChoices, ServerChoice::Sticky];
-        let choose = properties.word("choose", &["round-robin", "least-open", "two-choices", "sticky"]);
-        set(&mut policy.choose, choose.map(|i| kinds[i]));
+        let choice = properties.keyword("choose", &["round-robin", "least-open", "two-choices", "sticky"]);
+        set(&mut policy.choose, choice.map(|i| choices[i]));
         set(&mut policy.max_attempts, properties.number("tries", 1.0, 100.0).map(|n| n as u32));
         if let Some(timeout) = properties.number("patience-ms", 0.0, 120_000.0) {
             policy.attempt_timeout = (timeout > 0.0).then(|| milliseconds(timeout));
@@ -286,7 +295,7 @@
         set(&mut policy.retries_keyed_after_failure, properties.flag("again"));
         set_some(&mut policy.piece_delay, properties.number("pieces-ms", 0.1, 1000.0).map(milliseconds));
         let usages = [ConnectionUsage::WhileListed, ConnectionUsage::UntilClosing, ConnectionUsage::UntilEnd];
-        let usage = properties.word("use", &["while-listed", "until-closing", "until-end"]);
+        let usage = properties.keyword("use", &["while-listed", "until-closing", "until-end"]);
         set(&mut policy.connection_usage, usage.map(|i| usages[i]));
     }
 
@@ -302,7 +311,7 @@
         set(&mut settings.decision_bound, properties.number("within-ms", 500.0, 60_000.0).map(milliseconds));
         set(&mut settings.alone_for, properties.number("alone-ms", 1000.0, 86_400_000.0).map(milliseconds));
         set(&mut settings.has_disks, properties.flag("disks"));
-        set(&mut settings.initial_items, properties.text("set"));
+        set(&mut settings.initial_items, properties.string("set"));
         self.versioned_config = Some(settings);
     }
 }
--- a/crates/aldercrank-test-cluster/src/scenario/read_step.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/read_step.rs
@@ -10,7 +10,7 @@
 use crate::relayed_link::Corruption;
 use std::time::Duration;
 
-/// The faults, as documents name them.
+/// The names of faults in documents.
 const FAULTS: [&str; 33] = [
     "kill",
     "leave",
@@ -49,10 +49,8 @@
 
 impl Scenario {
     pub(super) fn read_step(&mut self, properties: &mut NodeProperties) {
-        let Some(at) = properties.first_number("the second at which it begins", 0.0, 86_400.0) else {
-            return;
-        };
-        let Some(index) = properties.first_word("what goes wrong", &FAULTS) else { return };
+        let Some(at) = properties.number_argument("start time in seconds", 0.0, 86_400.0) else { return };
+        let Some(index) = properties.keyword_argument("fault", &FAULTS) else { return };
         let word = FAULTS[index];
         let fault = read_fault(word, properties);
         let lasts = properties.number("for", 0.05, 86_400.0).map(seconds);
@@ -60,34 +58,36 @@
         let target = self.read_target(properties);
         let (Some(fault), Some(target)) = (fault, target) else { return };
         if fault.is_shared() && target != Target::All {
-            properties.fault("is about all servers; it takes no server, share or zone");
+            properties.report_error(format!("{word} takes no target: remove server=, share= or zone="));
         }
         if fault.is_instant() && lasts.is_some() {
-            properties.fault("is over at once; it takes no `for`");
+            properties.report_error(format!("{word} is instantaneous: remove for="));
         }
         let word = word.to_string();
         self.timeline.push(Step { at: seconds(at), lasts, each, target, fault, word });
     }
 
     fn read_target(&mut self, properties: &mut NodeProperties) -> Option<Target> {
-        let server = properties.text("server");
+        let server = properties.string("server");
         let share = properties.number("share", 0.0, 1.0);
-        let zone = properties.text("zone");
+        let zone = properties.string("zone");
         if usize::from(server.is_some()) + usize::from(share.is_some()) + usize::from(zone.is_some()) > 1 {
-            properties.fault("takes one of server, share and zone");
+            properties.report_error("takes only one of server=, share= and zone=");
             return None;
         }
         if let Some(name) = server {
             let number = ServerNo::from_name(&name).filter(|n| (n.0 as usize) < self.fleet.servers);
             if number.is_none() {
-                properties.fault(format!("{name} is none of n1 to n{}", self.fleet.servers));
+                properties
+                    .report_error(format!("no server {name}: servers are n1 to n{}", self.fleet.servers));
             }
             return number.map(Target::Server);
         }
         if let Some(name) = zone {
             let index = (0..self.fleet.zones).find(|zone| zone_name(*zone) == name);
             if index.is_none() {
-                properties.fault(format!("{name} is none of a to {}", zone_name(self.fleet.zones - 1)));
+                let last = zone_name(self.fleet.zones - 1);
+                properties.report_error(format!("no zone {name}: zones are a to {last}"));
             }
             return index.map(Target::Zone);
         }
@@ -95,7 +95,7 @@
     }
 }
 
-/// A number that a step needs.
+/// A property that the step requires: a number from `least` to `most`.
 fn required_number(
     properties: &mut NodeProperties,
     name: &'static str,
@@ -104,7 +104,7 @@
 ) -> Option<f64> {
     let value = properties.number(name, least, most);
     if value.is_none() {
-        properties.fault(format!("needs {name}= with a number from {least} to {most}"));
+        properties.report_error(format!("needs {name}= with a number from {least} to {most}"));
     }
     value
 }
@@ -150,7 +150,7 @@
     }
 }
 
-/// The signals of a series, as documents name them.
+/// The names of signals in documents.
 const SIGNALS: [(&str, ProcessSignal); 6] = [
     ("hup", ProcessSignal::Reload),
     ("hup-invalid", ProcessSignal::ReloadInvalid),
@@ -162,13 +162,13 @@
 
 fn read_signals(properties: &mut NodeProperties) -> Option<SignalSeries> {
     let gap = milliseconds(properties.number("gap-ms", 0.0, 10_000.0).unwrap_or(0.0));
-    let text = properties.text("send").unwrap_or_default();
-    let named = |word: &str| SIGNALS.iter().find(|(name, _)| *name == word).map(|(_, signal)| *signal);
-    let signals: Option<Vec<ProcessSignal>> = text.split_whitespace().map(named).collect();
+    let text = properties.string("send").unwrap_or_default();
+    let signal_of = |word: &str| SIGNALS.iter().find(|(name, _)| *name == word).map(|(_, signal)| *signal);
+    let signals: Option<Vec<ProcessSignal>> = text.split_whitespace().map(signal_of).collect();
     let series = signals.filter(|signals| !signals.is_empty()).map(|signals| SignalSeries { signals, gap });
     if series.is_none() {
         let names = SIGNALS.map(|(name, _)| name).join(", ");
-        properties.fault(format!("needs send= with one or more of {names}"));
+        properties.report_error(format!("needs send= with one or more of {names}"));
     }
     series
 }
@@ -177,9 +177,9 @@
     match word {
         "list" => {
             let states = [MembershipState::Down, MembershipState::Silent, MembershipState::Closing];
-            let state = properties.word("state", &["down", "silent", "closing"]);
+            let state = properties.keyword("state", &["down", "silent", "closing"]);
             if state.is_none() {
-                properties.fault("needs state=\"down\", \"silent\" or \"closing\"");
+                properties.report_error("needs state=\"down\", \"silent\" or \"closing\"");
             }
             state.map(|i| Fault::MembershipService(states[i]))
         }
@@ -191,11 +191,11 @@
 }
 
 fn read_publication(properties: &mut NodeProperties) -> Option<Publication> {
-    let items = properties.text("set");
+    let items = properties.string("set");
     let interval = properties.number("every", 0.05, 600.0).map(seconds);
     let contradictory = properties.flag("two").unwrap_or(false);
     if items.is_none() {
-        properties.fault("needs set=\"PRODUCT.ITEM=VALUE\", alternatives apart by |");
+        properties.report_error("needs set=\"CLASS.ITEM=VALUE\"; separate alternatives by |");
     }
     items.map(|items| Publication { items, interval, contradictory })
 }
@@ -207,18 +207,18 @@
         ConfigCorruption::InvalidField,
         ConfigCorruption::LaterFormat,
     ];
-    kinds[properties.word("kind", &["cut", "long", "field", "later"]).unwrap_or(0)]
+    kinds[properties.keyword("kind", &["cut", "long", "field", "later"]).unwrap_or(0)]
 }
 
 fn read_index_state(properties: &mut NodeProperties) -> Option<IndexState> {
-    let words = ["slow", "hung", "shedding", "half", "dead"];
+    let keywords = ["slow", "hung", "shedding", "half", "dead"];
     let slowdown = properties.number("by", 1.0, 1000.0);
-    let Some(index) = properties.word("state", &words) else {
-        properties.fault(format!("needs state=, one of {}", words.join(", ")));
+    let Some(index) = properties.keyword("state", &keywords) else {
+        properties.report_error(format!("needs state=, one of {}", keywords.join(", ")));
         return None;
     };
-    if words[index] == "slow" && slowdown.is_none() {
-        properties.fault("slow needs by=, how many times as long a call takes");
+    if keywords[index] == "slow" && slowdown.is_none() {
+        properties.report_error("state=\"slow\" needs by=, the factor by which calls take longer");
         return None;
     }
     let states = [
@@ -233,20 +233,20 @@
 
 fn read_link_fault(word: &str, properties: &mut NodeProperties) -> Option<Fault> {
     let names = RemoteEndpoint::ALL.map(RemoteEndpoint::scenario_name);
-    let remote = properties.word("with", &names).map(|i| RemoteEndpoint::ALL[i]);
+    let remote = properties.keyword("with", &names).map(|i| RemoteEndpoint::ALL[i]);
     if remote.is_none() {
-        properties.fault(format!("needs with=, one of {}", names.join(", ")));
+        properties.report_error(format!("needs with=, one of {}", names.join(", ")));
     }
     if word == "refuse" {
         return remote.map(Fault::RefuseConnections);
     }
     let corruption = read_corruption(word, properties)?;
-    let direction = properties.word("way", &["to", "from", "both"]).unwrap_or(2);
-    let (changes_to, changes_from) = (direction != 1, direction != 0);
+    let direction = properties.keyword("way", &["to", "from", "both"]).unwrap_or(2);
+    let (to_server, from_server) = (direction != 1, direction != 0);
     remote.map(|remote| Fault::CorruptLink {
         remote,
-        to_server: changes_to.then(|| corruption.clone()),
-        from_server: changes_from.then_some(corruption),
+        to_server: to_server.then(|| corruption.clone()),
+        from_server: from_server.then_some(corruption),
     })
 }
 
--- a/crates/aldercrank-test-cluster/src/scenario/timeline.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/timeline.rs
@@ -1,4 +1,4 @@
-//! The timeline of a scenario: faults, when they begin, and which servers they affect.
+//! The timeline of a scenario: the injected faults, when they begin and end, and which servers they affect.
 
 use crate::ids::{RemoteEndpoint, ServerNo};
 use crate::index_stub::IndexState;
@@ -6,36 +6,36 @@
 use crate::relayed_link::Corruption;
 use std::time::Duration;
 
-/// How a stored text is no version of the configuration.
+/// Why a text in the configuration store is not a valid version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigCorruption {
-    /// It ends in its middle.
+    /// It is cut off in the middle.
     Truncated,
-    /// It is far too long.
+    /// It exceeds the length limit by far.
     Overlong,
     /// One item has an invalid value.
     InvalidField,
-    /// It is of a later format.
+    /// It has a later format version.
     LaterFormat,
 }
 
-/// The publication of versions.
+/// Publishes versions of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Publication {
-    /// The items that change, `CLASS.ITEM=VALUE` separated by spaces; alternatives, separated by `|`, are taken in turn.
+    /// The changed items, `CLASS.ITEM=VALUE` separated by spaces. Alternatives, separated by `|`, are used in turn.
     pub items: String,
-    /// Publishes a further version once per interval.
+    /// The time between versions; only one version is published if `None`.
     pub interval: Option<Duration>,
-    /// Stores two different contents under one version number.
+    /// Whether two different contents are stored under one version number.
     pub contradictory: bool,
 }
 
-/// One of a series of signals to a server's process, or what happens between them.
+/// A signal to a server process, or another event in a series of signals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// SIGHUP, with a valid configuration to read.
+    /// SIGHUP with a valid configuration to reload.
     Reload,
-    /// SIGHUP, with an invalid configuration to read.
+    /// SIGHUP with an invalid configuration to reload.
     ReloadInvalid,
     /// SIGTERM.
     Terminate,
@@ -43,50 +43,54 @@
     Pause,
     /// SIGCONT.
     Resume,
-    /// The worker pool's process ends, with all runs, and a cold one starts.
+    /// The worker pool exits, which ends all runs, and a cold one starts.
     PoolRestart,
 }
 
-/// Signals to a server's process, one after the other. SIGKILL follows the first SIGTERM by the stop timeout.
+/// Signals that are sent to a server process in order. SIGKILL follows when the stop timeout after the first SIGTERM
+/// has elapsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SignalSeries {
-    /// The signals.
+    /// The signals, in the order in which they are sent.
     pub signals: Vec<ProcessSignal>,
-    /// From one signal to the next.
+    /// The time between two signals.
     pub gap: Duration,
 }
 
 impl SignalSeries {
-    /// When the signal of this index is sent, since the series began.
+    /// When a signal, by its index, is sent after the start of the series.
     pub fn sent_after(&self, index: usize) -> Duration {
         self.gap * index as u32
     }
 
-    fn first(&self, wanted: ProcessSignal) -> Option<Duration> {
-        let first = self.signals.iter().position(|signal| *signal == wanted);
+    /// When this signal is first sent after the start of the series.
+    fn first_sent_after(&self, signal: ProcessSignal) -> Option<Duration> {
+        let first = self.signals.iter().position(|other| *other == signal);
         first.map(|index| self.sent_after(index))
     }
 
-    /// When SIGTERM is delivered for the first time, since the series began. A paused process gets it as it resumes.
+    /// When SIGTERM is first delivered after the start of the series. A paused process receives it when it resumes.
     pub fn terminates_after(&self) -> Option<Duration> {
-        let sent = self.first(ProcessSignal::Terminate)?;
-        let paused = self.first(ProcessSignal::Pause).filter(|paused| *paused <= sent);
-        let resumed = self.first(ProcessSignal::Resume).filter(|_| paused.is_some());
+        let sent = self.first_sent_after(ProcessSignal::Terminate)?;
+        let paused = self.first_sent_after(ProcessSignal::Pause).filter(|paused| *paused <= sent);
+        let resumed = self.first_sent_after(ProcessSignal::Resume).filter(|_| paused.is_some());
         Some(resumed.map_or(sent, |resumed| resumed.max(sent)))
     }
 
-    /// How long the process is paused after SIGTERM is delivered.
+    /// How long the process is paused after SIGTERM was delivered.
     pub fn paused_while_draining(&self) -> Duration {
-        let paused = self.first(ProcessSignal::Pause).zip(self.first(ProcessSignal::Resume));
+        let paused =
+            self.first_sent_after(ProcessSignal::Pause).zip(self.first_sent_after(ProcessSignal::Resume));
         let (Some((paused, resumed)), Some(terminates)) = (paused, self.terminates_after()) else {
             return Duration::ZERO;
         };
         resumed.saturating_sub(paused.max(terminates))
     }
 
-    /// How long the process is paused.
+    /// How long the process is paused in all.
     pub fn paused_for(&self) -> Duration {
-        let paused = self.first(ProcessSignal::Pause).zip(self.first(ProcessSignal::Resume));
+        let paused =
+            self.first_sent_after(ProcessSignal::Pause).zip(self.first_sent_after(ProcessSignal::Resume));
         paused.map_or(Duration::ZERO, |(paused, resumed)| resumed.saturating_sub(paused))
     }
 }
@@ -94,84 +98,84 @@
 /// The servers that a step affects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
-    /// All.
+    /// All servers.
     All,
-    /// One.
+    /// One server.
     Server(ServerNo),
-    /// A random share of all, by the scenario's seed.
+    /// A share of all servers, selected at random by the scenario's seed.
     Share(f64),
-    /// Those of the zone of this index.
+    /// The servers of a zone, by its index.
     Zone(usize),
 }
 
-/// A fault.
+/// A fault to inject.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// SIGKILL; the server is started again at the step's end, if it has one.
+    /// SIGKILL. The server is restarted at the end of the step, if it has one.
     Kill,
-    /// SIGTERM; the server is started again shortly after its exit.
+    /// SIGTERM. The server is restarted shortly after its exit.
     Shutdown,
-    /// SIGSTOP, and SIGCONT at the step's end.
+    /// SIGSTOP, and SIGCONT at the end of the step.
     Pause,
-    /// Several signals.
+    /// A series of signals.
     Signals(SignalSeries),
-    /// Each edge node opens so many connections that it does not use.
+    /// Each edge node opens this many connections and sends nothing on them.
     IdleConnections(usize),
-    /// The server is asked, by SIGHUP, to read an invalid configuration.
+    /// SIGHUP with an invalid configuration to reload.
     InvalidConfig,
-    /// SIGKILL, and a start with an invalid configuration; a start with a valid one at the step's end.
+    /// SIGKILL, and a restart with an invalid configuration. At the end of the step, a restart with a valid one.
     InvalidStart,
     /// The worker pool's cores run at this share of their speed.
     SlowPool(f64),
-    /// This share of runs fails at once.
+    /// This share of runs fails immediately.
     FailingRuns(f64),
-    /// The worker pool ends, with all runs; a cold one starts at the step's end.
+    /// The worker pool exits, which ends all runs. A cold one starts at the end of the step.
     PoolCrash,
-    /// The worker pool is up so much later.
+    /// The worker pool becomes available this much later.
     PoolDelayed(Duration),
-    /// Each link to the worker pool is reset once per interval.
+    /// Every link to the worker pool is reset once per interval.
     PoolLinkResets(Duration),
-    /// The bytes of a link are corrupted.
+    /// Transmission on a link is impaired.
     CorruptLink {
-        /// What the servers are connected to by the link.
+        /// The remote end of the servers' links.
         remote: RemoteEndpoint,
-        /// Towards the server; unchanged if `None`.
+        /// The fault towards the server, if any.
         to_server: Option<Corruption>,
-        /// From the server; unchanged if `None`.
+        /// The fault from the server, if any.
         from_server: Option<Corruption>,
     },
-    /// Connections to this endpoint, or from edge nodes, are refused.
+    /// Connections between the servers and this endpoint are refused.
     RefuseConnections(RemoteEndpoint),
-    /// The index has this fault.
+    /// The index is in this state.
     Index(IndexState),
     /// The index's caches are emptied.
     IndexCachesEmptied,
-    /// The membership service has this fault.
+    /// The membership service is in this state.
     MembershipService(MembershipState),
-    /// The membership service restarts without its entries.
+    /// The membership service restarts with no entries.
     MembershipForgets,
-    /// The membership service can take this many reports a second.
+    /// The membership service can process this many reports per second.
     MembershipCapacity(f64),
-    /// The membership names each server twice, and one that never existed.
+    /// The membership lists each server twice, and one that never existed.
     MembershipWrong,
-    /// The membership is older by this.
+    /// The membership that edge nodes read is older by this.
     MembershipStale(Duration),
     /// This share of the edge nodes restarts.
     EdgeNodesRestart(f64),
-    /// Requests arrive at this multiple of the rate.
+    /// Requests arrive at this multiple of the scenario's rate.
     ArrivalRate(f64),
     /// Versions of the configuration are published.
     Publish(Publication),
     /// The published version is deleted from the configuration store.
     Withdraw,
-    /// The configuration store has a text that is no version.
+    /// The configuration store returns a text that is not a valid version.
     StoreCorruptConfig(ConfigCorruption),
-    /// The configuration store has the version that the cluster started with.
+    /// The configuration store returns the version that the cluster started with.
     StoreGenesis,
 }
 
 impl Fault {
-    /// Whether it is about what all servers share, so that it has no target.
+    /// Whether the fault affects something that all servers share, so that its step takes no target.
     pub fn is_shared(&self) -> bool {
         matches!(
             self,
@@ -190,7 +194,7 @@
         )
     }
 
-    /// Whether it is over at once, so that it has no duration.
+    /// Whether the fault is instantaneous, so that its step takes no duration.
     pub fn is_instant(&self) -> bool {
         match self {
             Fault::Publish(publication) => publication.interval.is_none(),
@@ -214,15 +218,15 @@
 /// A step of the timeline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When it begins, since the callers began.
+    /// When the step begins, since the callers started.
     pub at: Duration,
-    /// How long it lasts; until the end of the run if `None`.
+    /// The duration of the step; it lasts until the end of the run if `None`.
     pub lasts: Option<Duration>,
-    /// From the begin at one server to that at the next.
+    /// The delay between the beginning at one server and at the next.
     pub each: Duration,
-    /// The servers that it affects.
+    /// The affected servers.
     pub target: Target,
-    /// What happens.
+    /// The injected fault.
     pub fault: Fault,
     /// The fault's name in the document.
     pub word: String,
--- a/crates/aldercrank-test-cluster/src/scenario/validate.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/validate.rs
@@ -1,15 +1,16 @@
-//! Checks a scenario as a whole.
+//! Checks that the parts of a scenario do not contradict each other.
 
 use super::error::Contradiction;
 use super::model::Scenario;
 use super::timeline::{Fault, Step};
 
-/// The share of a server's descriptors that may be connections of edge nodes.
+/// Numerator of the share of a server's descriptors that connections of edge nodes may take.
 const CONNECTIONS_NUMERATOR: usize = 7;
+/// Denominator of this share.
 const CONNECTIONS_DENOMINATOR: usize = 10;
 
 impl Scenario {
-    /// Fails with the first contradiction.
+    /// Returns the first contradiction as an error.
     pub(super) fn validate(&self) -> Result<(), Contradiction> {
         let all_shares: f64 = self.classes.iter().map(|class| class.share).sum();
         if all_shares <= 0.0 {
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
@@ -1,4 +1,4 @@
-//! A scenario as plain text, by the names that scenario files use; spans in milliseconds.
+//! Formats a scenario as text, with the names that scenario files use and durations in milliseconds.
 
 use aldercrank_test_cluster::edge_nodes::ServerChoice;
 use aldercrank_test_cluster::index_stub::IndexState;
@@ -11,33 +11,33 @@
 use std::fmt::{Debug, Write};
 use std::time::Duration;
 
-/// Milliseconds, exact to the nanosecond.
-fn millis(span: Duration) -> String {
-    format!("{}", span.as_nanos() as f64 / 1e6)
+/// A duration in milliseconds, exact to the nanosecond.
+fn millis(duration: Duration) -> String {
+    format!("{}", duration.as_nanos() as f64 / 1e6)
 }
 
 fn or_none<T: Debug>(value: Option<T>) -> String {
     value.map_or("none".to_string(), |value| format!("{value:?}"))
 }
 
-fn millis_or_none(span: Option<Duration>) -> String {
-    span.map_or("none".to_string(), millis)
+fn millis_or_none(duration: Option<Duration>) -> String {
+    duration.map_or("none".to_string(), millis)
 }
 
-/// All of a scenario, one part a line.
+/// The whole scenario, one part per line.
 pub fn text(scenario: &Scenario) -> String {
     let mut lines = format!("name {:?}\nseed {}\n", scenario.name, scenario.seed);
     writeln!(lines, "span-ms {}", millis(scenario.span)).unwrap();
     writeln!(lines, "from-start {}", scenario.from_start).unwrap();
     lines += &fleet(scenario);
-    scenario.classes.iter().for_each(|one| lines += &class(one));
+    scenario.classes.iter().for_each(|request_class| lines += &class(request_class));
     lines += &callers(scenario);
-    lines += &services_below(scenario);
+    lines += &services(scenario);
     writeln!(lines, "start tell-share={}", scenario.start.report_share).unwrap();
-    for (number, one) in scenario.timeline.iter().enumerate() {
-        lines += &step(one);
-        let reached: Vec<String> = scenario.reached(number).iter().map(|server| server.to_string()).collect();
-        writeln!(lines, "  reaches {}", reached.join(" ")).unwrap();
+    for (index, timeline_step) in scenario.timeline.iter().enumerate() {
+        lines += &step(timeline_step);
+        let affected: Vec<String> = scenario.reached(index).iter().map(|server| server.to_string()).collect();
+        writeln!(lines, "  reaches {}", affected.join(" ")).unwrap();
     }
     lines += &bounds(&scenario.bounds);
     writeln!(lines, "sabotage {}", scenario.injected_violation.map_or("none", violation_name)).unwrap();
@@ -116,7 +116,7 @@
 }
 
 /// The index, the membership service and the versioned configuration.
-fn services_below(scenario: &Scenario) -> String {
+fn services(scenario: &Scenario) -> String {
     let (index, callers) = (&scenario.index, &scenario.callers);
     let mut lines = format!(
         "index slots={} limit={} take-ms={} cold={} warming={}\nlist capacity={} lag-ms={} learn-ms={}\n",
@@ -188,7 +188,7 @@
         Fault::RefuseConnections(with) => format!("refuse with={}", with.scenario_name()),
         Fault::Index(state) => format!("index state={}", index_state(*state)),
         Fault::IndexCachesEmptied => "index-cold".into(),
-        Fault::MembershipService(state) => format!("list state={}", list_state(*state)),
+        Fault::MembershipService(state) => format!("list state={}", membership_state(*state)),
         Fault::MembershipForgets => "list-forgets".into(),
         Fault::MembershipCapacity(to) => format!("list-capacity to={to}"),
         Fault::MembershipWrong => "list-wrong".into(),
@@ -204,12 +204,12 @@
             )
         }
         Fault::Withdraw => "rules-withdraw".into(),
-        Fault::StoreCorruptConfig(kind) => format!("rules-broken kind={}", broken_kind(*kind)),
+        Fault::StoreCorruptConfig(kind) => format!("rules-broken kind={}", config_corruption(*kind)),
         Fault::StoreGenesis => "rules-old".into(),
     }
 }
 
-/// What is done to one direction of a connection.
+/// The faults of one direction of a link.
 fn corruption(corruption: Option<&Corruption>) -> String {
     let Some(corruption) = corruption else { return "untouched".to_string() };
     format!(
@@ -236,7 +236,7 @@
     }
 }
 
-fn list_state(state: MembershipState) -> &'static str {
+fn membership_state(state: MembershipState) -> &'static str {
     match state {
         MembershipState::Up => "up",
         MembershipState::Down => "down",
@@ -245,7 +245,7 @@
     }
 }
 
-fn broken_kind(kind: ConfigCorruption) -> &'static str {
+fn config_corruption(kind: ConfigCorruption) -> &'static str {
     match kind {
         ConfigCorruption::Truncated => "cut",
         ConfigCorruption::Overlong => "long",
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/faults.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/faults.rs
@@ -1,11 +1,11 @@
-//! Golden files of what is wrong with malformed scenarios: each text, then its faults by line and column.
+//! Golden files of invalid scenarios: each document, then its errors with their line and column.
 
 use crate::compare;
 use aldercrank_test_cluster::scenario::Scenario;
 use std::path::{Path, PathBuf};
 
-/// Malformed nodes and properties.
-const NODES: [&str; 24] = [
+/// Documents with malformed nodes and properties.
+const MALFORMED_NODES: [&str; 24] = [
     "flet servers=1",
     "zzzzzz 1",
     "fleet servers=4 zonse=2",
@@ -32,8 +32,8 @@
     "name \"not closed",
 ];
 
-/// Malformed steps of the timeline.
-const STEPS: [&str; 37] = [
+/// Documents with malformed steps of the timeline.
+const MALFORMED_STEPS: [&str; 37] = [
     "at",
     "at \"kill\"",
     "at 1",
@@ -73,8 +73,8 @@
     "at 1 \"idle-connections\" for=2",
 ];
 
-/// Scenarios that can be read and make no sense as a whole.
-const SENSELESS: [&str; 11] = [
+/// Documents that are well-formed but contradict themselves.
+const CONTRADICTORY: [&str; 11] = [
     "product \"map-extract\" share=0\nproduct \"licence-buy\" share=0",
     "product \"map-extract\" sla-ms=900 expiry-ms=800",
     "seconds 2\nat 3 \"kill\"",
@@ -96,26 +96,26 @@
 }
 
 fn blocks(texts: &[&str]) -> String {
-    let each = texts.iter().enumerate();
-    each.map(|(n, text)| format!("== {}\n{text}\n--\n{}\n", n + 1, errors_of(text))).collect()
+    let numbered = (1..).zip(texts);
+    numbered.map(|(n, text)| format!("== {n}\n{text}\n--\n{}\n", errors_of(text))).collect()
 }
 
 #[test]
-fn faults_of_nodes_stand_at_the_recorded_places() {
-    compare::check("scenarios/faults/nodes.txt", &blocks(&NODES));
+fn malformed_nodes_are_reported_as_recorded() {
+    compare::check("scenarios/faults/nodes.txt", &blocks(&MALFORMED_NODES));
 }
 
 #[test]
-fn faults_of_steps_stand_at_the_recorded_places() {
-    compare::check("scenarios/faults/steps.txt", &blocks(&STEPS));
+fn malformed_steps_are_reported_as_recorded() {
+    compare::check("scenarios/faults/steps.txt", &blocks(&MALFORMED_STEPS));
 }
 
 #[test]
-fn contradictory_scenarios_are_refused_as_recorded() {
-    compare::check("scenarios/faults/senseless.txt", &blocks(&SENSELESS));
+fn contradictory_scenarios_are_rejected_as_recorded() {
+    compare::check("scenarios/faults/senseless.txt", &blocks(&CONTRADICTORY));
 }
 
-/// A directory of this test's own, with these files.
+/// Creates a temporary directory with these files.
 fn folder_with(files: &[(&str, &str)]) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("golden-scenarios-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -123,16 +123,20 @@
     folder
 }
 
+/// The result of loading a file, with the directory's path replaced by `FOLDER`.
 fn loaded(folder: &Path, name: &str) -> String {
     let decoded = match Scenario::load(&folder.join(name)) {
-        Ok(s) => format!("  decoded: name {:?}, seed {}, servers {}\n", s.name, s.seed, s.fleet.servers),
+        Ok(scenario) => format!(
+            "  decoded: name {:?}, seed {}, servers {}\n",
+            scenario.name, scenario.seed, scenario.fleet.servers
+        ),
         Err(errors) => errors.0.iter().map(|error| format!("  fault {error}\n")).collect(),
     };
     format!("== {name}\n{}\n", decoded.replace(folder.to_str().unwrap(), "FOLDER"))
 }
 
 #[test]
-fn included_files_are_read_and_their_faults_reported_as_recorded() {
+fn included_files_are_read_and_their_errors_reported_as_recorded() {
     let files = [
         ("base.kdl", "name \"base\"\nseed 5\nfleet servers=6\n"),
         ("over-base.kdl", "include \"base.kdl\"\nname \"over\"\n"),
@@ -144,8 +148,9 @@
         ("over-senseless.kdl", "include \"base.kdl\"\nseconds 1\nat 2 \"kill\"\n"),
     ];
     let folder = folder_with(&files);
-    let built: String = files.iter().map(|(name, text)| format!("{text}{}", loaded(&folder, name))).collect();
-    let built = built + &loaded(&folder, "absent.kdl");
+    let output: String =
+        files.iter().map(|(name, text)| format!("{text}{}", loaded(&folder, name))).collect();
+    let output = output + &loaded(&folder, "absent.kdl");
     std::fs::remove_dir_all(&folder).unwrap();
-    compare::check("scenarios/faults/included.txt", &built);
+    compare::check("scenarios/faults/included.txt", &output);
 }
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/main.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/main.rs
@@ -1,6 +1,6 @@
-//! Golden files of scenarios: for each file in `scenarios/` what it decodes to, and the faults of malformed ones.
+//! Golden files of scenarios: the decoded form of each file in `scenarios/`, and the errors of malformed documents.
 
-// Support code is shared by the modules of this test alone; a scenario may be long.
+// The modules of this test share support code, which needs neither docs nor privacy; test cases may be long.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -19,11 +19,11 @@
 use aldercrank_test_cluster::scenario::Scenario;
 use std::path::{Path, PathBuf};
 
-/// The files in a folder below the repository's root that have this ending, in the order of their names.
-fn files(folder: &str, ending: &str) -> Vec<PathBuf> {
+/// The files with this extension in a folder below the repository's root, sorted by name.
+fn files(folder: &str, extension: &str) -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(folder);
     let entries = std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().path());
-    let mut files: Vec<PathBuf> = entries.filter(|p| p.extension().is_some_and(|e| e == ending)).collect();
+    let mut files: Vec<PathBuf> = entries.filter(|p| p.extension().is_some_and(|e| e == extension)).collect();
     files.sort();
     files
 }
@@ -32,7 +32,7 @@
     files.iter().map(|file| file.file_stem().unwrap().to_str().unwrap()).collect()
 }
 
-/// Each scenario in a folder has its golden file, and each golden file its scenario.
+/// Compares each scenario in a folder with its golden file, and checks that each golden file has a scenario.
 fn check_each(folder: &str) {
     let scenarios = files(folder, "kdl");
     for (file, name) in scenarios.iter().zip(names(&scenarios)) {
@@ -40,7 +40,7 @@
         compare::check(&format!("{folder}/{name}.txt"), &decoded::text(&scenario));
     }
     let recorded = files(&format!("tests/golden/{folder}"), "txt");
-    assert_eq!(names(&scenarios), names(&recorded), "scenarios, and their golden files");
+    assert_eq!(names(&scenarios), names(&recorded), "each scenario has a golden file and vice versa");
 }
 
 #[test]
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn each_scenario_that_a_hunt_found_decodes_as_recorded() {
+fn each_scenario_found_by_the_fault_search_decodes_as_recorded() {
     check_each("scenarios/found");
 }
 
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn every_word_and_property_decodes_as_recorded() {
+fn every_node_and_property_decodes_as_recorded() {
     let text = include_str!("every_word.kdl");
     compare::check("scenarios/forms/every-word.txt", &decoded::text(&Scenario::parse(text).unwrap()));
 }
 
 #[test]
-fn the_same_without_faults_is_as_recorded() {
+fn a_scenario_without_its_faults_decodes_as_recorded() {
     let text = include_str!("every_word.kdl");
     let calm = Scenario::parse(text).unwrap().calm();
     compare::check("scenarios/forms/without-faults.txt", &decoded::text(&calm));
--- a/crates/aldercrank-testbench/tests/suite/versions.rs
+++ b/crates/aldercrank-testbench/tests/suite/versions.rs
@@ -89,7 +89,7 @@
 fn a_scenario_that_publishes_versions_without_a_configuration_is_rejected_before_anything_starts() {
     let output = fleet("no-rules", "seconds 4\nat 1 \"rules\" set=\"licence-buy.points=6\"\n", &[]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&output.stderr).contains("there is no rule book"));
+    assert!(String::from_utf8_lossy(&output.stderr).contains("the scenario has no versioned configuration"));
 }
 
 /// A cluster that runs beside a test and ends with it.
