--- a/crates/aldercrank-test-cluster/src/invariant_checker.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker.rs
@@ -1,8 +1,8 @@
-//! Checks the invariants of the program under test. It sees only what crosses the wire at the stub services and what
-//! the test cluster itself does to processes and links; it knows nothing of the program's state. No I/O, no clock.
+//! Checks the invariants of the program under test. The checker sees only the traffic at the stub services and what the
+//! test cluster itself does to processes and links, never the program's state. It does no I/O and reads no clock.
 //!
-//! A busy machine must not be taken for a slow program: a response may be later by the time that its server, and the
-//! test cluster, waited for a core while the attempt was open (see [`SchedulingDelay`]).
+//! So that a busy machine is not mistaken for a slow program, time limits are extended by the time that the server and
+//! the test cluster waited for a core while the attempt was open (see [`SchedulingDelay`]).
 
 mod checker;
 mod observation;
--- a/crates/aldercrank-test-cluster/src/invariant_checker/checker.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/checker.rs
@@ -12,20 +12,20 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Added to each time limit, for transmission on sockets.
+/// Added to each time limit to allow for transmission on sockets.
 const SOCKET_ALLOWANCE: Duration = Duration::from_millis(50);
-/// What is wrong with an attempt that ran though its connection closed as if it had not been read.
-const RAN_UNANSWERED: &str = "it ran, and its closing connection was ended without a response";
-/// Only so many violations are kept; further ones are counted.
+/// The violation where an attempt ran although its connection closed in a way that says it was not read.
+const RAN_THOUGH_UNREAD: &str = "ran although its connection was closed as if it had not been read";
+/// The number of violations that are kept. Further ones are only counted.
 const MAX_KEPT_VIOLATIONS: usize = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptState {
     Open,
     Answered,
-    /// No response is owed: it was canceled, or hit by an injected fault.
+    /// No response is required: the attempt was canceled or affected by an injected fault.
     Excused,
-    /// Its connection ended by the server before it was read: it must not run, since its caller sends it again.
+    /// The server closed the connection before it read the attempt. It must not run, since its caller sends it again.
     Unread,
 }
 
@@ -43,7 +43,7 @@
     attempt: AttemptId,
 }
 
-/// A span in which what happens to a server's requests is the test cluster's doing.
+/// A span in which irregularities at a server are caused by an injected fault.
 struct FaultSpan {
     from: Duration,
     to: Duration,
@@ -56,21 +56,21 @@
     by_attempt_id: HashMap<AttemptId, usize>,
     by_reply_to: HashMap<ReplyTo, usize>,
     runs_by_key: HashMap<u64, Vec<KeyedRun>>,
-    /// When each incarnation was asked to shut down.
+    /// The time at which each incarnation was asked to shut down.
     shutdowns: BTreeMap<(ServerNo, Incarnation), Duration>,
     fault_spans: BTreeMap<ServerNo, Vec<FaultSpan>>,
-    /// What was waited for a core.
+    /// The time that servers and the test cluster waited for a core.
     pub scheduling_delay: SchedulingDelay,
-    /// The first violations.
+    /// The first violations, at most `MAX_KEPT_VIOLATIONS`.
     pub violations: Vec<Violation>,
-    /// Counts of what was seen.
+    /// Counts of events on the wire and of violations.
     pub counts: Counts,
     /// Attempts of idempotent requests, by server.
     pub idempotent_by_server: Vec<IdempotentCounts>,
-    /// Responses that were late by the last sample of the scheduling delay. They are checked again with the next one,
-    /// since most of the delay may lie in between.
+    /// Responses that were late by the last sample of the scheduling delay, with the time of their receipt. They are
+    /// checked again after the next sample, since most of the delay may have occurred since the last one.
     suspected_late: Vec<(Duration, Attempt)>,
-    /// Completed attempts, by second and server.
+    /// The number of completed attempts, by second and server.
     pub completed_in: BTreeMap<(u64, ServerNo), u32>,
 }
 
@@ -79,11 +79,11 @@
 }
 
 fn exit_text(code: Option<i32>) -> String {
-    code.map_or("a signal".to_string(), |code| format!("exit {code}"))
+    code.map_or("a signal".to_string(), |code| format!("exit code {code}"))
 }
 
 impl InvariantChecker {
-    /// A checker at the start of a run.
+    /// Creates a checker for one run.
     pub fn new(settings: CheckerSettings) -> InvariantChecker {
         InvariantChecker {
             settings,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Records a violation that was seen elsewhere.
+    /// Records a violation, also one that another part of the test cluster detected.
     pub fn record_violation(
         &mut self,
         now: Duration,
@@ -135,17 +135,17 @@
         self.record_violation(now, rule, Some(attempt.attempt), Some(attempt.server), what);
     }
 
-    /// The attempt of this id.
+    /// The attempt with this id.
     pub fn attempt(&self, attempt: AttemptId) -> Option<&Attempt> {
         self.by_attempt_id.get(&attempt).map(|index| &self.attempts[*index].attempt)
     }
 
-    /// The attempt whose response is expected there.
+    /// The attempt whose response is expected at this place.
     pub fn attempt_at(&self, reply_to: ReplyTo) -> Option<&Attempt> {
         self.by_reply_to.get(&reply_to).map(|index| &self.attempts[*index].attempt)
     }
 
-    /// Whether the attempt whose response is expected there was run.
+    /// Whether the attempt whose response is expected at this place was run.
     pub fn has_run(&self, reply_to: ReplyTo) -> bool {
         self.by_reply_to.get(&reply_to).is_some_and(|index| self.attempts[*index].ran)
     }
@@ -154,7 +154,7 @@
         &self.settings.classes[class.0 as usize]
     }
 
-    /// An attempt was written in full to a connection that stands or is being made.
+    /// An attempt was written in full to a connection that is established or being established.
     pub fn attempt_sent(&mut self, attempt: Attempt) {
         self.counts.attempts += 1;
         if self.class(attempt.class).effect == Effect::Idempotent {
@@ -170,7 +170,7 @@
         self.attempts.push(TrackedAttempt { attempt, state: AttemptState::Open, ran: false });
     }
 
-    /// From `from` to `to`, what happens to a server's requests is the test cluster's doing.
+    /// Excuses irregularities at a server from `from` to `to`, since an injected fault causes them.
     pub fn add_fault_span(&mut self, server: ServerNo, from: Duration, to: Duration) {
         self.fault_spans.entry(server).or_default().push(FaultSpan { from, to });
     }
@@ -184,11 +184,11 @@
         self.had_fault(attempt.server, attempt.sent_at, now)
     }
 
-    /// A response was read from a connection to `server`.
+    /// A response was received on a connection to `server`.
     pub fn answer_received(&mut self, now: Duration, server: ServerNo, reply_to: ReplyTo, answer: Answer) {
         let Some(&index) = self.by_reply_to.get(&reply_to) else {
             if !self.had_fault(server, now, now) {
-                let what = "a response to a call that was never made";
+                let what = "a response that belongs to no attempt";
                 self.record_violation(now, Rule::Twice, None, Some(server), what);
             }
             return;
@@ -231,7 +231,7 @@
         }
     }
 
-    /// The cumulative scheduling delays of the test cluster and of each server were sampled.
+    /// Adds a sample of the cumulative scheduling delays of the test cluster and of each server.
     pub fn scheduling_delay_sampled(&mut self, now: Duration, cluster: Duration, servers: Vec<Duration>) {
         self.scheduling_delay.sample(now, cluster, servers);
         self.check_suspected_late();
@@ -247,33 +247,34 @@
         }
     }
 
-    /// When a response at `now` is late: deadline, slack, transmission, and what was waited for a core.
+    /// The latest time at which a response is not late: the deadline, extended by the slack, the allowance for sockets
+    /// and the scheduling delay until `now`.
     fn latest_answer(&self, attempt: &Attempt, now: Duration) -> Duration {
         let waited = self.scheduling_delay.between(attempt.server, attempt.sent_at, now);
         attempt.deadline + self.settings.slack + SOCKET_ALLOWANCE + waited
     }
 
-    /// A result must be made by a run of the same request on the same server.
+    /// Checks that a result was made by a run of the same request on the same server.
     fn check_result_origin(&mut self, now: Duration, attempt: &Attempt, result: &[u8]) {
         let maker = made_by(result).and_then(|attempt| self.by_attempt_id.get(&attempt).copied());
-        let fits = maker.is_some_and(|index| {
+        let is_own_result = maker.is_some_and(|index| {
             let maker = &self.attempts[index];
             let same_request = maker.attempt.attempt == attempt.attempt
                 || (attempt.idempotency_key.is_some()
                     && maker.attempt.idempotency_key == attempt.idempotency_key);
             same_request && maker.ran && maker.attempt.server == attempt.server
         });
-        if !fits && !self.had_fault_since_sent(attempt, now) {
+        if !is_own_result && !self.had_fault_since_sent(attempt, now) {
             self.record_attempt_violation(
                 now,
                 Rule::Mixed,
                 attempt,
-                "completed with what no run made for it",
+                "completed with a result that no run of the request made on this server",
             );
         }
     }
 
-    /// The caller canceled the attempt: no response is owed any more.
+    /// The caller canceled the attempt, so that no response to it is required.
     pub fn attempt_canceled(&mut self, reply_to: ReplyTo) {
         if let Some(&index) = self.by_reply_to.get(&reply_to) {
             if self.attempts[index].state == AttemptState::Open {
@@ -283,7 +284,7 @@
         }
     }
 
-    /// The attempt's connection has ended.
+    /// The connection of an attempt was closed.
     pub fn connection_lost(&mut self, now: Duration, reply_to: ReplyTo, end: ConnectionEnd) {
         let Some(&index) = self.by_reply_to.get(&reply_to) else { return };
         if self.attempts[index].state != AttemptState::Open {
@@ -298,20 +299,20 @@
         match end {
             ConnectionEnd::Injected => {}
             ConnectionEnd::ByServer => {
-                let what = "its connection was ended without a response";
+                let what = "the server closed its connection without a response";
                 self.record_attempt_violation(now, Rule::Lost, &attempt, what);
             }
             ConnectionEnd::BeforeRead => {
                 self.counts.unread += 1;
                 self.attempts[index].state = AttemptState::Unread;
                 if ran {
-                    self.record_attempt_violation(now, Rule::Lost, &attempt, RAN_UNANSWERED);
+                    self.record_attempt_violation(now, Rule::Lost, &attempt, RAN_THOUGH_UNREAD);
                 }
             }
         }
     }
 
-    /// Checks whether a response can still be in time. Returns whether none is owed any more.
+    /// Checks whether a response is overdue. Returns whether none is awaited any more.
     pub fn check_overdue(&mut self, now: Duration, reply_to: ReplyTo) -> bool {
         let Some(&index) = self.by_reply_to.get(&reply_to) else { return true };
         if self.attempts[index].state != AttemptState::Open {
@@ -325,7 +326,7 @@
         if self.had_fault_since_sent(&attempt, now) {
             self.counts.excused += 1;
         } else {
-            let what = "no response by its deadline and the slack";
+            let what = "no response within the slack after its deadline";
             self.record_attempt_violation(now, Rule::Lost, &attempt, what);
         }
         true
@@ -341,17 +342,17 @@
         let class = self.class(attempt.class);
         let differs = class.name != run.class || attempt.body_hash != run.body_hash;
         if differs && !self.had_fault_since_sent(&attempt, now) {
-            let what = "run with another class or body than was sent";
+            let what = "ran with a class or body that differs from the one sent";
             self.record_attempt_violation(now, Rule::Mixed, &attempt, what);
         }
         self.counts.runs += 1;
         self.attempts[index].ran = true;
         if self.attempts[index].state == AttemptState::Unread {
-            self.record_attempt_violation(now, Rule::Lost, &attempt, RAN_UNANSWERED);
+            self.record_attempt_violation(now, Rule::Lost, &attempt, RAN_THOUGH_UNREAD);
         }
         if let Some(&shutdown) = self.shutdowns.get(&(run.server, run.incarnation)) {
             if attempt.sent_at > shutdown + self.settings.drain_grace + SOCKET_ALLOWANCE {
-                let what = "run though it came after the grace period of a draining server";
+                let what = "ran though it was sent after the server's drain grace period";
                 self.record_attempt_violation(now, Rule::Drain, &attempt, what);
             }
         }
@@ -359,7 +360,7 @@
         true
     }
 
-    /// A request with an idempotency key runs once on an incarnation within its deduplication window.
+    /// Checks that a request with an idempotency key runs once on an incarnation within its deduplication window.
     fn check_runs_once(&mut self, now: Duration, attempt: &Attempt) {
         let class = self.class(attempt.class);
         let (effect, window) = (class.effect, class.dedup_window);
@@ -379,12 +380,14 @@
         });
         self.counts.across += u64::from(ran_elsewhere);
         if let Some(first) = first {
-            let what = format!("run within the window of {first}, an attempt of the same request");
+            let what = format!(
+                "ran again within the deduplication window of {first}, an attempt of the same request"
+            );
             self.record_attempt_violation(now, Rule::Twice, attempt, what);
         }
     }
 
-    /// A run has ended. One of which nothing was carried out is not counted as a run.
+    /// A run has ended. With [`RunEnd::NeverStarted`], the attempt counts as not run.
     pub fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) {
         let Some(&index) = self.by_attempt_id.get(&attempt).filter(|_| end == RunEnd::NeverStarted) else {
             return;
@@ -408,42 +411,42 @@
         match shutdown {
             Some(shutdown) if !killed => {
                 if code != Some(0) {
-                    let what = format!("asked to shut down, it ended with {}", exit_text(code));
+                    let what = format!("ended with {} after a request to shut down", exit_text(code));
                     self.record_violation(now, Rule::Fall, None, Some(server), what);
                 }
                 if now > shutdown + self.settings.stop_timeout + SOCKET_ALLOWANCE + waited {
-                    let what = "it had not exited by its stop timeout";
+                    let what = "exited after its stop timeout";
                     self.record_violation(now, Rule::Drain, None, Some(server), what);
                 }
             }
             None if !killed => {
-                let what = format!("it ended by itself with {}", exit_text(code));
+                let what = format!("ended with {} without a request to shut down", exit_text(code));
                 self.record_violation(now, Rule::Fall, None, Some(server), what);
             }
             _ => {}
         }
-        // The attempts that were open on it are checked by their connections, which end with it.
+        // Attempts that are open on this server are checked when their connections close, which its exit causes.
         if !self.shutdowns.keys().any(|(shut_down, _)| *shut_down == server) {
             self.add_fault_span(server, now, now);
         }
     }
 
-    fn open(&self) -> impl Iterator<Item = &TrackedAttempt> {
+    fn open_tracked(&self) -> impl Iterator<Item = &TrackedAttempt> {
         self.attempts.iter().filter(|tracked| tracked.state == AttemptState::Open)
     }
 
-    /// How many attempts wait for a response.
+    /// The number of attempts that await a response.
     pub fn open_attempts(&self) -> usize {
-        self.open().count()
+        self.open_tracked().count()
     }
 
-    /// Checks what is still open at the end of a run.
+    /// Checks, at the end of a run, the attempts that are still open.
     pub fn finish(&mut self, now: Duration) {
         self.check_suspected_late();
-        let open: Vec<Attempt> = self.open().map(|tracked| tracked.attempt.clone()).collect();
+        let open: Vec<Attempt> = self.open_tracked().map(|tracked| tracked.attempt.clone()).collect();
         for attempt in open {
             if !self.had_fault_since_sent(&attempt, now) {
-                let what = "not answered when the run was over";
+                let what = "no response by the end of the run";
                 self.record_attempt_violation(now, Rule::Lost, &attempt, what);
             }
         }
--- a/crates/aldercrank-test-cluster/src/invariant_checker/observation.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/observation.rs
@@ -1,126 +1,127 @@
-//! The input of the invariant checker: the scenario's limits, and what was seen on the wire.
+//! The input of the invariant checker: the limits of the scenario, and the events observed on the wire.
 
 use crate::ids::{ClassNo, EdgeNo, Incarnation, ReplyTo, RequestNo, ServerNo};
 use aldercrank_protocol::worker_pool::AttemptId;
 use std::time::Duration;
 
-/// What a further run of a request does.
+/// The effect of running a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// The same as one run.
+    /// The same as that of one run.
     Idempotent,
-    /// The same as one run, by the request's idempotency key.
+    /// The same as that of one run, because the server deduplicates by the request's idempotency key.
     Keyed,
-    /// Harm: the request must run at most once.
+    /// Harmful: the request must run at most once.
     Unsafe,
 }
 
-/// What the checker knows of a request class.
+/// The properties of a request class that the checker needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckedClass {
     /// The name on the wire.
     pub name: String,
-    /// What a further run does.
+    /// The effect of running a request again.
     pub effect: Effect,
-    /// How long after an attempt further ones with its idempotency key must not run again.
+    /// How long after an attempt further ones with its idempotency key must not run.
     pub dedup_window: Duration,
 }
 
 /// The time limits and classes of a scenario.
 #[derive(Clone, Debug)]
 pub struct CheckerSettings {
-    /// By class number.
+    /// The classes, by class number.
     pub classes: Vec<CheckedClass>,
-    /// How long after its deadline an attempt may be answered.
+    /// How long after its deadline a response may still arrive without being late.
     pub slack: Duration,
-    /// How long after the request to shut down a server may still take requests.
+    /// How long after the request to shut down a server may still accept requests.
     pub drain_grace: Duration,
-    /// From the request to shut down until the process has exited.
+    /// How long after the request to shut down the process must have exited.
     pub stop_timeout: Duration,
 }
 
 /// An attempt, as an edge node sent it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request.
+    /// The number of the request.
     pub request: RequestNo,
     /// The attempt's id on the wire.
     pub attempt: AttemptId,
-    /// The sender.
+    /// The edge node that sent it.
     pub edge: EdgeNo,
     /// The server that it was sent to.
     pub server: ServerNo,
-    /// The server's incarnation then.
+    /// The server's incarnation when it was sent.
     pub incarnation: Incarnation,
-    /// Where its response is expected.
+    /// The connection and message id of the expected response.
     pub reply_to: ReplyTo,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassNo,
-    /// The idempotency key of the request.
+    /// The idempotency key of the request, if any.
     pub idempotency_key: Option<u64>,
-    /// The hash of its body.
+    /// The hash of the request body.
     pub body_hash: u64,
     /// When it was sent.
     pub sent_at: Duration,
-    /// When its response is due.
+    /// The time by which its response is due.
     pub deadline: Duration,
 }
 
 /// The response to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer<'a> {
-    /// With this result.
+    /// Completed, with this result.
     Completed(&'a [u8]),
-    /// It was rejected, and did not run.
+    /// Rejected; the attempt must not have run.
     Rejected,
-    /// With an error.
+    /// Failed with an error.
     Failed,
 }
 
-/// A run that was started in a worker pool.
+/// The start of a run in a worker pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunStart<'a> {
-    /// The server whose pool it is.
+    /// The server that the worker pool belongs to.
     pub server: ServerNo,
     /// The server's incarnation.
     pub incarnation: Incarnation,
-    /// The attempt that it runs.
+    /// The attempt that is run.
     pub attempt: AttemptId,
-    /// The class that the server named.
+    /// The class that the server sent to the pool.
     pub class: &'a str,
-    /// The hash of the body that the server sent.
+    /// The hash of the body that the server sent to the pool.
     pub body_hash: u64,
 }
 
-/// The exit of a server's process.
+/// The exit of a server process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessExit {
     /// The server.
     pub server: ServerNo,
-    /// Its incarnation.
+    /// The server's incarnation.
     pub incarnation: Incarnation,
     /// The exit code; `None` if a signal ended it.
     pub code: Option<i32>,
-    /// The test cluster killed it.
+    /// Whether the test cluster killed the process.
     pub killed: bool,
 }
 
-/// Who ended a connection.
+/// How the connection of an attempt was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The test cluster, or a fault that it injected.
+    /// By the test cluster, or by a fault that it injected.
     Injected,
-    /// The server.
+    /// By the server.
     ByServer,
-    /// The server, after an announcement that the attempt crossed or followed: it was not read, and does not run.
+    /// By the server, after it announced the closing. The attempt crossed or followed the announcement: it was not read
+    /// and does not run.
     BeforeRead,
 }
 
-/// Attempts of idempotent requests at one server.
+/// Counts of the attempts of idempotent requests at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IdempotentCounts {
-    /// Sent.
+    /// Attempts sent.
     pub attempts: u64,
-    /// Completed.
+    /// Attempts completed.
     pub completed: u64,
 }
--- a/crates/aldercrank-test-cluster/src/invariant_checker/run_result.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/run_result.rs
@@ -1,10 +1,12 @@
-//! The results of runs in the stub worker pool. Each names the attempt whose run made it, so that the checker sees
-//! where a response comes from.
+//! The results of runs in the stub worker pool. Each contains the id of the attempt that was run, so that the checker
+//! can tell which run a response comes from.
 
 use aldercrank_protocol::worker_pool::AttemptId;
 
+/// What a result begins with, before the attempt id.
 const PREFIX: &[u8] = b"made by ";
 const ATTEMPT_ID_LENGTH: usize = 16;
+/// What a result ends with if the run continued without its call.
 const CALL_SKIPPED: &[u8] = b"without its call";
 
 /// The outcome of a run's call.
@@ -14,7 +16,7 @@
     NotNeeded,
     /// The call's result.
     Answered(&'a [u8]),
-    /// The run continued without its call; the result is worth less.
+    /// The run continued without its call, which gives a degraded result.
     Skipped,
 }
 
@@ -29,12 +31,12 @@
     bytes
 }
 
-/// Whether a result was made without the call that its run needed.
+/// Whether a result is degraded, since the run continued without its call.
 pub fn is_degraded(result: &[u8]) -> bool {
     result.ends_with(CALL_SKIPPED)
 }
 
-/// The attempt whose run made a result; `None` if the bytes are no result of a run.
+/// The attempt whose run made this result; `None` if the bytes are not a result of a run.
 pub fn made_by(result: &[u8]) -> Option<AttemptId> {
     let rest = result.strip_prefix(PREFIX)?;
     AttemptId::new(std::str::from_utf8(rest.get(..ATTEMPT_ID_LENGTH)?).ok()?)
--- a/crates/aldercrank-test-cluster/src/invariant_checker/scheduling_delay.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/scheduling_delay.rs
@@ -1,28 +1,28 @@
-//! Time that processes waited for a core, so that a busy machine is not taken for a slow program.
+//! The time that processes waited for a core, which extends time limits on a busy machine.
 
 use crate::ids::ServerNo;
 use std::time::Duration;
 
-/// Cumulative scheduling delays at one time.
+/// The cumulative scheduling delays at one time.
 struct Sample {
     at: Duration,
     cluster: Duration,
     servers: Vec<Duration>,
 }
 
-/// Samples of the cumulative time that the servers and the test cluster itself waited for a core.
+/// Samples of the cumulative time that the servers and the test cluster waited for a core.
 #[derive(Default)]
 pub struct SchedulingDelay {
     samples: Vec<Sample>,
 }
 
 impl SchedulingDelay {
-    /// Adds the sums so far: the test cluster's own, and each server's. Called in the order of time.
+    /// Adds a sample of the cumulative delays of the test cluster and of each server. `now` must not decrease.
     pub fn sample(&mut self, now: Duration, cluster: Duration, servers: Vec<Duration>) {
         self.samples.push(Sample { at: now, cluster, servers });
     }
 
-    /// An upper bound for what a server and the test cluster waited from `from` to `to`.
+    /// An upper bound of the time that a server and the test cluster waited between `from` and `to`, by the samples.
     pub fn between(&self, server: ServerNo, from: Duration, to: Duration) -> Duration {
         let index_after = |time: Duration| self.samples.partition_point(|sample| sample.at <= time);
         let first = index_after(from).saturating_sub(1);
--- a/crates/aldercrank-test-cluster/src/invariant_checker/violation.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/violation.rs
@@ -1,4 +1,4 @@
-//! The invariants, their violations, and the counts of a run.
+//! The invariants, their violations, and the counts of events in a run.
 
 use serde::Serialize;
 
@@ -6,38 +6,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Each request gets a complete, final response.
+    /// Each attempt gets a complete, final response, and one that was closed unread does not run.
     Lost,
-    /// Each response comes by the request's deadline and the slack.
+    /// Each response arrives within the slack after the request's deadline.
     Late,
-    /// Each attempt gets one response, and a request with an idempotency key runs once in its deduplication window.
+    /// Each attempt gets one response, a request with an idempotency key runs once in its deduplication window, and a
+    /// rejected request that is not idempotent has not run.
     Twice,
-    /// A draining server runs nothing that came after its grace period, and exits before its stop timeout.
+    /// A draining server runs nothing that was sent after its grace period, and exits by its stop timeout.
     Drain,
-    /// Limits are kept, and no process exits by itself.
+    /// Resource limits are kept, and no process exits without a request or with an error.
     Fall,
-    /// A request is completed with the result of a run of its own, and runs with its own body and class.
+    /// Each request is completed with the result of its own run, and runs with its own body and class.
     Mixed,
-    /// No server acts by a configuration version for longer than the bound after another acted by a contradicting one.
+    /// No server decides by a configuration version longer than the bound after another decided by a newer,
+    /// contradicting one.
     Fence,
 }
 
 /// One violation of an invariant.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// The invariant.
+    /// The violated invariant.
     pub rule: Rule,
     /// Seconds since the start of the run.
     pub at: f64,
-    /// The attempt that it was seen at.
+    /// The attempt concerned, if any.
     pub attempt: Option<String>,
-    /// The server that it was seen at.
+    /// The server concerned, if any.
     pub server: Option<String>,
-    /// What was seen.
+    /// A description of the violation.
     pub what: String,
 }
 
-/// What was seen on the wire in a run.
+/// Counts of events in a run, as seen on the wire.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Counts {
     /// Attempts sent.
@@ -52,14 +54,15 @@
     pub failed: u64,
     /// Runs started in worker pools.
     pub runs: u64,
-    /// Attempts without a response that none is owed for: canceled, or hit by an injected fault.
+    /// Attempts without a response that need none: they were canceled, affected by an injected fault, or their
+    /// connection was closed.
     pub excused: u64,
-    /// Attempts whose connection closed before they were read; excused too.
+    /// Attempts whose connection the server closed before it read them. They also count as excused.
     pub unread: u64,
-    /// Runs of a request with an idempotency key after one on another server or incarnation, which only its caller
-    /// can prevent.
+    /// Runs of a request with an idempotency key that had already run on another server or incarnation, which only its
+    /// caller can prevent.
     pub across: u64,
-    /// Violations.
+    /// Violations of invariants.
     #[serde(rename = "broken")]
     pub violations: u64,
 }
--- a/crates/aldercrank-test-cluster/src/version_checker.rs
+++ b/crates/aldercrank-test-cluster/src/version_checker.rs
@@ -1,8 +1,9 @@
-//! Checks the guarantee of the versioned configuration. It sees responses with the version that they name, the attempts
-//! that they answer, and whether those ran; it knows nothing of the servers' state. No I/O, no clock.
+//! Checks the guarantee of the versioned configuration: decisions by contradicting versions are no further apart in
+//! time than a bound. The checker sees responses with the version that they name, the attempts that they belong to, and
+//! whether those ran, but never the servers' state. It does no I/O and reads no clock.
 //!
-//! Two decisions contradict each other where the items that they went by differ between their versions. How far they
-//! are apart is measured in the servers' favour: from the first response by the newer version to the sending of the
+//! Two decisions contradict each other if their versions differ in the items that the decisions depend on. The time
+//! between them is measured in the servers' favour: from the first response by the newer version to the sending of the
 //! last attempt that was decided by the older one.
 
 use crate::ids::{ClassNo, Incarnation, ServerNo};
@@ -11,19 +12,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The items of a request class that must not contradict each other, as a version has them.
+/// The items of a request class, in one version, in which contradicting versions differ.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassTerms {
-    /// What a further run does, by its name in the configuration.
+    /// The effect of running a request again, by its name in the configuration.
     pub effect: Option<String>,
     /// The deduplication window in milliseconds.
     pub window_ms: Option<f64>,
-    /// Whether servers run the class at all.
+    /// Whether servers accept requests of the class.
     pub offered: bool,
 }
 
 impl ClassTerms {
-    /// The terms of a class in a version.
+    /// Reads the terms of a class from a version.
     pub fn of(config: &VersionedConfig, class: &str) -> ClassTerms {
         let get = |name: &str| config.get("product", class, name);
         ClassTerms {
@@ -40,28 +41,28 @@
     }
 }
 
-/// An attempt that a server decided by a version.
+/// A server's decision on an attempt by a version of the configuration.
 #[derive(Clone, Debug)]
 pub struct VersionedDecision {
     /// The server.
     pub server: ServerNo,
-    /// Its incarnation.
+    /// The server's incarnation.
     pub incarnation: Incarnation,
     /// The attempt's class.
     pub class: ClassNo,
-    /// The number of the version.
+    /// The number of the version that the response names.
     pub version: u64,
     /// When the attempt was sent.
     pub sent_at: Duration,
     /// When its response was received.
     pub answered_at: Duration,
-    /// Whether this attempt was run.
+    /// Whether the attempt was run.
     pub ran: bool,
-    /// The idempotency key of its request.
+    /// The idempotency key of the request, if any.
     pub idempotency_key: Option<u64>,
 }
 
-/// The times of the decisions by one version on one class.
+/// The time span of the decisions by one version on one class.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecisionSpan {
     first_answered: Duration,
@@ -78,68 +79,69 @@
 }
 
 struct PublishedVersion {
-    /// By class number.
+    /// The terms of the classes, by class number.
     terms: Vec<ClassTerms>,
     published_at: Duration,
-    /// Changes only items that may differ between servers.
+    /// Whether the version changes free items only, which may differ between servers.
     changes_free_items_only: bool,
 }
 
 /// A violation of the guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionViolation {
-    /// When it was seen.
+    /// When it was detected.
     pub at: Duration,
-    /// The server that it was seen at.
+    /// The server whose decision violated the guarantee.
     pub server: ServerNo,
-    /// What was seen.
+    /// A description of the violation.
     pub what: String,
 }
 
-/// The figures of a run.
+/// Statistics of the versioned configuration in a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Decisions by some version.
+    /// Decisions by any version.
     #[serde(rename = "acts")]
     pub decisions: u64,
-    /// Published versions.
+    /// Versions published.
     pub published: u64,
-    /// Versions that some decision was made by.
+    /// Versions by which at least one decision was made.
     pub acted_on: usize,
-    /// The furthest apart that two contradicting decisions were.
+    /// The longest time between two contradicting decisions.
     pub farthest_ms: f64,
-    /// How many were further apart than the bound.
+    /// Decisions made later than the bound after a contradicting decision by a newer version.
     pub beyond_bound: u64,
-    /// The 99th percentile, over versions that change free items alone and servers, of the time from the publication
-    /// to the server's first response by the version.
+    /// The 99th percentile, over servers and versions that change free items only, of the time from the publication of
+    /// the version to the server's first response by it.
     pub free_p99_ms: f64,
-    /// The same for the other versions.
+    /// Like `free_p99_ms`, for the other versions.
     pub fenced_p99_ms: f64,
     /// Messages between servers.
     #[serde(rename = "words")]
     pub peer_messages: u64,
     /// Reads of the configuration store.
     pub reads: u64,
-    /// The bytes of the answers to these reads.
+    /// Bytes of the responses to these reads.
     pub read_bytes: u64,
 }
 
-/// Checks the guarantee during a run.
+/// Checks the guarantee of the versioned configuration during a run.
 pub struct VersionChecker {
     bound: Duration,
     classes: Vec<String>,
     versions: BTreeMap<u64, PublishedVersion>,
     spans: BTreeMap<(ClassNo, u64), DecisionSpan>,
-    /// From the publication of a version to a server's first response by it, less what was waited for a core.
+    /// The time from the publication of a version to a server's first response by it, less the scheduling delay.
     propagation: BTreeMap<(u64, ServerNo), Duration>,
     runs_by_key: BTreeMap<u64, Vec<KeyedRun>>,
     figures: Figures,
-    /// Violations that were not taken yet.
+    /// Violations that the caller has not taken yet.
     pub violations: Vec<VersionViolation>,
 }
 
 impl VersionChecker {
-    /// A checker for a cluster that starts with the version `genesis`. Contradicting decisions may be `bound` apart.
+    /// Creates a checker for a cluster that starts with the version `genesis`. Contradicting decisions may be at most
+    /// `bound` apart.
     pub fn new(bound: Duration, classes: Vec<String>, genesis: &VersionedConfig) -> VersionChecker {
         let mut version_checker = VersionChecker {
             bound,
@@ -167,17 +169,18 @@
         self.add_version(now, config, changes_free_items_only);
     }
 
-    fn record(&mut self, decision: &VersionedDecision, what: String) {
+    fn record_violation(&mut self, decision: &VersionedDecision, what: String) {
         let (at, server) = (decision.answered_at, decision.server);
         self.violations.push(VersionViolation { at, server, what });
     }
 
-    /// Checks a decision. `waited_since` gives how long its server and the test cluster waited for a core since a time.
+    /// Checks a decision. `waited_since` returns how long its server and the test cluster have waited for a core since
+    /// a given time.
     pub fn check(&mut self, decision: &VersionedDecision, waited_since: impl Fn(Duration) -> Duration) {
         self.figures.decisions += 1;
         let Some(version) = self.versions.get(&decision.version) else {
-            let what = format!("decided by version {}, which nobody published", decision.version);
-            return self.record(decision, what);
+            let what = format!("decided by version {}, which was never published", decision.version);
+            return self.record_violation(decision, what);
         };
         let published_at = version.published_at;
         let terms = version.terms[decision.class.0 as usize].clone();
@@ -187,7 +190,7 @@
         });
         if decision.ran && !terms.offered {
             let what = format!("ran a class that version {} does not offer", decision.version);
-            self.record(decision, what);
+            self.record_violation(decision, what);
         }
         self.check_runs_once(decision);
         let span = self
@@ -196,10 +199,11 @@
             .or_insert(DecisionSpan { first_answered: decision.answered_at, last_sent: decision.sent_at });
         span.first_answered = span.first_answered.min(decision.answered_at);
         span.last_sent = span.last_sent.max(decision.sent_at);
-        self.check_distance(decision, &terms);
+        self.check_time_apart(decision, &terms);
     }
 
-    /// A request with an idempotency key runs once on an incarnation, by the window of the version of each run.
+    /// Checks that a request with an idempotency key runs once on an incarnation within the deduplication window of
+    /// each run's version.
     fn check_runs_once(&mut self, decision: &VersionedDecision) {
         let Some(key) = decision.idempotency_key.filter(|_| decision.ran) else { return };
         let mut violations = Vec::new();
@@ -215,8 +219,9 @@
             let second = run.sent_at.max(decision.sent_at);
             if is_deduplicated && second <= first + window {
                 let version = run.version;
-                violations
-                    .push(format!("ran twice within the window of version {version}, by which it ran first"));
+                violations.push(format!(
+                    "ran twice within the deduplication window of version {version}, which the other run used"
+                ));
             }
         }
         runs.push(KeyedRun {
@@ -226,12 +231,12 @@
             version: decision.version,
         });
         for what in violations {
-            self.record(decision, what);
+            self.record_violation(decision, what);
         }
     }
 
-    /// Compares a decision with those by newer versions whose terms differ.
-    fn check_distance(&mut self, decision: &VersionedDecision, terms: &ClassTerms) {
+    /// Checks the time between a decision and the earlier ones by newer versions with different terms.
+    fn check_time_apart(&mut self, decision: &VersionedDecision, terms: &ClassTerms) {
         let class_no = decision.class;
         let newer = self
             .spans
@@ -248,13 +253,15 @@
         if apart > self.bound {
             self.figures.beyond_bound += 1;
             let number = decision.version;
-            let what = format!("acted by version {number} {apart:?} after another acted by a newer one");
-            self.record(decision, what);
+            let what = format!(
+                "decided by version {number} {apart:?} after a contradicting decision by a newer version"
+            );
+            self.record_violation(decision, what);
         }
     }
 
-    /// The 99th percentile of the propagation in milliseconds, of versions that change free items alone or of the
-    /// others; the version of the start does not count.
+    /// The 99th percentile of the propagation time in milliseconds, either of versions that change free items only or
+    /// of the others. The initial version is left out.
     fn propagation_p99_ms(&self, changes_free_items_only: bool) -> f64 {
         let counts = |number: &u64| {
             self.versions.get(number).is_some_and(|version| {
@@ -267,7 +274,7 @@
         spans.get((spans.len() * 99 / 100).min(spans.len().saturating_sub(1))).copied().unwrap_or(0.0)
     }
 
-    /// The figures at the end of a run.
+    /// Returns the statistics at the end of a run.
     pub fn finish(&mut self) -> Figures {
         self.figures.free_p99_ms = self.propagation_p99_ms(true);
         self.figures.fenced_p99_ms = self.propagation_p99_ms(false);
--- a/crates/aldercrank-test-cluster/tests/components/invariant_checker.rs
+++ b/crates/aldercrank-test-cluster/tests/components/invariant_checker.rs
@@ -1,4 +1,4 @@
-//! What the invariant checker reports, and what it does not.
+//! The violations that the invariant checker reports, and what it excuses.
 
 use crate::{attempt, ms};
 use aldercrank_protocol::msgpack_rpc::MessageId;
@@ -56,26 +56,26 @@
 }
 
 fn violated_rules(checker: &InvariantChecker) -> Vec<Rule> {
-    checker.violations.iter().map(|b| b.rule).collect()
+    checker.violations.iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn each_violated_rule_is_named() {
+fn each_violation_is_reported_under_its_rule() {
     let n1 = ServerNo(0);
-    let answer = |checker: &mut InvariantChecker, n: u32, at: u64, by: u32| {
-        let result = run_result(attempt(by), CallOutcome::NotNeeded);
+    let answer = |checker: &mut InvariantChecker, n: u32, at: u64, run_of: u32| {
+        let result = run_result(attempt(run_of), CallOutcome::NotNeeded);
         checker.answer_received(ms(at), n1, reply_to(n), Answer::Completed(&result));
     };
-    let mut good = checker();
-    good.attempt_sent(attempt_at(1, 0, None));
-    assert!(start_run(&mut good, 1, 5, "map-extract"));
-    answer(&mut good, 1, 900, 1);
-    good.finish(ms(5000));
-    assert_eq!(violated_rules(&good), []);
+    let mut valid = checker();
+    valid.attempt_sent(attempt_at(1, 0, None));
+    assert!(start_run(&mut valid, 1, 5, "map-extract"));
+    answer(&mut valid, 1, 900, 1);
+    valid.finish(ms(5000));
+    assert_eq!(violated_rules(&valid), []);
 
     let mut lost = checker();
     lost.attempt_sent(attempt_at(1, 0, None));
-    assert!(!lost.check_overdue(ms(1000), reply_to(1)), "there is slack left");
+    assert!(!lost.check_overdue(ms(1000), reply_to(1)), "the slack has not elapsed");
     assert!(lost.check_overdue(ms(1200), reply_to(1)));
     assert_eq!(violated_rules(&lost), [Rule::Lost]);
 
@@ -84,13 +84,17 @@
     start_run(&mut late, 1, 5, "map-extract");
     answer(&mut late, 1, 1150, 1);
     late.scheduling_delay_sampled(ms(1200), ms(0), vec![ms(0)]);
-    assert_eq!(violated_rules(&late), [Rule::Late], "once it is known what was waited for a core");
-    let mut last = checker();
-    last.attempt_sent(attempt_at(1, 0, None));
-    start_run(&mut last, 1, 5, "map-extract");
-    answer(&mut last, 1, 1150, 1);
-    last.finish(ms(5000));
-    assert_eq!(violated_rules(&last), [Rule::Late], "at the latest when the run is over");
+    assert_eq!(violated_rules(&late), [Rule::Late], "reported once the scheduling delay is sampled");
+    let mut late_unsampled = checker();
+    late_unsampled.attempt_sent(attempt_at(1, 0, None));
+    start_run(&mut late_unsampled, 1, 5, "map-extract");
+    answer(&mut late_unsampled, 1, 1150, 1);
+    late_unsampled.finish(ms(5000));
+    assert_eq!(
+        violated_rules(&late_unsampled),
+        [Rule::Late],
+        "reported at the end of the run if there is no further sample"
+    );
 
     let mut twice = checker();
     twice.attempt_sent(attempt_at(1, 0, Some(9)));
@@ -100,7 +104,7 @@
     start_run(&mut twice, 2, 905, "licence-buy");
     assert_eq!(violated_rules(&twice), [Rule::Twice]);
     start_run(&mut twice, 3, 2505, "licence-buy");
-    assert_eq!(twice.violations.len(), 1, "its window is over by then");
+    assert_eq!(twice.violations.len(), 1, "the third attempt was sent after the deduplication window");
 
     let mut mixed = checker();
     mixed.attempt_sent(attempt_at(1, 0, None));
@@ -111,7 +115,7 @@
     assert_eq!(
         violated_rules(&mixed),
         [Rule::Mixed, Rule::Mixed],
-        "run as another class, completed by another's run"
+        "ran with another class; completed with the result of another request"
     );
 
     let mut drain = checker();
@@ -120,14 +124,14 @@
     drain.attempt_sent(attempt_at(2, 700, None));
     start_run(&mut drain, 1, 710, "map-extract");
     start_run(&mut drain, 2, 710, "map-extract");
-    assert_eq!(violated_rules(&drain), [Rule::Drain], "the first came within the grace");
+    assert_eq!(violated_rules(&drain), [Rule::Drain], "only the second was sent after the grace period");
 
-    let mut fall = checker();
-    fall.process_exited(
+    let mut exited = checker();
+    exited.process_exited(
         ms(10),
         ProcessExit { server: n1, incarnation: Incarnation(1), code: Some(101), killed: false },
     );
-    assert_eq!(violated_rules(&fall), [Rule::Fall]);
+    assert_eq!(violated_rules(&exited), [Rule::Fall]);
 }
 
 #[test]
@@ -138,7 +142,7 @@
     checker.add_fault_span(ServerNo(0), ms(300), ms(600));
     checker.connection_lost(ms(400), reply_to(1), ConnectionEnd::ByServer);
     checker.connection_lost(ms(950), reply_to(2), ConnectionEnd::ByServer);
-    assert_eq!(violated_rules(&checker), [Rule::Lost], "the second came after the trouble was over");
+    assert_eq!(violated_rules(&checker), [Rule::Lost], "the second was sent after the fault had ended");
 }
 
 #[test]
@@ -151,7 +155,7 @@
     let result = run_result(attempt(1), CallOutcome::NotNeeded);
     checker.answer_received(ms(1300), ServerNo(0), reply_to(1), Answer::Completed(&result));
     assert_eq!(violated_rules(&checker), []);
-    // Most of what was waited may only be seen after the answer.
+    // Most of the scheduling delay may show only in a sample after the response.
     checker.attempt_sent(attempt_at(2, 1000, None));
     start_run(&mut checker, 2, 1005, "map-extract");
     let result = run_result(attempt(2), CallOutcome::NotNeeded);
@@ -160,9 +164,10 @@
     assert_eq!(violated_rules(&checker), []);
 }
 
-/// A caller sends an attempt again that its closing connection did not read, so a run of it would be a second effect.
+/// A caller retries an attempt whose connection was closed before the attempt was read. If that attempt ran as well,
+/// the request would take effect twice.
 #[test]
-fn an_attempt_that_counts_as_unread_must_not_run_before_or_after_its_connection_ends() {
+fn a_run_of_an_unread_attempt_is_a_violation_before_and_after_its_connection_closes() {
     let mut unread = checker();
     unread.attempt_sent(attempt_at(1, 0, None));
     unread.connection_lost(ms(20), reply_to(1), ConnectionEnd::BeforeRead);
