--- a/crates/aldercrank-test-cluster/src/fault_search.rs
+++ b/crates/aldercrank-test-cluster/src/fault_search.rs
@@ -1,5 +1,5 @@
-//! Searches for the worst faults: plays random timelines against the same seed without faults, and shrinks those that
-//! violate an invariant, or lose the most value, to the fewest steps that still do.
+//! Searches for harmful combinations of faults. Plays random timelines, compares each with a run of the same seed
+//! without faults, and shrinks those that violate an invariant or lose much value to the steps that are needed for it.
 
 use crate::random::RandomStream;
 use crate::run_record::Outcome;
@@ -7,22 +7,24 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// The most steps of a timeline.
+/// The most steps of a random timeline.
 const MAX_STEPS: usize = 4;
-/// How many findings are kept.
+/// The number of findings that are kept.
 const MAX_FINDINGS: usize = 5;
-/// A timeline without a violation is a finding below this share of the value without faults.
+/// A timeline without a violation is a finding if its value is below this share of the value without faults.
 const FINDING_SHARE: f64 = 0.6;
-/// A shrunk timeline may have a value share that is higher by this.
+/// A step is removed from a timeline without violations if this raises its share of the value by no more than this.
 const SHRINK_TOLERANCE: f64 = 0.1;
 
+/// The scenario for servers without a versioned configuration.
 const SERVERS_BASE: &str = "seconds 5\nfleet servers=6 zones=2 cores=4\ncallers rate=150 edges=3\n";
-/// Publishes versions that change more than free items all the time.
+/// The scenario for servers with a versioned configuration. It continuously publishes versions, most of which change
+/// more than free items.
 const VERSIONS_BASE: &str = "seconds 8\nfleet servers=7 zones=2 cores=4\ncallers rate=200 edges=3\n\
     rules committee=3 within-ms=1000\nat 0.7 \"rules\" set=\"licence-buy.window-ms=5000|licence-buy.points=4|\
     licence-buy.window-ms=6000|licence-buy.effect=inquiry-like|licence-buy.effect=referenced\" every=0.45\n";
 
-/// What the faults are injected into.
+/// The kind of servers that faults are injected into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchTarget {
     /// Servers without a versioned configuration.
@@ -32,7 +34,7 @@
 }
 
 impl SearchTarget {
-    fn base(self) -> &'static str {
+    fn base_document(self) -> &'static str {
         match self {
             SearchTarget::Servers => SERVERS_BASE,
             SearchTarget::Versions => VERSIONS_BASE,
@@ -40,21 +42,23 @@
     }
 }
 
-/// A seed, and what the faults are injected into.
+/// The seed and target of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SearchStart {
-    /// The seed.
+    /// The seed, from which `hunt` derives one per timeline.
     pub seed: u64,
-    /// What the faults are injected into.
+    /// The kind of servers that faults are injected into.
     pub target: SearchTarget,
 }
 
 impl SearchStart {
-    /// The document of a scenario with these steps.
+    /// The scenario document with these steps.
     fn document(self, steps: &[String]) -> String {
         let SearchStart { seed, target } = self;
-        let base = target.base();
-        let mut text = format!("// Found by a hunt.\nname \"found with seed {seed}\"\nseed {seed}\n{base}");
+        let base = target.base_document();
+        let mut text = format!(
+            "// Found by `aldercrank-testbench hunt`.\nname \"found with seed {seed}\"\nseed {seed}\n{base}"
+        );
         for step in steps {
             text += step;
             text.push('\n');
@@ -63,20 +67,21 @@
     }
 }
 
-/// A timeline that was played.
+/// The result of a timeline that was played.
 #[derive(Clone, Debug)]
 pub struct Found {
-    /// The scenario as a document.
+    /// The scenario document.
     pub text: String,
-    /// Its value, as a share of that without faults.
+    /// The value obtained, as a share of that without faults.
     pub of_calm: f64,
-    /// How many violations there were.
+    /// The number of violations.
     pub violations: u64,
-    /// The first violations.
+    /// Descriptions of the first violations.
     pub what: Vec<String>,
 }
 
-/// A random step for servers without a versioned configuration, or one in three with it, as a line of a document.
+/// A random step, as a line of a document. For servers with a versioned configuration, 0.7 of them come from
+/// `random_version_step`, later by up to 2 s.
 fn random_step(random: &mut RandomStream, target: SearchTarget) -> String {
     let at = 0.5 + (random.unit() * 30.0).round() / 10.0;
     if target == SearchTarget::Versions && random.chance(0.7) {
@@ -120,7 +125,7 @@
     states[random.below(states.len())]
 }
 
-/// A random step about the versioned configuration, as a line of a document.
+/// A random step, as a line of a document, that affects agreement on the versioned configuration.
 fn random_version_step(random: &mut RandomStream, at: f64) -> String {
     let lasts = 0.2 + (random.unit() * 22.0).round() / 10.0;
     let targets =
@@ -152,26 +157,32 @@
     }
 }
 
+/// Plays a scenario.
 type Player<'a> = dyn FnMut(&Scenario) -> io::Result<Outcome> + 'a;
 
 fn invalid_document(errors: &ScenarioErrors) -> io::Error {
     io::Error::other(errors.to_string())
 }
 
-fn play_steps(start: SearchStart, steps: &[String], calm: &Outcome, play: &mut Player) -> io::Result<Found> {
+fn play_steps(
+    start: SearchStart,
+    steps: &[String],
+    fault_free: &Outcome,
+    play: &mut Player,
+) -> io::Result<Found> {
     let text = start.document(steps);
     let scenario = Scenario::parse(&text).map_err(|errors| invalid_document(&errors))?;
     let outcome = play(&scenario)?;
-    let of_calm = outcome.value / calm.value.max(1e-9);
+    let of_calm = outcome.value / fault_free.value.max(1e-9);
     let violations = outcome.violations.iter();
     let what = violations.map(|violation| format!("{:?}: {}", violation.rule, violation.what)).collect();
     Ok(Found { text, of_calm, violations: outcome.counts.violations, what })
 }
 
-/// Removes each step without which the timeline stays as bad, by `is_as_bad`, and keeps one at least.
+/// Removes, one by one, the steps without which `is_as_bad` still holds for the rest. At least one step remains.
 ///
 /// # Errors
-/// If `is_as_bad` fails.
+/// Returns an error if `is_as_bad` fails.
 pub fn remove_needless_steps(
     mut steps: Vec<String>,
     mut is_as_bad: impl FnMut(&[String]) -> io::Result<bool>,
@@ -189,16 +200,17 @@
     Ok(steps)
 }
 
-/// Removes each step without which the timeline stays nearly as bad.
+/// Removes the steps without which the timeline still violates an invariant, or, if it violates none, still loses about
+/// as much value. Returns the result of the remaining timeline.
 fn shrink(
     start: SearchStart,
     steps: Vec<String>,
     mut found: Found,
-    calm: &Outcome,
+    fault_free: &Outcome,
     play: &mut Player,
 ) -> io::Result<Found> {
     remove_needless_steps(steps, |fewer| {
-        let shrunk = play_steps(start, fewer, calm, play)?;
+        let shrunk = play_steps(start, fewer, fault_free, play)?;
         let is_as_bad = if found.violations > 0 {
             shrunk.violations > 0
         } else {
@@ -212,44 +224,47 @@
     Ok(found)
 }
 
-/// Keeps the worst: those with violations first, then those with the least value.
+/// Sorts findings, those with violations first and then by increasing value, and keeps the first `MAX_FINDINGS`.
 pub fn rank(findings: &mut Vec<Found>) {
     findings
         .sort_by(|a, b| (a.violations == 0).cmp(&(b.violations == 0)).then(a.of_calm.total_cmp(&b.of_calm)));
     findings.truncate(MAX_FINDINGS);
 }
 
-/// Searches for `seconds`, with `report` called for each timeline. Returns the findings, the worst first.
+/// Searches for `seconds`, and calls `report` with a text for each timeline and each finding. Returns the findings, the
+/// worst first.
 ///
 /// # Errors
-/// If a run can't be played.
+/// Returns an error if a scenario can't be played.
 pub fn hunt(
     seconds: u64,
     start: SearchStart,
     play: &mut Player,
     report: &dyn Fn(&str),
 ) -> io::Result<Vec<Found>> {
-    let until = Instant::now() + Duration::from_secs(seconds);
+    let end = Instant::now() + Duration::from_secs(seconds);
     let (mut findings, mut timelines): (Vec<Found>, u32) = (Vec::new(), 0);
-    while Instant::now() < until {
+    while Instant::now() < end {
         timelines += 1;
         let seed = start.seed.wrapping_mul(1000).wrapping_add(u64::from(timelines));
         let start = SearchStart { seed, ..start };
         let mut random = RandomStream::of(seed, "hunt");
         let count = 1 + random.below(MAX_STEPS);
         let steps: Vec<String> = (0..count).map(|_| random_step(&mut random, start.target)).collect();
-        let calm = play(&Scenario::parse(&start.document(&[])).map_err(|errors| invalid_document(&errors))?)?;
-        let found = play_steps(start, &steps, &calm, play)?;
+        let without_steps =
+            Scenario::parse(&start.document(&[])).map_err(|errors| invalid_document(&errors))?;
+        let fault_free = play(&without_steps)?;
+        let found = play_steps(start, &steps, &fault_free, play)?;
         report(&format!(
-            "seed {seed}: {count} steps, value {:.3} of calm, {} rules broken{}",
+            "seed {seed}: {count} steps, value {:.3} of that without faults, {} violations{}",
             found.of_calm,
             found.violations,
             found.what.iter().take(3).map(|what| format!("\n    {what}")).collect::<String>()
         ));
         if found.violations > 0 || found.of_calm < FINDING_SHARE {
-            let shrunk = shrink(start, steps, found, &calm, play)?;
+            let shrunk = shrink(start, steps, found, &fault_free, play)?;
             report(&format!(
-                "shrunk, value {:.3} of calm, {} broken:\n{}",
+                "after shrinking: value {:.3} of that without faults, {} violations:\n{}",
                 shrunk.of_calm, shrunk.violations, shrunk.text
             ));
             findings.push(shrunk);
--- a/crates/aldercrank-test-cluster/src/lib.rs
+++ b/crates/aldercrank-test-cluster/src/lib.rs
@@ -1,9 +1,9 @@
-//! A test cluster: processes of the program on loopback, stub services for all that they connect to, faults between
-//! them and of them, and checkers that see only what crosses the wire. It runs the program from outside; the program
-//! knows nothing of it.
+//! A test cluster: processes of the program on loopback, stubs of all services that they connect to, injected faults of
+//! processes, services and links, and checkers that see only the traffic on the wire. The program runs as
+//! separate processes and is unaware of the test cluster.
 //!
-//! The stub services, [`edge_nodes`], [`relayed_link`] and the checkers have neither sockets nor a clock;
-//! [`cluster`] provides both. [`scenario`] describes a run, [`run_record`] and [`report`] what came of it.
+//! The stub services, [`edge_nodes`], [`relayed_link`] and the checkers use neither sockets nor a clock; [`cluster`]
+//! provides both. [`scenario`] describes a run; [`run_record`] and [`report`] hold and present its results.
 
 pub mod cluster;
 pub mod config;
--- a/crates/aldercrank-test-cluster/src/report.rs
+++ b/crates/aldercrank-test-cluster/src/report.rs
@@ -1,4 +1,4 @@
-//! A run as one self-contained HTML page: figures, and plots over time with the faults as bands.
+//! The report of a run: a self-contained HTML page with figures, and plots over time on which bands mark faults.
 
 use crate::edge_nodes::RequestEnd;
 use crate::run_record::{Outcome, Second};
@@ -6,12 +6,12 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
-/// Of a plot, in pixels.
+/// Width and height of a plot in pixels.
 const PLOT_SIZE: (u32, u32) = (860, 240);
-/// The vertical axis ends above the highest value by this factor.
+/// The upper end of the vertical axis, as a multiple of the highest value.
 const HEADROOM: f64 = 1.08;
 
-/// Colour and width of the lines, which differ in print without colour as well.
+/// Colour and width of the lines in a plot. Their widths distinguish them in black-and-white print.
 const LINE_STYLES: [(RGBColor, u32); 4] = [
     (RGBColor(0, 60, 120), 3),
     (RGBColor(215, 120, 0), 2),
@@ -19,6 +19,7 @@
     (RGBColor(150, 150, 150), 4),
 ];
 
+/// The minijinja template of the page.
 const PAGE: &str = r#"<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ o.scenario }}</title><style>
 body { font: 15px/1.45 sans-serif; margin: 2em auto; max-width: 900px; color: #222 }
@@ -29,30 +30,30 @@
 <h1>{{ o.scenario }}</h1>
 <p>{{ o.servers }} servers, {{ o.span_s }} s, seed {{ o.seed }}.
 {% if o.counts.broken == 0 %}No invariant was violated.{% else %}<b class="bad">{{ o.counts.broken }} violations of invariants.</b>{% endif %}</p>
-<table><tr><th></th><th>this run</th>{% if calm %}<th>without faults</th>{% endif %}</tr>
-{% for row in rows %}<tr><td>{{ row.name }}</td><td>{{ row.value }}</td>{% if calm %}<td>{{ row.calm }}</td>{% endif %}</tr>
+<table><tr><th></th><th>this run</th>{% if fault_free %}<th>without faults</th>{% endif %}</tr>
+{% for row in rows %}<tr><td>{{ row.name }}</td><td>{{ row.value }}</td>{% if fault_free %}<td>{{ row.fault_free }}</td>{% endif %}</tr>
 {% endfor %}</table>
-{% if o.broken %}<h2>Violations</h2><table><tr><th>rule</th><th>at, s</th><th>server</th><th>attempt</th><th>what</th></tr>
+{% if o.broken %}<h2>Violations</h2><table><tr><th>invariant</th><th>time, s</th><th>server</th><th>attempt</th><th>description</th></tr>
 {% for b in o.broken %}<tr><td>{{ b.rule }}</td><td>{{ b.at }}</td><td>{{ b.server or "" }}</td><td>{{ b.attempt or "" }}</td><td>{{ b.what }}</td></tr>
 {% endfor %}</table>{% endif %}
 {% for plot in plots %}<h2>{{ plot.title }}</h2><figure>{{ plot.svg|safe }}<figcaption>{{ plot.caption }}</figcaption></figure>
 {% endfor %}
-<h2>Faults</h2><table><tr><th>fault</th><th>from, s</th><th>until, s</th></tr>
+<h2>Faults</h2><table><tr><th>fault</th><th>start, s</th><th>end, s</th></tr>
 {% for f in o.faults %}<tr><td>{{ f[2] }}</td><td>{{ f[0]|round(2) }}</td><td>{{ f[1]|round(2) }}</td></tr>
 {% endfor %}</table>
 <p>The servers are processes of the program on loopback; callers, edge nodes, worker pools, index and membership service
-are stubs of the test cluster. A request counts in the second of its arrival.</p>
+are stubs of the test cluster. Requests are counted in the second in which they arrived.</p>
 </body></html>
 "#;
 
-/// Why a page could not be made.
+/// An error in the creation of a report.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// A plot could not be drawn.
-    #[error("{0}")]
+    #[error("could not draw a plot: {0}")]
     Plot(String),
     /// The page could not be rendered.
-    #[error("{0}")]
+    #[error("could not render the page: {0}")]
     Page(#[from] minijinja::Error),
 }
 
@@ -71,7 +72,7 @@
         Series { name: name.to_string(), value: Box::new(value) }
     }
 
-    /// Requests that ended in one of these ways.
+    /// The number of requests that ended in any of these ways.
     fn ended(name: &str, ends: &'static [RequestEnd]) -> Series<'a> {
         Series::new(name, move |second| {
             ends.iter().map(|end| second.ends.get(end).copied().unwrap_or(0) as f64).sum()
@@ -79,7 +80,7 @@
     }
 }
 
-/// What is drawn in a plot.
+/// The contents of a plot.
 struct PlotSpec<'a> {
     title: &'static str,
     caption: &'static str,
@@ -87,7 +88,7 @@
     series: Vec<Series<'a>>,
 }
 
-/// A plot on the page.
+/// A rendered plot.
 #[derive(Serialize)]
 struct Plot {
     title: &'static str,
@@ -100,17 +101,17 @@
 struct Row {
     name: String,
     value: String,
-    /// Of the run without faults; empty if there is none.
-    calm: String,
+    /// The value in the run without faults; empty if there was no such run.
+    fault_free: String,
 }
 
-/// Draws the series over the seconds, with the faults as bands behind the lines.
+/// Draws the series over time as an SVG image, with bands behind the lines where a fault was in effect.
 fn render_plot(outcome: &Outcome, spec: &PlotSpec) -> Result<String, ReportError> {
     let mut svg = String::new();
-    // After the callers have ended, the cluster shuts down.
+    // The seconds after the callers have stopped, in which the cluster shuts down, are not shown.
     let shown = &outcome.seconds[..outcome.seconds.len().min(outcome.span_s.ceil() as usize)];
     let seconds = shown.len().max(1) as f64;
-    let values = shown.iter().flat_map(|second| spec.series.iter().map(move |line| (line.value)(second)));
+    let values = shown.iter().flat_map(|second| spec.series.iter().map(move |series| (series.value)(second)));
     let highest = values.fold(1e-9, f64::max);
     let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(plot_error)?;
@@ -129,7 +130,7 @@
     chart.draw_series(bands).map_err(plot_error)?;
     chart
         .configure_mesh()
-        .x_desc("seconds since the callers began")
+        .x_desc("seconds since the callers started")
         .y_desc(spec.unit)
         .y_labels(6)
         .x_label_formatter(&|x: &f64| format!("{x:.0}"))
@@ -137,10 +138,11 @@
         .light_line_style(WHITE.mix(0.0))
         .draw()
         .map_err(plot_error)?;
-    for (n, series) in spec.series.iter().enumerate() {
-        let (color, width) = LINE_STYLES[n % LINE_STYLES.len()];
+    for (index, series) in spec.series.iter().enumerate() {
+        let (color, width) = LINE_STYLES[index % LINE_STYLES.len()];
         let style = color.stroke_width(width);
-        let points = shown.iter().enumerate().map(|(at, second)| (at as f64 + 0.5, (series.value)(second)));
+        let points =
+            shown.iter().enumerate().map(|(index, second)| (index as f64 + 0.5, (series.value)(second)));
         let line = chart.draw_series(LineSeries::new(points, style)).map_err(plot_error)?;
         line.label(&series.name).legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], style));
     }
@@ -159,17 +161,14 @@
 
 fn value_by_class(outcome: &Outcome) -> Vec<Series<'_>> {
     let classes = outcome.classes.iter().enumerate();
-    let series = classes.map(|(n, (name, _))| {
-        Series::new(
-            name,
-            move |second| {
-                if second.sought[n] > 0.0 {
-                    second.got[n] / second.sought[n]
-                } else {
-                    0.0
-                }
-            },
-        )
+    let series = classes.map(|(class, (name, _))| {
+        Series::new(name, move |second| {
+            if second.sought[class] > 0.0 {
+                second.got[class] / second.sought[class]
+            } else {
+                0.0
+            }
+        })
     });
     series.collect()
 }
@@ -178,14 +177,14 @@
     vec![
         PlotSpec {
             title: "Value by request class",
-            caption: "Value got of value sought, 1 is all. Bands: a fault lasts.",
+            caption: "Value obtained, as a share of the value of all requests. Bands mark faults in effect.",
             unit: "share",
             series: value_by_class(outcome),
         },
         PlotSpec {
-            title: "How requests ended",
-            caption: "By the second of their arrival.",
-            unit: "requests a second",
+            title: "Outcome of requests",
+            caption: "By the second in which they arrived.",
+            unit: "requests per second",
             series: vec![
                 Series::ended("completed in time", &[RequestEnd::InTime]),
                 Series::ended("completed late", &[RequestEnd::Late]),
@@ -195,8 +194,8 @@
         },
         PlotSpec {
             title: "Load on the membership service",
-            caption: "Complete load reports.",
-            unit: "reports a second",
+            caption: "Load reports that were received in full.",
+            unit: "reports per second",
             series: vec![
                 Series::new("reports", |second| second.reports as f64),
                 Series::new("of them rejected", |second| second.rejected_reports as f64),
@@ -204,13 +203,13 @@
         },
         PlotSpec {
             title: "Calls to the index",
-            caption: "Of all servers together.",
-            unit: "calls a second",
+            caption: "Total of all servers.",
+            unit: "calls per second",
             series: vec![Series::new("calls", |second| second.calls as f64)],
         },
         PlotSpec {
             title: "Outstanding calls at the index",
-            caption: "On average, of all servers together.",
+            caption: "Mean over each second, total of all servers.",
             unit: "calls",
             series: vec![Series::new("outstanding calls", |second| second.outstanding_calls)],
         },
@@ -226,33 +225,35 @@
     ]
 }
 
-fn rows(outcome: &Outcome, calm: Option<&Outcome>) -> Vec<Row> {
+fn rows(outcome: &Outcome, fault_free: Option<&Outcome>) -> Vec<Row> {
     let row = |name: &str, figure: &dyn Fn(&Outcome) -> String| Row {
         name: name.to_string(),
         value: figure(outcome),
-        calm: calm.map(figure).unwrap_or_default(),
+        fault_free: fault_free.map(figure).unwrap_or_default(),
     };
-    let mut rows = vec![row("value got of value sought", &|o| format!("{:.3}", o.value))];
-    for (n, (name, _)) in outcome.classes.iter().enumerate() {
-        rows.push(row(name, &|o| format!("{:.3}", o.classes[n].1)));
+    let mut rows = vec![row("value obtained, share of all requests", &|o| format!("{:.3}", o.value))];
+    for (class, (name, _)) in outcome.classes.iter().enumerate() {
+        rows.push(row(name, &|o| format!("{:.3}", o.classes[class].1)));
     }
     rows.extend([
-        row("completed, median, ms", &|o| format!("{:.1}", o.p50_ms)),
-        row("completed, 99th percentile, ms", &|o| format!("{:.1}", o.p99_ms)),
+        row("response time of completed requests, median, ms", &|o| format!("{:.1}", o.p50_ms)),
+        row("response time of completed requests, 99th percentile, ms", &|o| format!("{:.1}", o.p99_ms)),
         row("attempts", &|o| o.counts.attempts.to_string()),
         row("runs", &|o| o.counts.runs.to_string()),
-        row("runs of one request in several incarnations", &|o| o.counts.across.to_string()),
-        row("most outstanding calls at the index", &|o| o.index_most.to_string()),
-        row("most memory of a server, KB", &|o| o.memory_kb.to_string()),
+        row("runs of requests that had run on another server or incarnation", &|o| {
+            o.counts.across.to_string()
+        }),
+        row("outstanding calls at the index, peak", &|o| o.index_most.to_string()),
+        row("memory of a server, peak, KB", &|o| o.memory_kb.to_string()),
     ]);
     rows
 }
 
-/// The page of a run, beside the same run without faults if `calm` is given.
+/// Renders the report of a run, compared with the run of the same seed without faults if there is one.
 ///
 /// # Errors
-/// If a plot can't be drawn or the page can't be rendered.
-pub fn html(outcome: &Outcome, calm: Option<&Outcome>) -> Result<String, ReportError> {
+/// Returns an error if a plot can't be drawn or the page can't be rendered.
+pub fn html(outcome: &Outcome, fault_free: Option<&Outcome>) -> Result<String, ReportError> {
     let mut page = Environment::new();
     page.set_auto_escape_callback(|_| minijinja::AutoEscape::Html);
     page.add_template("run", PAGE)?;
@@ -261,5 +262,5 @@
         .into_iter()
         .map(|spec| Ok(Plot { title: spec.title, caption: spec.caption, svg: render_plot(outcome, &spec)? }))
         .collect::<Result<Vec<Plot>, ReportError>>()?;
-    Ok(template.render(context! { o => outcome, calm, rows => rows(outcome, calm), plots })?)
+    Ok(template.render(context! { o => outcome, fault_free, rows => rows(outcome, fault_free), plots })?)
 }
