--- a/crates/aldercrank-server/src/core/runs.rs
+++ b/crates/aldercrank-server/src/core/runs.rs
@@ -42,7 +42,7 @@
             state.ports.cancel_call(id);
         }
         if let Some(dedup_key) = dedup_key {
-            if outcome.never_ran() {
+            if outcome.provably_not_run() {
                 state.dedup.run_never_started(&dedup_key, id);
             } else {
                 state.dedup.run_ended(&dedup_key, id, completed);
--- a/crates/aldercrank-server/src/core/slow_start.rs
+++ b/crates/aldercrank-server/src/core/slow_start.rs
@@ -24,7 +24,7 @@
         let shortest = latency_targets.iter().min().copied().unwrap_or_default();
         let config = SlowStartConfig {
             min_share: settings.number("rules.cold_from").unwrap_or(0.0),
-            warm_after: settings.span("rules.warm_after").unwrap_or_default(),
+            warm_after: settings.duration("rules.warm_after").unwrap_or_default(),
             evaluation_interval: shortest.mul_f64(EVALUATION_INTERVAL_SHARE),
         };
         SlowStartTracker { slow_start: SlowStart::new(config), latency_targets }
--- a/crates/aldercrank-server/src/core/state.rs
+++ b/crates/aldercrank-server/src/core/state.rs
@@ -119,11 +119,11 @@
     /// Loads what the core itself needs from the settings.
     pub(super) fn load_settings(&mut self, settings: &Settings) {
         let classes = parameters::request_classes(settings);
-        let longest = classes.iter().map(|class| class.window).max().unwrap_or_default();
+        let longest = classes.iter().map(|class| class.dedup_window).max().unwrap_or_default();
         // Existing entries may have been added under a longer window.
         self.longest_window = self.longest_window.max(longest);
         let deadline_key = |i: usize| format!("profiles.{i}.give_up");
-        let longest_deadline = (0..classes.len()).filter_map(|i| settings.span(&deadline_key(i))).max();
+        let longest_deadline = (0..classes.len()).filter_map(|i| settings.duration(&deadline_key(i))).max();
         self.longest_deadline = longest_deadline.unwrap_or(Duration::MAX);
         let infos = classes.into_iter().map(|class| ClassInfo { name: class.name, effect: class.effect });
         self.classes = infos.collect();
--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -52,7 +52,7 @@
             let platform = &agreement.context.platform;
             let own_limit = platform.number("family_info.calls_out").unwrap_or_default();
             // A call lasts no longer than its request.
-            let deadlines = (0..).map_while(|i| platform.span(&format!("profiles.{i}.give_up")));
+            let deadlines = (0..).map_while(|i| platform.duration(&format!("profiles.{i}.give_up")));
             let longest_call = deadlines.max().unwrap_or_default();
             let timing = &agreement.timing;
             let quotas =
--- a/crates/aldercrank-server/src/net/shutdown.rs
+++ b/crates/aldercrank-server/src/net/shutdown.rs
@@ -17,7 +17,7 @@
         let now = self.now();
         let closing_time = self.stop_timeout.mul_f64(CLOSING_SHARE);
         let drained_by = now + self.stop_timeout - closing_time;
-        let grace_period = self.config.settings.span("rules.stop_sending_within").unwrap_or_default();
+        let grace_period = self.config.settings.duration("rules.stop_sending_within").unwrap_or_default();
         if !self.phase.start_draining() {
             return;
         }
--- a/crates/aldercrank-server/src/net/socket_settings.rs
+++ b/crates/aldercrank-server/src/net/socket_settings.rs
@@ -29,7 +29,7 @@
 impl SocketSettings {
     /// Extracts them from the platform's settings.
     pub(super) fn new(settings: &Settings) -> SocketSettings {
-        let answer_slack = settings.span("rules.answer_slack").unwrap_or(MAX_SLEEP);
+        let answer_slack = settings.duration("rules.answer_slack").unwrap_or(MAX_SLEEP);
         let classes = aldercrank::parameters::request_classes(settings);
         let longest_deadline = classes.iter().map(|class| class.deadline).max().unwrap_or(MAX_SLEEP);
         let uses_class_deadlines = settings.flag("family_info.passes_deadline") == Some(false);
--- a/crates/aldercrank-versioned-config/src/platform_settings.rs
+++ b/crates/aldercrank-versioned-config/src/platform_settings.rs
@@ -48,7 +48,7 @@
                 continue;
             };
             let merged = self.settings(platform, server);
-            let span = |field: &str| merged.span(&format!("profiles.{index}.{field}"));
+            let span = |field: &str| merged.duration(&format!("profiles.{index}.{field}"));
             let (latency_target, timeout) = (span("goal_time"), span("give_up"));
             if latency_target.zip(timeout).is_some_and(|(latency_target, timeout)| timeout < latency_target) {
                 let class = class_name();
--- a/crates/aldercrank-versioned-config/tests/versions.rs
+++ b/crates/aldercrank-versioned-config/tests/versions.rs
@@ -165,7 +165,7 @@
     let (config, platform) = (parse(VERSION_8), platform_settings());
     assert!(config.incompatibilities(&platform, "n1").is_empty());
     let merged = config.settings(&platform, "n1");
-    assert_eq!(merged.span("profiles.1.window"), Some(Duration::from_secs(9)));
+    assert_eq!(merged.duration("profiles.1.window"), Some(Duration::from_secs(9)));
     assert_eq!(merged.text("profiles.1.effect"), Some("dedup"));
     assert_eq!(merged.number("profiles.1.points"), Some(5.0));
     assert_eq!(
--- a/src/admission/calls.rs
+++ b/src/admission/calls.rs
@@ -91,7 +91,7 @@
         let request = &self.requests[&id];
         let attempts = request.call_attempts;
         let has_time = outcome != Outcome::TimedOut || now + took <= request.due_at;
-        let may_retry = outcome.never_ran() || (request.effect == Effect::Idempotent && has_time);
+        let may_retry = outcome.provably_not_run() || (request.effect == Effect::Idempotent && has_time);
         let can_skip = self.classes[request.class].share_without_call > 0.0;
         if can_skip && (!may_retry || attempts > 1) {
             self.resume_run(now, id);
--- a/src/admission/requests.rs
+++ b/src/admission/requests.rs
@@ -116,7 +116,7 @@
     /// request, so an entry for it is kept for the length of the deduplication window.
     fn replace_queued(&mut self, now: Duration, original: RequestId, repeat: &Arrival) {
         self.reject(now, original);
-        let ends_at = now + repeat.class.window;
+        let ends_at = now + repeat.class.dedup_window;
         self.dedup.insert_replaced(original, repeat.class_index, repeat.id, ends_at);
         self.timers.insert(Timer::dedup_entry(original, ends_at), ());
     }
@@ -164,7 +164,7 @@
     /// Creates the deduplication entry of an admitted request. Its window is counted from the arrival of the request.
     fn remember(&mut self, now: Duration, arrival: &Arrival) {
         let window = match arrival.class.effect {
-            Effect::Keyed => arrival.class.window,
+            Effect::Keyed => arrival.class.dedup_window,
             Effect::Idempotent => self.parameters.idempotent_window,
             Effect::Unsafe => return,
         };
--- a/src/admission/timers.rs
+++ b/src/admission/timers.rs
@@ -78,7 +78,7 @@
     }
 
     fn dedup_entry_ended(&mut self, now: Duration, timer: Timer) {
-        let longest_window = self.classes.iter().map(|class| class.window).max().unwrap_or_default();
+        let longest_window = self.classes.iter().map(|class| class.dedup_window).max().unwrap_or_default();
         if let Some(ends_at) = self.dedup.expire(timer.request_id, now, longest_window) {
             self.timers.insert(Timer::dedup_entry(timer.request_id, ends_at), ());
         }
--- a/src/dedup.rs
+++ b/src/dedup.rs
@@ -64,7 +64,7 @@
         new: &[RequestClass],
     ) -> Vec<ExtendedEntry> {
         let growth = |(old, new): (&RequestClass, &RequestClass)| match old.effect {
-            Effect::Keyed => new.window.saturating_sub(old.window),
+            Effect::Keyed => new.dedup_window.saturating_sub(old.dedup_window),
             Effect::Idempotent | Effect::Unsafe => Duration::ZERO,
         };
         let growth: Vec<Duration> = old.iter().zip(new).map(growth).collect();
--- a/src/parameters.rs
+++ b/src/parameters.rs
@@ -82,7 +82,7 @@
     /// Parses the parameters. A setting that is missing or invalid takes its default.
     pub fn from_settings(settings: &Settings) -> Parameters {
         let info = |name: &str| settings.number(&format!("family_info.{name}"));
-        let answer_slack = settings.span("rules.answer_slack").unwrap_or(Duration::from_millis(20));
+        let answer_slack = settings.duration("rules.answer_slack").unwrap_or(Duration::from_millis(20));
         let cold = settings.flag("family_info.cold") == Some(true);
         let heeds_retry_after = settings.flag("limits.retry_after") == Some(true);
         let metrics = (0..).map_while(|i| settings.text(&format!("family_info.meters.{i}")));
@@ -90,28 +90,28 @@
         Parameters {
             cores: info("cores").unwrap_or(1.0).max(1.0),
             tick: (answer_slack / 2)
-                .max(settings.span("tick").unwrap_or_default())
+                .max(settings.duration("tick").unwrap_or_default())
                 .max(Duration::from_millis(5)),
             memory_kb: info("memory_kb").unwrap_or(f64::MAX),
             run_memory_factor: info("run_factor").unwrap_or(8.0).max(1.0),
             dedup_entry_kb: info("key_kb").unwrap_or(0.0),
             call_quota: info("calls_out").filter(|quota| *quota > 0.0).unwrap_or(f64::MAX),
-            call_quota_period: settings.span("family_info.calls_over").unwrap_or(Duration::from_secs(5)),
-            abandoned_call_time: settings.span("family_info.linger").unwrap_or_default(),
-            idempotent_window: settings.span("family_info.fresh_for").unwrap_or_default(),
-            idle_timeout: settings.span("family_info.idle"),
+            call_quota_period: settings.duration("family_info.calls_over").unwrap_or(Duration::from_secs(5)),
+            abandoned_call_time: settings.duration("family_info.linger").unwrap_or_default(),
+            idempotent_window: settings.duration("family_info.fresh_for").unwrap_or_default(),
+            idle_timeout: settings.duration("family_info.idle"),
             caller_count: info("upstreams").unwrap_or(1.0).max(1.0),
             can_stop_runs: settings.text("family_info.halt").unwrap_or("none") != "none",
             load_hint_form: load_hint_form(settings),
             runnable_metric: metrics.into_iter().position(|name| name == "runnable"),
             collapse_multiple: settings.number("rules.fall_multiple").unwrap_or(2.0).max(1.0),
             cold_speed: settings.number("rules.cold_from").unwrap_or(0.0).clamp(0.05, 1.0),
-            warm_after: settings.span("rules.warm_after").filter(|after| cold && !after.is_zero()),
-            senders_stop_within: settings.span("rules.stop_sending_within").unwrap_or_default(),
+            warm_after: settings.duration("rules.warm_after").filter(|after| cold && !after.is_zero()),
+            senders_stop_within: settings.duration("rules.stop_sending_within").unwrap_or_default(),
             window_per_core: settings.number("window.per_core"),
             cold_window_per_core: settings.number("window.cold_per_core"),
             max_retry_after: settings
-                .span("limits.max_retry_after")
+                .duration("limits.max_retry_after")
                 .filter(|_| heeds_retry_after)
                 .unwrap_or_default(),
             tenants: tenant_quotas(settings),
@@ -150,18 +150,18 @@
 
 fn request_class(settings: &Settings, index: usize, name: &str, in_service: bool) -> RequestClass {
     let key = |field: &str| format!("profiles.{index}.{field}");
-    let deadline = settings.span(&key("give_up")).unwrap_or(Duration::from_secs(5));
+    let deadline = settings.duration(&key("give_up")).unwrap_or(Duration::from_secs(5));
     RequestClass {
         name: name.into(),
         effect: Effect::named(settings.text(&key("effect")).unwrap_or_default()),
         latency_target: settings
-            .span(&key("goal_time"))
+            .duration(&key("goal_time"))
             .filter(|target| !target.is_zero())
             .unwrap_or(deadline / 2),
         deadline,
         priority_weight: settings.number(&key("points")).unwrap_or(1.0),
         late_share: settings.number(&key("late_worth")).unwrap_or(0.0),
-        window: settings.span(&key("window")).unwrap_or(deadline * 4),
+        dedup_window: settings.duration(&key("window")).unwrap_or(deadline * 4),
         share_without_call: settings.number(&format!("family_info.worth_without.{index}")).unwrap_or(0.0),
         makes_calls: settings.flag(&format!("family_info.class_calls.{index}")) != Some(false),
         offered: settings.flag(&key("offered")) != Some(false) && in_service,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -105,7 +105,7 @@
 
     /// The duration setting of this name, stored in microseconds. Capped at 10^15 µs so that adding it to a time can't
     /// overflow.
-    pub fn span(&self, name: &str) -> Option<Duration> {
+    pub fn duration(&self, name: &str) -> Option<Duration> {
         self.number(name).map(|micros| Duration::from_micros(micros.min(1e15) as u64))
     }
 
--- a/src/types.rs
+++ b/src/types.rs
@@ -59,7 +59,7 @@
     /// Share of the weight that an answer after the latency target earns.
     pub late_share: f64,
     /// Deduplication window: how long after the first attempt a repeat may arrive.
-    pub window: Duration,
+    pub dedup_window: Duration,
     /// Share of the weight that an answer earns if its upstream call was skipped; 0 if the call is required.
     pub share_without_call: f64,
     /// Whether its requests make upstream calls.
@@ -114,7 +114,7 @@
 
 impl Outcome {
     /// Whether this outcome proves that nothing ran, so that a retry can't duplicate an effect.
-    pub fn never_ran(self) -> bool {
+    pub fn provably_not_run(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverStarted)
     }
 }
--- a/tests/suite/generated_inputs.rs
+++ b/tests/suite/generated_inputs.rs
@@ -71,7 +71,7 @@
             if let Some(id) = pick(scenario, &[Stage::Calling]).filter(|id| unanswered(scenario, id)) {
                 scenario
                     .set_stage(id, if outcome == Completed { Stage::Running } else { Stage::AwaitingCall });
-                let call_may_have_run = outcome != Completed && !outcome.never_ran();
+                let call_may_have_run = outcome != Completed && !outcome.provably_not_run();
                 scenario.model.0.borrow_mut().requests.get_mut(&id).unwrap().call_may_have_run =
                     call_may_have_run;
                 scenario.admission.call_ended(now, id, outcome, MS * u32::from(amount % 900));
