--- a/crates/aldercrank-consensus/src/follower.rs
+++ b/crates/aldercrank-consensus/src/follower.rs
@@ -32,7 +32,7 @@
     fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest);
     /// Parses a text and compares it with its version id, with the version before it, and with what this server
     /// supports. Returns `None` if the text does not match its version id or can't be parsed.
-    fn read(
+    fn summarize(
         &mut self,
         version_id: &VersionId,
         text: &str,
@@ -151,7 +151,7 @@
         version: ConfigVersion,
         environment: &mut impl FollowerEnvironment,
     ) {
-        let Some(summary) = environment.read(&version.version_id, &version.text, None) else { return };
+        let Some(summary) = environment.summarize(&version.version_id, &version.text, None) else { return };
         if version.version_id == committed.version_id {
             self.isolated_since = Some(now);
             let state = ReportedState { committed, committed_for: Duration::ZERO, lease_until: None };
@@ -236,7 +236,7 @@
 
     /// Handles a member's notification: of a proposed version to evaluate or, with `None`, that leases can be granted
     /// on the committed state.
-    pub fn notify(
+    pub fn notification_received(
         &mut self,
         now: Duration,
         proposed: Option<VersionId>,
@@ -296,9 +296,9 @@
     fn renew(&mut self, now: Duration, environment: &mut impl FollowerEnvironment) {
         self.renewal_due = now + self.renewal_delay();
         self.notified = false;
-        let last = self.committed().map_or(0, |committed| committed.last);
+        let last_decided = self.committed().map_or(0, |committed| committed.last_decided);
         let request =
-            PeerRequest::Renew { from: self.name.clone(), last, evaluation: self.evaluation.clone() };
+            PeerRequest::Renew { from: self.name.clone(), last_decided, evaluation: self.evaluation.clone() };
         self.send(now, Purpose::Renew, request, environment);
     }
 
@@ -380,7 +380,7 @@
         environment: &mut impl FollowerEnvironment,
     ) {
         let version_id = state.committed.version_id;
-        match environment.read(&version_id, text, self.version()) {
+        match environment.summarize(&version_id, text, self.version()) {
             Some(summary) => {
                 let version = ConfigVersion { version_id, text: Arc::from(text) };
                 self.apply(state, version, summary, environment);
@@ -393,7 +393,7 @@
     fn evaluate(&mut self, version: ConfigVersion, environment: &mut impl FollowerEnvironment) {
         self.ready_proposal = None;
         let version_id = version.version_id;
-        let result = match environment.read(&version_id, &version.text, self.version()) {
+        let result = match environment.summarize(&version_id, &version.text, self.version()) {
             Some(VersionSummary { incompatibility: Some(reason), .. }) => Err(reason),
             Some(summary) => {
                 self.ready_proposal = Some(ReadyProposal { version, summary });
@@ -413,11 +413,13 @@
     ) {
         let (own, committed) = (self.committed(), state.committed);
         // The committed state never goes back: no lease is taken from a member that knows only an earlier state.
-        if own.is_some_and(|own| own.last > committed.last) {
+        if own.is_some_and(|own| own.last_decided > committed.last_decided) {
             return self.try_next_member(now, environment);
         }
         // Two versions with the same number: one of the two servers is wrong, and this one keeps its version.
-        if own.is_some_and(|own| own.last == committed.last && own.version_id != committed.version_id) {
+        if own.is_some_and(|own| {
+            own.last_decided == committed.last_decided && own.version_id != committed.version_id
+        }) {
             return self.try_next_member(now, environment);
         }
         let is_committed = |ready: &mut ReadyProposal| ready.version.version_id == committed.version_id;
--- a/crates/aldercrank-consensus/src/member/environment.rs
+++ b/crates/aldercrank-consensus/src/member/environment.rs
@@ -10,13 +10,13 @@
     fn send_request(&mut self, to: &ServerName, correlation_id: CorrelationId, request: PeerRequest);
     /// Notifies the followers of this member of a proposed version to evaluate or, with `None`, that a majority has
     /// confirmed the committed state, so that leases can be granted on it.
-    fn notify(&mut self, proposed: Option<VersionId>);
+    fn notify_followers(&mut self, proposed: Option<VersionId>);
     /// Stores the acceptor state durably if this server has a state directory. Called before any message that depends
     /// on it leaves the member.
-    fn keep(&mut self, acceptor_state: &AcceptorState);
+    fn persist_acceptor_state(&mut self, acceptor_state: &AcceptorState);
     /// Parses a text and compares it with its version id and with the version before it. Returns `None` if the text
     /// does not match its version id or can't be parsed.
-    fn read(
+    fn summarize(
         &mut self,
         version_id: &VersionId,
         text: &str,
--- a/crates/aldercrank-consensus/src/member/events.rs
+++ b/crates/aldercrank-consensus/src/member/events.rs
@@ -20,9 +20,9 @@
         environment: &mut impl MemberEnvironment,
     ) -> PeerResponse {
         match request {
-            PeerRequest::Renew { from, last, evaluation } => {
+            PeerRequest::Renew { from, last_decided, evaluation } => {
                 let lease_granted = self.is_confirmed(now);
-                let renewal = Renewal { received_at: now, lease_granted, last_decided: last, evaluation };
+                let renewal = Renewal { received_at: now, lease_granted, last_decided, evaluation };
                 self.handle_renewal(now, from, renewal, environment)
             }
             PeerRequest::Fetch { version_id } => self.text_of(&version_id),
@@ -40,7 +40,7 @@
                 self.handle_accept(now, after, ballot, decision, environment)
             }
             PeerRequest::Learn { after, decision } => {
-                if after == self.committed.last {
+                if after == self.committed.last_decided {
                     self.learn(now, decision, environment);
                 }
                 PeerResponse::Acknowledged
@@ -64,7 +64,7 @@
             (Purpose::Check, PeerResponse::Checked { committed, active, accepted, tally }) => {
                 let nothing_newer = active && accepted.is_none();
                 self.state_checked(now, &from, committed, nothing_newer, environment);
-                let report = PeerReport { active, last_decided: committed.last, accepted };
+                let report = PeerReport { active, last_decided: committed.last_decided, accepted };
                 self.recovery.record_report(now, &from, report);
                 self.peer_state_received(now, &from, committed, tally, environment);
             }
@@ -82,7 +82,7 @@
             (
                 Purpose::Prepare { .. } | Purpose::Accept { .. },
                 PeerResponse::DifferentState { committed },
-            ) if committed.last > self.committed.last => {
+            ) if committed.last_decided > self.committed.last_decided => {
                 self.fetch(now, &from, committed.version_id, Purpose::FetchCommitted(committed), environment);
             }
             (Purpose::Accept { .. }, PeerResponse::TextMissing { .. }) => self.check(now, environment),
@@ -134,7 +134,7 @@
         environment: &mut impl MemberEnvironment,
     ) -> Result<(), ProposalError> {
         let version_id = version.version_id;
-        let (number, last) = (version_id.number, self.committed.last);
+        let (number, last) = (version_id.number, self.committed.last_decided);
         if version_id == self.committed.version_id || self.proposals.find(&version_id).is_some() {
             return Ok(());
         }
@@ -146,12 +146,12 @@
             return Err(ProposalError::DecisionInProgress { number });
         }
         let summary = environment
-            .read(&version_id, &version.text, Some(&self.version))
+            .summarize(&version_id, &version.text, Some(&self.version))
             .ok_or(ProposalError::UnreadableText)?;
         self.proposals.insert(Proposal { version, summary, received_at: now }, accepted_number);
         let is_decided_next = self.proposals.first_id().is_some_and(|first| first.number == number);
         if is_decided_next && self.proposals.find(&version_id).is_some() {
-            environment.notify(Some(version_id));
+            environment.notify_followers(Some(version_id));
             // The other members fetch it, so that their followers evaluate it at the same time.
             self.check(now, environment);
             self.review_proposal(now, environment);
--- a/crates/aldercrank-consensus/src/member/followers.rs
+++ b/crates/aldercrank-consensus/src/member/followers.rs
@@ -35,7 +35,7 @@
     /// The follower.
     pub name: ServerName,
     /// The number decided last that the follower knows of.
-    pub last: u64,
+    pub last_decided: u64,
     /// Time since its last renewal.
     pub since_last_seen: Duration,
     /// Upper bound on what is left of its lease.
@@ -99,7 +99,7 @@
         let lease = timing.lease_duration();
         let status = |(name, renewal): (&ServerName, &Renewal)| FollowerStatus {
             name: name.clone(),
-            last: renewal.last_decided,
+            last_decided: renewal.last_decided,
             since_last_seen: now.saturating_sub(renewal.received_at),
             lease_left: (renewal.received_at + lease).saturating_sub(now),
             evaluation: renewal.evaluation.clone(),
--- a/crates/aldercrank-consensus/src/member/learning.rs
+++ b/crates/aldercrank-consensus/src/member/learning.rs
@@ -76,7 +76,7 @@
         }
         let (confirmed_before, quorum) = (self.is_confirmed(now), self.quorum());
         if self.confirmation.record(from, quorum) && !confirmed_before && self.is_confirmed(now) {
-            environment.notify(None);
+            environment.notify_followers(None);
         }
     }
 
@@ -92,14 +92,16 @@
         if !self.summary.committee.contains(from) {
             return;
         }
-        if committed.last > self.committed.last {
+        if committed.last_decided > self.committed.last_decided {
             self.fetch(now, from, committed.version_id, Purpose::FetchCommitted(committed), environment);
         }
-        if committed.last == self.committed.last && committed.version_id != self.committed.version_id {
+        if committed.last_decided == self.committed.last_decided
+            && committed.version_id != self.committed.version_id
+        {
             self.conflicting_members.insert(from.clone(), committed.version_id);
         }
         let is_new = |version_id: &VersionId| {
-            version_id.number > self.committed.last && self.proposals.find(version_id).is_none()
+            version_id.number > self.committed.last_decided && self.proposals.find(version_id).is_none()
         };
         if let Some(version_id) = tally.proposed.filter(is_new) {
             self.fetch(now, from, version_id, Purpose::FetchProposed, environment);
@@ -149,7 +151,7 @@
         let committed = decision.after(&self.committed);
         if committed.version_id == self.committed.version_id {
             if let Verdict::Refused(reason) = decision.verdict {
-                self.refusals.push(Refusal { number: committed.last, reason });
+                self.refusals.push(Refusal { number: committed.last_decided, reason });
                 let excess = self.refusals.len().saturating_sub(MAX_REFUSALS);
                 self.refusals.drain(..excess);
             }
@@ -169,8 +171,9 @@
         text: &str,
         environment: &mut impl MemberEnvironment,
     ) {
-        let newer = committed.last > self.committed.last && version_id == committed.version_id;
-        let summary = environment.read(&version_id, text, Some(&self.version));
+        let newer =
+            committed.last_decided > self.committed.last_decided && version_id == committed.version_id;
+        let summary = environment.summarize(&version_id, text, Some(&self.version));
         if let Some(summary) = summary.filter(|_| newer) {
             let version = ConfigVersion { version_id, text: Arc::from(text) };
             self.commit(now, committed, version, summary, environment);
@@ -194,8 +197,8 @@
         self.proposer.abandon_round();
         self.confirmation.reset();
         let before = &self.version;
-        self.proposals.rebase(now, committed.last, |proposed| {
-            environment.read(&proposed.version_id, &proposed.text, Some(before))
+        self.proposals.rebase(now, committed.last_decided, |proposed| {
+            environment.summarize(&proposed.version_id, &proposed.text, Some(before))
         });
         self.conflicting_members.clear();
         self.peer_tallies.clear();
--- a/crates/aldercrank-consensus/src/member/recovery.rs
+++ b/crates/aldercrank-consensus/src/member/recovery.rs
@@ -59,13 +59,13 @@
         let active = reports.values().filter(|report| report.active).count();
         let complete =
             quorum.reached_by(active) || other_members.iter().all(|name| reports.contains_key(name));
-        let up_to_date = reports.values().all(|report| report.last_decided <= committed.last);
+        let up_to_date = reports.values().all(|report| report.last_decided <= committed.last_decided);
         if now < *quarantine_until || !complete || !up_to_date {
             return None;
         }
         let accepted = reports
             .values()
-            .filter(|report| report.last_decided == committed.last)
+            .filter(|report| report.last_decided == committed.last_decided)
             .filter_map(|report| report.accepted.clone())
             .max_by(|a, b| a.ballot.cmp(&b.ballot));
         *self = Recovery::Active;
--- a/crates/aldercrank-consensus/src/member/state.rs
+++ b/crates/aldercrank-consensus/src/member/state.rs
@@ -75,12 +75,14 @@
                 (Recovery::Active, state.committed, version)
             }
             None => {
-                let committed =
-                    CommittedState { last: version.version_id.number, version_id: version.version_id };
+                let committed = CommittedState {
+                    last_decided: version.version_id.number,
+                    version_id: version.version_id,
+                };
                 (Recovery::begin(now + timing.recovery_quarantine()), committed, version)
             }
         };
-        let summary = environment.read(&version.version_id, &version.text, None)?;
+        let summary = environment.summarize(&version.version_id, &version.text, None)?;
         let mut member = CommitteeMember {
             proposer: Proposer::new(name.clone(), incarnation, timing.phase_timeout()),
             name,
@@ -175,7 +177,7 @@
     }
 
     /// The followers that renew at this member, in the order of their names.
-    pub fn servers(&self, now: Duration) -> Vec<FollowerStatus> {
+    pub fn follower_statuses(&self, now: Duration) -> Vec<FollowerStatus> {
         self.followers.statuses(now, &self.timing)
     }
 
--- a/crates/aldercrank-consensus/src/member/voting.rs
+++ b/crates/aldercrank-consensus/src/member/voting.rs
@@ -13,7 +13,7 @@
     fn ballot_refusal(&self, after: u64, ballot: &Ballot) -> Option<PeerResponse> {
         if !self.may_vote() {
             Some(PeerResponse::Unavailable)
-        } else if after != self.committed.last {
+        } else if after != self.committed.last_decided {
             Some(PeerResponse::DifferentState { committed: self.committed })
         } else if ballot < self.acceptor.promised() {
             Some(PeerResponse::BallotSuperseded { ballot: self.acceptor.promised().clone() })
@@ -59,7 +59,7 @@
     pub(super) fn persist(&self, environment: &mut impl MemberEnvironment) {
         let accepted = self.acceptor.accepted();
         let proposal = accepted.and_then(|accepted| self.proposals.find(&accepted.decision.version_id));
-        environment.keep(&AcceptorState {
+        environment.persist_acceptor_state(&AcceptorState {
             committed: self.committed,
             text: self.version.text.clone(),
             promised: self.acceptor.promised().clone(),
@@ -76,7 +76,7 @@
         environment: &mut impl MemberEnvironment,
     ) {
         let ballot = self.proposer.begin_round(now, decision, self.acceptor.promised());
-        let (after, round) = (self.committed.last, ballot.round);
+        let (after, round) = (self.committed.last_decided, ballot.round);
         let own_response = self.handle_prepare(after, ballot.clone(), environment);
         for to in self.other_members() {
             let request = PeerRequest::Prepare { after, ballot: ballot.clone() };
@@ -97,7 +97,7 @@
         let PeerResponse::Promised { accepted } = response else { return };
         let quorum = self.quorum();
         let Some(decision) = self.proposer.record_promise(now, from, accepted, quorum) else { return };
-        let (after, ballot) = (self.committed.last, self.proposer.ballot().clone());
+        let (after, ballot) = (self.committed.last_decided, self.proposer.ballot().clone());
         let own_response = self.handle_accept(now, after, ballot.clone(), decision.clone(), environment);
         for to in self.other_members() {
             let request = PeerRequest::Accept { after, ballot: ballot.clone(), decision: decision.clone() };
@@ -120,7 +120,7 @@
         }
         let quorum = self.quorum();
         let Some(decision) = self.proposer.record_acceptance(now, from, quorum) else { return };
-        let after = self.committed.last;
+        let after = self.committed.last_decided;
         // Sent before the check that follows the commit, so that the others confirm the new state in it.
         for to in self.other_members() {
             let request = PeerRequest::Learn { after, decision: decision.clone() };
--- a/crates/aldercrank-consensus/src/messages.rs
+++ b/crates/aldercrank-consensus/src/messages.rs
@@ -67,7 +67,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CommittedState {
     /// The number decided last. It is above the committed version's number if that decision was a refusal.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_decided: u64,
     /// The committed version.
     #[serde(rename = "book")]
     pub version_id: VersionId,
@@ -111,7 +112,7 @@
     /// The committed state after this decision.
     pub fn after(&self, before: &CommittedState) -> CommittedState {
         let version_id = if self.verdict == Verdict::Committed { self.version_id } else { before.version_id };
-        CommittedState { last: self.version_id.number, version_id }
+        CommittedState { last_decided: self.version_id.number, version_id }
     }
 }
 
@@ -225,7 +226,8 @@
         /// The server.
         from: ServerName,
         /// The number decided last that the server knows of.
-        last: u64,
+        #[serde(rename = "last")]
+        last_decided: u64,
         /// Its evaluation of the proposed version.
         #[serde(rename = "weighed")]
         evaluation: Option<Evaluation>,
--- a/crates/aldercrank-consensus/src/quota_handover.rs
+++ b/crates/aldercrank-consensus/src/quota_handover.rs
@@ -24,7 +24,7 @@
     /// The quota.
     pub quota: T,
     /// When it may next increase; `None` if only the newest quota remains.
-    pub grows_at: Option<Duration>,
+    pub increases_at: Option<Duration>,
 }
 
 /// The quota of this server over successive versions.
@@ -75,6 +75,6 @@
         let quotas = self.quotas.iter().map(|quota| quota.quota);
         let smallest = quotas.reduce(|least, quota| if quota < least { quota } else { least });
         let next = self.quotas[..self.quotas.len() - 1].first().map(|quota| quota.limits_until);
-        AvailableQuota { quota: smallest.unwrap_or_default(), grows_at: next }
+        AvailableQuota { quota: smallest.unwrap_or_default(), increases_at: next }
     }
 }
--- a/crates/aldercrank-consensus/tests/agreement_bound.rs
+++ b/crates/aldercrank-consensus/tests/agreement_bound.rs
@@ -198,7 +198,7 @@
     fleet.propose(1, &version(2, &[0, 1, 2], "servers=7 b"));
     fleet.run_for(SECOND * 2);
     assert_eq!(fleet.servers_using(1), 7);
-    assert_eq!(fleet.committed(5).unwrap().last, 2, "the number is used up");
+    assert_eq!(fleet.committed(5).unwrap().last_decided, 2, "the number is used up");
     let refusals = refusals(&fleet, 0);
     assert!(refusals[0].reason.contains("two contents"), "{refusals:?}");
     fleet.propose(0, &version(3, &[0, 1, 2], "servers=7"));
@@ -211,7 +211,7 @@
     let mut fleet = started_fleet(7);
     fleet.propose(1, &version(2, &[0, 1, 2], "servers=7 incompatible=n0006"));
     fleet.run_for(SECOND * 2);
-    assert_eq!((fleet.servers_using(1), fleet.committed(6).unwrap().last), (7, 2));
+    assert_eq!((fleet.servers_using(1), fleet.committed(6).unwrap().last_decided), (7, 2));
     let refusals = refusals(&fleet, 2);
     assert!(refusals[0].reason.contains("n0006 refuses it: it has no such request class"), "{refusals:?}");
 }
@@ -251,7 +251,7 @@
             [1, 2].iter().any(|number| fleet.servers_using(*number) == 7),
             "withdrawn after {half_milliseconds} half milliseconds"
         );
-        assert_eq!(fleet.committed(4).unwrap().last, 2, "the number is decided");
+        assert_eq!(fleet.committed(4).unwrap().last_decided, 2, "the number is decided");
     }
 }
 
--- a/crates/aldercrank-consensus/tests/committee_member.rs
+++ b/crates/aldercrank-consensus/tests/committee_member.rs
@@ -33,7 +33,7 @@
 }
 
 fn committed(number: u64) -> CommittedState {
-    CommittedState { last: number, version_id: version(number).version_id }
+    CommittedState { last_decided: number, version_id: version(number).version_id }
 }
 
 /// A member that has restarted with version 1 committed and with this accepted decision.
@@ -100,7 +100,7 @@
     let decision =
         Decision { version_id: version(3).version_id, verdict: Verdict::Refused("a reason".to_string()) };
     member.handle_request(START, PeerRequest::Learn { after: 1, decision }, &mut environment);
-    assert_eq!(member.committed().last, 3);
+    assert_eq!(member.committed().last_decided, 3);
     assert_eq!(member.blocked_by(START).as_deref(), Some("withdrawn"));
 }
 
--- a/crates/aldercrank-consensus/tests/golden.rs
+++ b/crates/aldercrank-consensus/tests/golden.rs
@@ -39,7 +39,7 @@
 }
 
 fn committed(last: u64, number: u64) -> CommittedState {
-    CommittedState { last, version_id: version(number) }
+    CommittedState { last_decided: last, version_id: version(number) }
 }
 
 fn ballot() -> Ballot {
@@ -74,7 +74,7 @@
 fn requests() -> Vec<PeerRequest> {
     let renew = |last, evaluation: Option<(VersionId, Result<(), String>)>| PeerRequest::Renew {
         from: ServerName::new("n1"),
-        last,
+        last_decided: last,
         evaluation: evaluation.map(Evaluation::from),
     };
     let check = |committed, tally| PeerRequest::Check { from: ServerName::new("n3"), committed, tally };
@@ -84,10 +84,10 @@
         renew(8, Some((version(9), Err("kein Produkt „rent“ \"here\"\n".to_string())))),
         PeerRequest::Renew {
             from: ServerName::new(""),
-            last: 127,
+            last_decided: 127,
             evaluation: Some(Evaluation { version_id: version(250), result: Err(String::new()) }),
         },
-        PeerRequest::Renew { from: ServerName::new(&"n".repeat(64)), last: 128, evaluation: None },
+        PeerRequest::Renew { from: ServerName::new(&"n".repeat(64)), last_decided: 128, evaluation: None },
         PeerRequest::Fetch { version_id: version(9) },
         PeerRequest::Fetch { version_id: VersionId { number: 0, digest: [255; 32] } },
         check(committed(8, 8), ProposalTally::default()),
@@ -165,7 +165,7 @@
 }
 
 fn describe_committed(committed: &CommittedState) -> String {
-    format!("last {}, book {}", committed.last, describe_version(&committed.version_id))
+    format!("last {}, book {}", committed.last_decided, describe_version(&committed.version_id))
 }
 
 fn describe_ballot(ballot: &Ballot) -> String {
@@ -214,9 +214,9 @@
 
 fn describe_request(request: &PeerRequest) -> String {
     match request {
-        PeerRequest::Renew { from, last, evaluation } => {
+        PeerRequest::Renew { from, last_decided, evaluation } => {
             format!(
-                "Renew: from {:?}, last {last}, weighed {}",
+                "Renew: from {:?}, last {last_decided}, weighed {}",
                 from.to_string(),
                 describe_evaluation(evaluation)
             )
--- a/crates/aldercrank-consensus/tests/model_checking.rs
+++ b/crates/aldercrank-consensus/tests/model_checking.rs
@@ -175,9 +175,9 @@
             Property::sometimes(VERSION_COMMITTED, |_, state: &State| state.first_use.contains_key(&2)),
             Property::sometimes(VERSION_REFUSED, |model: &FleetModel, state: &State| {
                 model.max_proposals < 2
-                    || state.members[1]
-                        .as_ref()
-                        .is_some_and(|member| member.committed().last != member.committed().version_id.number)
+                    || state.members[1].as_ref().is_some_and(|member| {
+                        member.committed().last_decided != member.committed().version_id.number
+                    })
             }),
         ]
     }
--- a/crates/aldercrank-consensus/tests/modelled_fleet/mod.rs
+++ b/crates/aldercrank-consensus/tests/modelled_fleet/mod.rs
@@ -215,7 +215,7 @@
                 follower.handle_response(now, correlation_id, response, &mut environment);
             }
             Payload::Notification { proposed } => {
-                self.followers[to - MEMBERS].notify(now, proposed, &mut environment)
+                self.followers[to - MEMBERS].notification_received(now, proposed, &mut environment)
             }
         }
         let role = if to < MEMBERS { Role::Member } else { Role::Follower };
--- a/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
+++ b/crates/aldercrank-consensus/tests/simulated_fleet/mod.rs
@@ -415,8 +415,9 @@
                     member.handle_response(now, correlation_id, *response, environment)
                 });
             }
-            Event::Notification { to, proposed } => self
-                .with_follower(to, |follower, now, environment| follower.notify(now, proposed, environment)),
+            Event::Notification { to, proposed } => self.with_follower(to, |follower, now, environment| {
+                follower.notification_received(now, proposed, environment)
+            }),
             Event::Timer { server } => self.fire_due_timers(server),
         }
         self.use_version(index);
--- a/crates/aldercrank-consensus/tests/support/mod.rs
+++ b/crates/aldercrank-consensus/tests/support/mod.rs
@@ -53,7 +53,7 @@
         self.record_request(to, correlation_id, request);
     }
 
-    fn read(
+    fn summarize(
         &mut self,
         version_id: &VersionId,
         text: &str,
@@ -73,15 +73,15 @@
         self.record_request(to, correlation_id, request);
     }
 
-    fn notify(&mut self, proposed: Option<VersionId>) {
+    fn notify_followers(&mut self, proposed: Option<VersionId>) {
         self.actions.notification = Some(proposed);
     }
 
-    fn keep(&mut self, acceptor_state: &AcceptorState) {
+    fn persist_acceptor_state(&mut self, acceptor_state: &AcceptorState) {
         self.actions.acceptor_state = Some(acceptor_state.clone());
     }
 
-    fn read(
+    fn summarize(
         &mut self,
         version_id: &VersionId,
         text: &str,
--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -29,7 +29,11 @@
             let Some(proposed) = agreement.context.notification.take() else { break };
             self.notify_followers(agreement, proposed);
             // This server's own follower is notified as well.
-            agreement.follower.notify(now, proposed, &mut FollowerPorts(&mut agreement.context));
+            agreement.follower.notification_received(
+                now,
+                proposed,
+                &mut FollowerPorts(&mut agreement.context),
+            );
             agreement.answer_local_requests(now);
         }
         if let (None, Some(member)) = (&agreement.member, agreement.follower.current_member()) {
--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -215,7 +215,7 @@
     /// When the next timer is due, on the agreement's clock.
     fn next_due(&mut self, now: Duration) -> Duration {
         let member = self.member.as_ref().map(CommitteeMember::next_timeout);
-        let quota = self.quotas.as_mut().and_then(|quotas| quotas.available(now).grows_at);
+        let quota = self.quotas.as_mut().and_then(|quotas| quotas.available(now).increases_at);
         let polling = self.polling.as_ref().filter(|_| self.member.is_some()).map(VersionPolling::due);
         let others = [member, quota, polling].into_iter().flatten();
         others.fold(self.follower.next_timeout(), Duration::min)
--- a/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
@@ -69,7 +69,11 @@
                 PeerEvent::Response(tag, response) => agreement.handle_response(now, tag, *response),
                 PeerEvent::Lost(tag) => agreement.context.lost_requests.push(tag),
                 PeerEvent::Notification(proposed) => {
-                    agreement.follower.notify(now, proposed, &mut FollowerPorts(&mut agreement.context));
+                    agreement.follower.notification_received(
+                        now,
+                        proposed,
+                        &mut FollowerPorts(&mut agreement.context),
+                    );
                 }
             });
         }
--- a/crates/aldercrank-server/src/net/config_agreement/ports.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/ports.rs
@@ -117,7 +117,7 @@
         let tag = RequestTag { requester: Requester::Follower, correlation_id };
         context.peers.send_request(to, tag, &request, &mut context.lost_requests);
     }
-    fn read(
+    fn summarize(
         &mut self,
         version_id: &VersionId,
         text: &str,
@@ -139,13 +139,13 @@
         let tag = RequestTag { requester: Requester::CommitteeMember, correlation_id };
         context.peers.send_request(to, tag, &request, &mut context.lost_requests);
     }
-    fn notify(&mut self, proposed: Option<VersionId>) {
+    fn notify_followers(&mut self, proposed: Option<VersionId>) {
         self.0.notification = Some(proposed);
     }
-    fn keep(&mut self, acceptor_state: &member::AcceptorState) {
+    fn persist_acceptor_state(&mut self, acceptor_state: &member::AcceptorState) {
         self.0.state_file.store_acceptor_state(acceptor_state);
     }
-    fn read(
+    fn summarize(
         &mut self,
         version_id: &VersionId,
         text: &str,
--- a/crates/aldercrank-server/src/net/config_agreement/status.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/status.rs
@@ -32,7 +32,7 @@
 
 fn committed_status(committed: CommittedState) -> Value {
     json!({
-        "last": committed.last,
+        "last": committed.last_decided,
         "version": committed.version_id.number,
         "digest": format!("{}", Digest(committed.version_id.digest)),
     })
@@ -63,14 +63,14 @@
 }
 
 fn follower_statuses(member: &CommitteeMember, now: Duration) -> Vec<Value> {
-    let servers = member.servers(now);
+    let servers = member.follower_statuses(now);
     let status = servers.iter().map(|server| {
         let evaluation = server.evaluation.as_ref().map(|evaluation| {
             json!({"version": evaluation.version_id.number, "refuses": evaluation.result.as_ref().err()})
         });
         json!({
             "name": &*server.name.0,
-            "last": server.last,
+            "last": server.last_decided,
             "heard_ms": millis(server.since_last_seen),
             "lease_ms": millis(server.lease_left),
             "weighed": evaluation,
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -142,14 +142,14 @@
     let mut out = String::new();
     let renew = PeerRequest::Renew {
         from: ServerName::new("n1"),
-        last: 8,
+        last_decided: 8,
         evaluation: Some((version(9), Ok(())).into()),
     };
     complete_block(&mut out, "request Status", &request(1, &encoded(&PeerRequest::Status)), read_as_server);
     complete_block(&mut out, "request Renew", &request(128, &encoded(&renew)), read_as_server);
     let fetch = request(u32::MAX, &encoded(&PeerRequest::Fetch { version_id: version(9) }));
     complete_block(&mut out, "request Fetch", &fetch, read_as_server);
-    let committed_state = CommittedState { last: 9, version_id: version(8) };
+    let committed_state = CommittedState { last_decided: 9, version_id: version(8) };
     let lease = PeerResponse::Lease {
         committed: committed_state,
         age: Some(Duration::from_millis(1500)),
--- a/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
@@ -101,7 +101,7 @@
 }
 
 fn committed_state(last: u64, number: u64) -> CommittedState {
-    CommittedState { last, version_id: version(number) }
+    CommittedState { last_decided: last, version_id: version(number) }
 }
 
 fn ballot(round: u64) -> Ballot {
@@ -136,7 +136,7 @@
 }
 
 fn described_committed_state(committed_state: &CommittedState) -> String {
-    format!("last {}, book {}", committed_state.last, described_version(&committed_state.version_id))
+    format!("last {}, book {}", committed_state.last_decided, described_version(&committed_state.version_id))
 }
 
 /// The content of a state file, one line per field.
--- a/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
@@ -69,7 +69,7 @@
     let mut service = format!("rules {{\n    book {:?}\n", file("rules.kdl", text).to_str().unwrap());
     if has_state_file {
         let version = VersionId { number: 8, digest: config_version.digest().0 };
-        let committed_state = CommittedState { last: 9, version_id: version };
+        let committed_state = CommittedState { last_decided: 9, version_id: version };
         StateFile::open(Some(&directory)).store_version(committed_state, &Arc::from(config_version.text()));
         let _ = writeln!(service, "    dir {:?}", directory.to_str().unwrap());
     }
--- a/crates/aldercrank-server/tests/suite/state_file.rs
+++ b/crates/aldercrank-server/tests/suite/state_file.rs
@@ -13,7 +13,7 @@
 const HEADER_BYTES: u64 = 24;
 
 fn committed(number: u64) -> CommittedState {
-    CommittedState { last: number, version_id: VersionId { number, digest: [number as u8; 32] } }
+    CommittedState { last_decided: number, version_id: VersionId { number, digest: [number as u8; 32] } }
 }
 
 #[test]
@@ -25,7 +25,7 @@
         state_file.store_version(committed(n), &Arc::from(format!("text {n}").repeat(900)));
     }
     let last_committed =
-        |dir: &Path| StateFile::open(Some(dir)).version().map(|stored| stored.committed.last);
+        |dir: &Path| StateFile::open(Some(dir)).version().map(|stored| stored.committed.last_decided);
     assert_eq!(last_committed(&dir), Some(5));
     let file = OpenOptions::new().write(true).open(dir.join(FILE_NAME)).unwrap();
     file.write_all_at(&[7; 40], SLOT_BYTES + HEADER_BYTES + 100).unwrap();
