--- a/crates/aldercrank-pacing/src/lib.rs
+++ b/crates/aldercrank-pacing/src/lib.rs
@@ -10,5 +10,5 @@
 mod retry_pacer;
 mod slow_start;
 
-pub use retry_pacer::{digest, PacerState, RetryPacer, RetryPacerConfig};
+pub use retry_pacer::{fnv1a_hash, PacerState, RetryPacer, RetryPacerConfig};
 pub use slow_start::{Phase, SlowStart, SlowStartConfig, SlowStartReason, SlowStartStatus};
--- a/crates/aldercrank-pacing/src/retry_pacer.rs
+++ b/crates/aldercrank-pacing/src/retry_pacer.rs
@@ -75,7 +75,7 @@
 }
 
 /// The 64-bit FNV-1a hash of a text, which is the same on every machine.
-pub fn digest(text: &str) -> u64 {
+pub fn fnv1a_hash(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
@@ -84,8 +84,9 @@
     /// Creates a pacer whose random numbers depend on three values: servers of one image have the same `seed`, so
     /// `name` tells them apart, and `started_at` tells the starts of one server apart.
     pub fn new(config: RetryPacerConfig, seed: &str, name: &str, started_at: Duration) -> RetryPacer {
-        let seed =
-            digest(seed) ^ digest(name).rotate_left(21) ^ (started_at.as_nanos() as u64).rotate_left(42);
+        let seed = fnv1a_hash(seed)
+            ^ fnv1a_hash(name).rotate_left(21)
+            ^ (started_at.as_nanos() as u64).rotate_left(42);
         RetryPacer {
             config,
             random: Pcg64Mcg::seed_from_u64(seed),
--- a/crates/aldercrank-pacing/src/slow_start.rs
+++ b/crates/aldercrank-pacing/src/slow_start.rs
@@ -69,7 +69,7 @@
 
 impl SlowStartReason {
     /// The text of the reason in logs and in the status.
-    pub fn name(self) -> &'static str {
+    pub fn text(self) -> &'static str {
         match self {
             SlowStartReason::NoPool => "no worker pool yet",
             SlowStartReason::NoRunYet => "nothing settled since",
--- a/crates/aldercrank-server/src/core/slow_start.rs
+++ b/crates/aldercrank-server/src/core/slow_start.rs
@@ -66,7 +66,7 @@
     tracing::info!(
         phase = status.phase.name(),
         share = status.share,
-        reason = status.reason.name(),
+        reason = status.reason.text(),
         "slow start status changed"
     );
 }
--- a/crates/aldercrank-server/src/net/config_agreement/mod.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/mod.rs
@@ -100,7 +100,8 @@
         let state_file = StateFile::open(agreement.state_dir.as_deref());
         let mut context = PortContext::new(server.clone(), config.settings.clone(), peers, state_file);
         // Distributes the followers over the members.
-        let spread = own_index.map_or_else(|| aldercrank_pacing::digest(&config.name), |index| index as u64);
+        let spread =
+            own_index.map_or_else(|| aldercrank_pacing::fnv1a_hash(&config.name), |index| index as u64);
         let mut follower = Follower::new(server, member_names, spread, timing.clone());
         let stored = context.state_file.version();
         let newest = stored.as_ref().map_or(&initial, |stored| &stored.version).clone();
@@ -224,7 +225,7 @@
     /// The settings in force; `None` before a version is in force.
     fn effective_settings(&mut self, now: Duration) -> Option<EffectiveSettings> {
         let version = self.in_force.as_ref()?;
-        let mut settings = version.settings(&self.context.platform, &self.context.server.0);
+        let mut settings = version.merged_settings(&self.context.platform, &self.context.server.0);
         let quota = self.quotas.as_mut().map(|quotas| quotas.available(now).quota);
         if let Some(quota) = quota {
             // For the admission module zero means no limit. With a quota of zero, the core itself prevents calls.
--- a/crates/aldercrank-server/src/net/config_agreement/ports.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/ports.rs
@@ -88,7 +88,7 @@
         let mut incompatibilities: Vec<String> = incompatibilities.iter().map(ToString::to_string).collect();
         let mut tightened = Vec::new();
         if let Some(before) = before {
-            let fixed = changes(&before, &parsed).into_iter().filter(|c| c.role == Consistency::Fixed);
+            let fixed = changes(&before, &parsed).into_iter().filter(|c| c.consistency == Consistency::Fixed);
             incompatibilities.extend(fixed.map(|c| format!("{} can't be changed in service", c.path)));
             tightened = restrictions(&before, &parsed);
         }
--- a/crates/aldercrank-server/src/net/config_agreement/status.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/status.rs
@@ -21,7 +21,7 @@
             "misfit": self.follower.incompatibility(),
             "committee": self.member.as_ref().map(|member| member_status(member, now)),
             "start": slow_start.map(|start| {
-                json!({"phase": start.phase.name(), "share": start.share, "why": start.reason.name()})
+                json!({"phase": start.phase.name(), "share": start.share, "why": start.reason.text()})
             }),
             "text": self.follower.version().map(|version| &*version.text),
             "agree_within_ms": millis(self.timing.agreement_bound),
--- a/crates/aldercrank-server/src/operator_commands/mod.rs
+++ b/crates/aldercrank-server/src/operator_commands/mod.rs
@@ -85,7 +85,7 @@
 
 fn change_as_json(change: &Change) -> Json {
     let text = |value: &Option<Value>| value.as_ref().map(ToString::to_string);
-    serde_json::json!({"item": change.path.to_string(), "role": format!("{:?}", change.role).to_lowercase(),
+    serde_json::json!({"item": change.path.to_string(), "role": format!("{:?}", change.consistency).to_lowercase(),
         "from": text(&change.from), "to": text(&change.to)})
 }
 
--- a/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -27,7 +27,7 @@
 
 /// Whether the versions differ only in items whose values may differ between servers.
 fn changes_free_items_only(from: &VersionedConfig, to: &VersionedConfig) -> bool {
-    changes(from, to).iter().all(|change| change.role == Consistency::Free)
+    changes(from, to).iter().all(|change| change.consistency == Consistency::Free)
 }
 
 impl TestCluster<'_> {
@@ -183,7 +183,7 @@
     pub(super) fn store_corrupted(&mut self, now: Duration, corruption: ConfigCorruption) {
         let Some(versions) = &mut self.versions else { return };
         versions.last_number += 1;
-        let text = versions.newest.next(VersionNumber(versions.last_number), []).text();
+        let text = versions.newest.with_changes(VersionNumber(versions.last_number), []).text();
         let text = match corruption {
             ConfigCorruption::Truncated => text[..text.len() / 2].to_string(),
             ConfigCorruption::Overlong => format!("{text}//{}", "x".repeat(OVERLONG_BYTES)),
--- a/crates/aldercrank-test-cluster/src/cluster/genesis.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/genesis.rs
@@ -84,10 +84,10 @@
         let value = match value.parse::<f64>() {
             Ok(n) => Value::Number(n),
             Err(_) if value == "yes" || value == "no" => Value::Flag(value == "yes"),
-            Err(_) => Value::Word(value.to_string()),
+            Err(_) => Value::Text(value.to_string()),
         };
         items.push((path, Some(value)));
     }
-    let next = config.next(VersionNumber(number), items);
+    let next = config.with_changes(VersionNumber(number), items);
     VersionedConfig::parse(&next.text()).map_err(|faults| AssignmentError::Invalid(faults[0].to_string()))
 }
--- a/crates/aldercrank-test-cluster/src/version_checker.rs
+++ b/crates/aldercrank-test-cluster/src/version_checker.rs
@@ -29,7 +29,7 @@
         let get = |name: &str| config.get("product", class, name);
         ClassTerms {
             effect: match get("effect") {
-                Some(Value::Word(word)) => Some(word.clone()),
+                Some(Value::Text(word)) => Some(word.clone()),
                 _ => None,
             },
             window_ms: match get("window-ms") {
--- a/crates/aldercrank-versioned-config/src/changes.rs
+++ b/crates/aldercrank-versioned-config/src/changes.rs
@@ -17,13 +17,13 @@
     /// The value in the new version; `None` where the new version removes the item.
     pub to: Option<Value>,
     /// Whether servers may use the two values at the same time.
-    pub role: Consistency,
+    pub consistency: Consistency,
 }
 
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let text = |value: &Option<Value>| value.as_ref().map_or("none".to_string(), Value::to_string);
-        let consistency = match self.role {
+        let consistency = match self.consistency {
             Consistency::Free => "free",
             Consistency::Fenced => "fenced",
             Consistency::Fixed => "fixed",
@@ -52,7 +52,7 @@
     let paths: BTreeSet<&ItemPath> = old.items.keys().chain(new.items.keys()).collect();
     let change = |path: &ItemPath| {
         let (from, to) = (old.items.get(path).cloned(), new.items.get(path).cloned());
-        (from != to).then(|| Change { path: path.clone(), from, to, role: consistency(path) })
+        (from != to).then(|| Change { path: path.clone(), from, to, consistency: consistency(path) })
     };
     paths.into_iter().filter_map(change).collect()
 }
@@ -68,7 +68,7 @@
 /// Whether a server that still uses `old` could handle a request in a way that the new version does not allow.
 fn is_restriction(change: &Change, old: &VersionedConfig) -> bool {
     let (from, to) = (&change.from, &change.to);
-    let is = |value: &Option<Value>, word: &str| *value == Some(Value::Word(word.to_string()));
+    let is = |value: &Option<Value>, word: &str| *value == Some(Value::Text(word.to_string()));
     match (change.path.block, change.path.name.as_str()) {
         // Without a value in the version the platform's setting applies, which may be any effect.
         (path::CLASS, "effect") => {
--- a/crates/aldercrank-versioned-config/src/lib.rs
+++ b/crates/aldercrank-versioned-config/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`VersionedConfig::parse`] accepts a version as a whole or reports all its faults, each with a line and a column.
 //! The [`Consistency`] of an item states whether servers may use two of its values at the same time: without a limit
 //! (free), within the agreement bound (fenced) or never (fixed). [`changes()`] compares two versions, and
-//! [`VersionedConfig::settings`] merges a version with the platform's settings.
+//! [`VersionedConfig::merged_settings`] merges a version with the platform's settings.
 
 mod changes;
 mod incompatibility;
--- a/crates/aldercrank-versioned-config/src/parser.rs
+++ b/crates/aldercrank-versioned-config/src/parser.rs
@@ -209,7 +209,7 @@
                     self.reader.unknown(offset_of(node), &text, &names);
                     return None;
                 }
-                Some(Value::Word(text))
+                Some(Value::Text(text))
             }
         }
     }
@@ -244,7 +244,7 @@
             } else if address.parse::<SocketAddr>().is_err() {
                 self.report(offset_of(child), &ParseFault::InvalidAddress { address });
             } else {
-                self.insert(offset_of(child), ItemPath::new(path::COMMITTEE, "", name), Value::Word(address));
+                self.insert(offset_of(child), ItemPath::new(path::COMMITTEE, "", name), Value::Text(address));
             }
         }
         let members = self.items.keys().filter(|path| path.block == path::COMMITTEE).count();
--- a/crates/aldercrank-versioned-config/src/platform_settings.rs
+++ b/crates/aldercrank-versioned-config/src/platform_settings.rs
@@ -27,7 +27,7 @@
         (ValueKind::Number { .. }, Value::Number(number)) => Setting::Number(*number),
         (ValueKind::TimeSpan { .. }, Value::Number(milliseconds)) => Setting::Number(milliseconds * 1e3),
         (ValueKind::Flag, Value::Flag(flag)) => Setting::Flag(*flag),
-        (ValueKind::OneOf(choices), Value::Word(word)) => {
+        (ValueKind::OneOf(choices), Value::Text(word)) => {
             let choice = choices.iter().find(|choice| choice.name == word)?;
             Setting::Text(choice.setting.to_string())
         }
@@ -47,7 +47,7 @@
                 incompatibilities.push(Incompatibility::UnknownClass { class: class_name() });
                 continue;
             };
-            let merged = self.settings(platform, server);
+            let merged = self.merged_settings(platform, server);
             let span = |field: &str| merged.duration(&format!("profiles.{index}.{field}"));
             let (latency_target, timeout) = (span("goal_time"), span("give_up"));
             if latency_target.zip(timeout).is_some_and(|(latency_target, timeout)| timeout < latency_target) {
@@ -67,7 +67,7 @@
 
     /// The platform's settings, overridden by this version's items and by what its lists determine for this server: its
     /// quota, whether it is in service, and the rejected callers.
-    pub fn settings(&self, platform: &Settings, server: &str) -> Settings {
+    pub fn merged_settings(&self, platform: &Settings, server: &str) -> Settings {
         let mut merged = platform.clone();
         for (path, value) in &self.items {
             let table = match path.block {
--- a/crates/aldercrank-versioned-config/src/value.rs
+++ b/crates/aldercrank-versioned-config/src/value.rs
@@ -11,7 +11,7 @@
     /// `#true` or `#false`.
     Flag(bool),
     /// A text, such as an effect or an address.
-    Word(String),
+    Text(String),
     /// Names of servers.
     Names(BTreeSet<String>),
     /// Caller numbers.
@@ -23,7 +23,7 @@
         match self {
             Value::Number(number) => write!(f, "{number}"),
             Value::Flag(flag) => write!(f, "#{flag}"),
-            Value::Word(word) => write!(f, "{word:?}"),
+            Value::Text(word) => write!(f, "{word:?}"),
             Value::Names(names) => {
                 let quoted: Vec<String> = names.iter().map(|name| format!("{name:?}")).collect();
                 f.write_str(&quoted.join(" "))
--- a/crates/aldercrank-versioned-config/src/versioned_config.rs
+++ b/crates/aldercrank-versioned-config/src/versioned_config.rs
@@ -64,7 +64,7 @@
     pub fn committee(&self) -> Vec<MemberAddress> {
         let members = self.items.iter().filter(|(path, _)| path.block == path::COMMITTEE);
         let with_address = |(path, value): (&ItemPath, &Value)| match value {
-            Value::Word(address) => {
+            Value::Text(address) => {
                 address.parse().ok().map(|address| MemberAddress { name: path.name.clone(), address })
             }
             _ => None,
@@ -138,7 +138,7 @@
 
     /// A copy with this number and with these items set, or removed where the value is `None`. Publishers use it to
     /// create the next version; the result is not validated before its text is parsed.
-    pub fn next(
+    pub fn with_changes(
         &self,
         number: VersionNumber,
         changes: impl IntoIterator<Item = (ItemPath, Option<Value>)>,
--- a/crates/aldercrank-versioned-config/tests/golden.rs
+++ b/crates/aldercrank-versioned-config/tests/golden.rs
@@ -143,7 +143,7 @@
                 let _ = writeln!(
                     out,
                     "  {} {} from {from:?} to {to:?}",
-                    consistency_name(change.role),
+                    consistency_name(change.consistency),
                     change.path
                 );
                 let _ = writeln!(out, "    as text: {change}");
@@ -201,7 +201,7 @@
                 for incompatibility in config.incompatibilities(&platform, server) {
                     let _ = writeln!(out, "  misfit: {incompatibility}");
                 }
-                for (name, value) in &config.settings(&platform, server).0 {
+                for (name, value) in &config.merged_settings(&platform, server).0 {
                     let _ = match value {
                         Setting::Number(number) => writeln!(out, "  {name} = {number}"),
                         Setting::Text(text) => writeln!(out, "  {name} = {text:?}"),
--- a/crates/aldercrank-versioned-config/tests/versions.rs
+++ b/crates/aldercrank-versioned-config/tests/versions.rs
@@ -129,7 +129,7 @@
 fn changes_have_their_declared_consistency_and_restrictions_are_reported() {
     let old = parse(VERSION_8);
     let consistencies = |to: &str| -> Vec<(String, Consistency)> {
-        changes(&old, &parse(to)).iter().map(|c| (c.path.to_string(), c.role)).collect()
+        changes(&old, &parse(to)).iter().map(|c| (c.path.to_string(), c.consistency)).collect()
     };
     assert_eq!(
         consistencies(&VERSION_8.replace("points 5", "points 6")),
@@ -164,7 +164,7 @@
 fn a_version_is_merged_with_the_platform_settings_or_its_incompatibilities_are_reported() {
     let (config, platform) = (parse(VERSION_8), platform_settings());
     assert!(config.incompatibilities(&platform, "n1").is_empty());
-    let merged = config.settings(&platform, "n1");
+    let merged = config.merged_settings(&platform, "n1");
     assert_eq!(merged.duration("profiles.1.window"), Some(Duration::from_secs(9)));
     assert_eq!(merged.text("profiles.1.effect"), Some("dedup"));
     assert_eq!(merged.number("profiles.1.points"), Some(5.0));
@@ -175,7 +175,7 @@
     );
     assert_eq!(merged.number("rules.turned_away.0"), Some(4.0));
     assert_eq!(merged.flag("rules.in_service"), None);
-    let unlisted = config.settings(&platform, "n9");
+    let unlisted = config.merged_settings(&platform, "n9");
     assert_eq!(
         (unlisted.flag("rules.in_service"), unlisted.number("family_info.calls_out")),
         (Some(false), Some(0.0))
@@ -208,12 +208,12 @@
             _ => (ItemPath::new("turned-away", "", ""), None),
         }
     });
-    let new = old.next(VersionNumber(9), set);
+    let new = old.with_changes(VersionNumber(9), set);
     let reparsed = parse(&new.text());
     let found = changes(&old, &reparsed);
     reparsed == new
         && found.iter().all(|c| c.from != c.to)
-        && (found.is_empty() == (new.text() == old.next(VersionNumber(9), []).text()))
+        && (found.is_empty() == (new.text() == old.with_changes(VersionNumber(9), []).text()))
 }
 
 #[test]
