--- a/crates/aldercrank-server/src/clock.rs
+++ b/crates/aldercrank-server/src/clock.rs
@@ -22,7 +22,7 @@
     }
 
     /// Sets the clock to count from `age` ago.
-    pub fn restart(&mut self, age: Duration) {
+    pub fn set_elapsed(&mut self, age: Duration) {
         *self = Clock { started_at: Instant::now(), offset: age };
     }
 
--- a/crates/aldercrank-server/src/config/mod.rs
+++ b/crates/aldercrank-server/src/config/mod.rs
@@ -39,23 +39,23 @@
     /// The address that edge nodes connect to.
     pub listen: SocketAddr,
     /// The worker pool's address.
-    pub pool: SocketAddr,
+    pub pool_address: SocketAddr,
     /// The membership service's address.
-    pub members: SocketAddr,
+    pub membership_address: SocketAddr,
     /// The upstream dependency's address. Required if any request class makes calls.
-    pub index: Option<SocketAddr>,
+    pub dependency_address: Option<SocketAddr>,
     /// The maximum duration of a graceful shutdown, after which the process is killed.
-    pub stop: Duration,
+    pub stop_timeout: Duration,
     /// The server's memory limit in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// The maximum number of sockets that the server may have open.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// The maximum size of a result in bytes.
-    pub result: usize,
+    pub max_result_bytes: usize,
     /// The platform's random seed for this start.
     pub seed: String,
     /// The maximum backoff between failed load reports, if the service file sets it.
-    pub reports_longest: Option<Duration>,
+    pub max_report_backoff: Option<Duration>,
     /// Whether the service file asks for JSON log lines.
     pub json_log: bool,
     /// The versioned configuration, if the service file names one.
@@ -95,11 +95,11 @@
 
     fn apply(&mut self, service: &ServiceConfig) -> Result<(), ConfigError> {
         if let Some(kb) = service.results.max_kb {
-            self.result = kb as usize * 1024;
+            self.max_result_bytes = kb as usize * 1024;
         }
         self.json_log = service.log.json;
         self.start = service.start.clone();
-        self.reports_longest = service.reports.max_backoff;
+        self.max_report_backoff = service.reports.max_backoff;
         if let Some(options) = &service.versioned_config {
             self.agreement = Some(self.initial_version(options)?);
         }
--- a/crates/aldercrank-server/src/config/platform_file.rs
+++ b/crates/aldercrank-server/src/config/platform_file.rs
@@ -103,23 +103,23 @@
         let sockets = file.sockets()?;
         Ok(Config {
             name,
-            result: crate::worker_pool::MAX_PAYLOAD_BYTES,
+            max_result_bytes: crate::worker_pool::MAX_PAYLOAD_BYTES,
             seed: json.get("seed").and_then(Json::as_str).unwrap_or_default().to_string(),
-            reports_longest: None,
+            max_report_backoff: None,
             json_log: false,
             agreement: None,
             start: aldercrank_service_config::Start::default(),
             listen: file.address("listen", Some("ROUTER_LISTEN"))?,
-            pool: file.address("pool", None)?,
-            members: file.address("members", None)?,
-            index: if makes_calls || json.get("index").is_some() {
+            pool_address: file.address("pool", None)?,
+            membership_address: file.address("members", None)?,
+            dependency_address: if makes_calls || json.get("index").is_some() {
                 Some(file.address("index", None)?)
             } else {
                 None
             },
-            stop: Duration::from_secs_f64(file.number("stop_ms")? / 1e3),
-            memory: (file.limit("memory_mb")? * 1e6) as usize,
-            sockets,
+            stop_timeout: Duration::from_secs_f64(file.number("stop_ms")? / 1e3),
+            memory_bytes: (file.limit("memory_mb")? * 1e6) as usize,
+            max_sockets: sockets,
             settings,
         })
     }
--- a/crates/aldercrank-server/src/config/reload.rs
+++ b/crates/aldercrank-server/src/config/reload.rs
@@ -46,14 +46,14 @@
 
 impl Config {
     /// Returns the fields that differ in a new configuration but can't change while serving.
-    pub fn fixed(&self, new: &Config) -> Vec<&'static str> {
+    pub fn restart_only_changes(&self, new: &Config) -> Vec<&'static str> {
         let fields = [
             ("name", self.name == new.name),
             ("listen", self.listen == new.listen),
-            ("limits.memory_mb", self.memory == new.memory),
-            ("limits.sockets", self.sockets == new.sockets),
-            ("results in the service file", self.result == new.result),
-            ("reports in the service file", self.reports_longest == new.reports_longest),
+            ("limits.memory_mb", self.memory_bytes == new.memory_bytes),
+            ("limits.sockets", self.max_sockets == new.max_sockets),
+            ("results in the service file", self.max_result_bytes == new.max_result_bytes),
+            ("reports in the service file", self.max_report_backoff == new.max_report_backoff),
             ("rules in the service file", self.agreement == new.agreement),
             ("start in the service file", self.start == new.start),
             ("cores of the settings", self.cores() == new.cores()),
@@ -64,7 +64,7 @@
 
     /// Returns why a new configuration belongs to another server, if it does. Its addresses would be another
     /// customer's, so no part of it may be applied.
-    pub fn foreign(&self, new: &Config) -> Option<ForeignConfig> {
+    pub fn foreign_reason(&self, new: &Config) -> Option<ForeignConfig> {
         if self.name != new.name {
             return Some(ForeignConfig::Name { offered: new.name.clone(), own: self.name.clone() });
         }
@@ -87,7 +87,7 @@
 
     /// Returns the settings of a new configuration as far as they can be applied while serving. Returns none if no
     /// setting differs, or if the request classes do.
-    pub fn settings_of(&self, new: &Config) -> Option<Settings> {
+    pub fn reloadable_settings(&self, new: &Config) -> Option<Settings> {
         let mut settings = new.settings.clone();
         match self.cores() {
             Some(cores) => settings.set(CORES, Value::Number(cores)),
--- a/crates/aldercrank-server/src/core/mod.rs
+++ b/crates/aldercrank-server/src/core/mod.rs
@@ -58,7 +58,7 @@
     }
 
     /// Starts to track the slow start. `cold`: whether the worker pool has just started.
-    pub fn follow_slow_start(&mut self, now: Duration, settings: &Settings, cold: bool) {
+    pub fn track_slow_start(&mut self, now: Duration, settings: &Settings, cold: bool) {
         let mut tracker = SlowStartTracker::new(settings);
         tracker.pool_up(now, cold);
         self.slow_start = Some(tracker);
--- a/crates/aldercrank-server/src/core/ports.rs
+++ b/crates/aldercrank-server/src/core/ports.rs
@@ -82,7 +82,7 @@
     /// The properties that the admission module decides by.
     pub arrival: IncomingRequest<'a>,
     /// The longest time that the request can have waited unread, by this server's own clock.
-    pub unread: Duration,
+    pub max_unread_time: Duration,
     /// The request's body, passed to the worker pool unchanged.
     pub body: &'a [u8],
 }
--- a/crates/aldercrank-server/src/core/receive.rs
+++ b/crates/aldercrank-server/src/core/receive.rs
@@ -46,7 +46,7 @@
         // is detected, is also limited by this server's own clock.
         let reported_age = received.arrival.unread_time.min(state.longest_deadline);
         let arrived_at = now.saturating_sub(reported_age);
-        let unread_time = reported_age.min(received.unread);
+        let unread_time = reported_age.min(received.max_unread_time);
         if received.dedup_key.is_some() && state.dedup.is_full() {
             tracing::error!("request rejected: the deduplication table is full");
             return state.ports.reject(reply_to, None, false);
--- a/crates/aldercrank-server/src/deadlines.rs
+++ b/crates/aldercrank-server/src/deadlines.rs
@@ -28,7 +28,7 @@
     }
 
     /// Removes the deadline of a key, if it has one.
-    pub fn clear(&mut self, key: K) {
+    pub fn remove(&mut self, key: K) {
         if let Some(at) = self.by_key.remove(&key) {
             self.by_time.remove(&(at, key));
         }
@@ -45,9 +45,9 @@
     }
 
     /// Removes the earliest deadline if it has been reached, and returns its key.
-    pub fn due(&mut self, now: Duration) -> Option<K> {
+    pub fn pop_due(&mut self, now: Duration) -> Option<K> {
         let ((_, key), _) = self.by_time.first().filter(|((at, _), _)| *at <= now)?;
-        self.clear(key);
+        self.remove(key);
         Some(key)
     }
 
--- a/crates/aldercrank-server/src/main.rs
+++ b/crates/aldercrank-server/src/main.rs
@@ -65,7 +65,7 @@
         .footer("Exit status: 0 if the configuration can be served, 1 if not")
         .command("check-config");
     let version = pure(Command::Version).to_options().descr("Print the version").command("version");
-    let rules = operator_commands::commands().command("rules").map(Command::Rules);
+    let rules = operator_commands::command_parser().command("rules").map(Command::Rules);
     construct!([serve, check, rules, version])
         .to_options()
         .descr("Serve requests to a worker pool, with admission control")
--- a/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/version_polling.rs
@@ -123,7 +123,7 @@
     /// Starts the next poll if it is due, or closes the outstanding one if it has timed out.
     pub(super) fn poll_versions(&mut self) {
         let event_loop = self.net().event_loop.clone();
-        let address = self.config.members;
+        let address = self.config.membership_address;
         let Some(agreement) = &mut self.agreement else { return };
         let now = agreement.clock.now();
         let is_member = agreement.member.is_some();
--- a/crates/aldercrank-server/src/net/config_reload.rs
+++ b/crates/aldercrank-server/src/net/config_reload.rs
@@ -17,32 +17,33 @@
                 return tracing::error!(reason = %error, "could not load the new configuration; keeping the present one");
             }
         };
-        if let Some(reason) = self.config.foreign(&new) {
+        if let Some(reason) = self.config.foreign_reason(&new) {
             return tracing::error!(
                 %reason,
                 "the new configuration belongs to another server; keeping the present one"
             );
         }
-        let fixed = self.config.fixed(&new);
+        let fixed = self.config.restart_only_changes(&new);
         if !fixed.is_empty() {
             let fields = fixed.join(", ");
             tracing::warn!(fields, "some changed configuration fields take effect only after a restart");
         }
-        if let Some(settings) = self.config.settings_of(&new) {
+        if let Some(settings) = self.config.reloadable_settings(&new) {
             self.settings_changed(settings);
         }
         if !self.phase.is_draining() {
-            (self.stop_timeout, self.config.stop) = (new.stop, new.stop);
+            (self.stop_timeout, self.config.stop_timeout) = (new.stop_timeout, new.stop_timeout);
         }
         self.addresses_changed(&new);
     }
 
     fn addresses_changed(&mut self, new: &Config) {
-        let Config { pool, index, members, .. } = *new;
+        let Config { pool_address: pool, dependency_address: index, membership_address: members, .. } = *new;
         tracing::info!(worker_pool = %pool, membership_service = %members, "configuration reloaded");
-        let pool_moved = pool != self.config.pool;
-        let membership_moved = members != self.config.members;
-        (self.config.pool, self.config.index, self.config.members) = (pool, index, members);
+        let pool_moved = pool != self.config.pool_address;
+        let membership_moved = members != self.config.membership_address;
+        (self.config.pool_address, self.config.dependency_address, self.config.membership_address) =
+            (pool, index, members);
         {
             let mut net = self.net();
             // Outstanding calls continue on their connections; new calls go to the new address.
--- a/crates/aldercrank-server/src/net/dependency_calls.rs
+++ b/crates/aldercrank-server/src/net/dependency_calls.rs
@@ -83,7 +83,7 @@
 
     /// Ends a call by closing its connection, whether the call is over or was cancelled.
     pub(super) fn close_call(&mut self, request_id: RequestId) {
-        self.timers.clear(TimerEvent::CallTimeout(request_id));
+        self.timers.remove(TimerEvent::CallTimeout(request_id));
         let id = self.calls.outstanding.remove(&request_id).flatten();
         if let Some(connection) = id.and_then(|id| self.calls.connections.remove(id.0)) {
             connection.exchange.close(&self.event_loop);
--- a/crates/aldercrank-server/src/net/edge_connections.rs
+++ b/crates/aldercrank-server/src/net/edge_connections.rs
@@ -214,7 +214,7 @@
         }
         match message_due {
             Some(due) => timers.set(TimerEvent::MessageTimeout(conn), due),
-            None => timers.clear(TimerEvent::MessageTimeout(conn)),
+            None => timers.remove(TimerEvent::MessageTimeout(conn)),
         }
     }
 
@@ -444,7 +444,7 @@
         edge.checked_written_bytes = edge.connection.written_bytes();
         edge.final_wait_started = edge.write_shut_down;
         self.lingering.push_back(conn);
-        timers.clear(TimerEvent::MessageTimeout(conn));
+        timers.remove(TimerEvent::MessageTimeout(conn));
         timers.set(TimerEvent::CloseTimeout(conn), now + close_timeout);
     }
 
@@ -478,8 +478,8 @@
         event_loop: &EventLoopHandle,
         timers: &mut Deadlines<TimerEvent>,
     ) {
-        timers.clear(TimerEvent::CloseTimeout(conn));
-        timers.clear(TimerEvent::MessageTimeout(conn));
+        timers.remove(TimerEvent::CloseTimeout(conn));
+        timers.remove(TimerEvent::MessageTimeout(conn));
         self.leave_idle_list(conn);
         self.lingering.retain(|other| *other != conn);
         if let Some(edge) = self.connections.remove(Slot(conn.0)) {
--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -130,7 +130,7 @@
             ..IncomingRequest::default()
         };
         let attempt = AttemptId::new(attempt).ok_or(FieldOutOfRange("rid"))?;
-        Ok(ReceivedRequest { attempt, dedup_key, arrival, unread, body })
+        Ok(ReceivedRequest { attempt, dedup_key, arrival, max_unread_time: unread, body })
     }
 }
 
@@ -208,7 +208,7 @@
 
     fn add_edge_connection(&mut self, stream: TcpStream, input_empty_at: Duration) {
         let now = self.now();
-        let excess = self.config.result.saturating_sub(MAX_PAYLOAD_BYTES);
+        let excess = self.config.max_result_bytes.saturating_sub(MAX_PAYLOAD_BYTES);
         let send_buffer = SEND_BUFFER_BYTES.max(excess / SEND_BUFFER_DIVISOR);
         if let Err(e) = socket2::SockRef::from(&stream).set_send_buffer_size(send_buffer) {
             tracing::debug!(reason = %e, "could not set the send buffer size; keeping the default");
--- a/crates/aldercrank-server/src/net/mod.rs
+++ b/crates/aldercrank-server/src/net/mod.rs
@@ -247,7 +247,7 @@
     fn next_due_timer(&self) -> Option<TimerEvent> {
         let mut net = self.net();
         let now = net.clock.now();
-        net.timers.due(now)
+        net.timers.pop_due(now)
     }
 
     /// How long the event loop may wait for events: until the next timer, or not at all while reads are pending.
--- a/crates/aldercrank-server/src/net/startup.rs
+++ b/crates/aldercrank-server/src/net/startup.rs
@@ -106,7 +106,7 @@
 }
 
 fn new_net(config: &Config, event_loop: EventLoopHandle, poller: Poller) -> Net {
-    let available = config.sockets.saturating_sub(RESERVED_DESCRIPTORS) as f64;
+    let available = config.max_sockets.saturating_sub(RESERVED_DESCRIPTORS) as f64;
     let limit = |share: f64| (available * share).max(1.0) as usize;
     Net {
         event_loop,
@@ -114,11 +114,11 @@
         clock: Clock::default(),
         timers: Deadlines::default(),
         name: config.name.clone(),
-        pool_address: config.pool,
-        dependency_address: config.index,
-        membership_address: config.members,
+        pool_address: config.pool_address,
+        dependency_address: config.dependency_address,
+        membership_address: config.membership_address,
         edge: EdgeConnections::with_limit(limit(EDGE_SHARE)),
-        pool: WorkerPoolLink::new(config.result, &config.seed, &config.name),
+        pool: WorkerPoolLink::new(config.max_result_bytes, &config.seed, &config.name),
         calls: DependencyCalls::with_limit(limit(CALLS_SHARE)),
         reports: MembershipReports::new(report_pacer(config)),
         read_queue: VecDeque::new(),
@@ -133,7 +133,7 @@
     let pacer_config = aldercrank_pacing::RetryPacerConfig {
         interval: REPORT_INTERVAL,
         entry_lifetime: ENTRY_TTL,
-        max_backoff: config.reports_longest.unwrap_or(ENTRY_TTL.mul_f64(REPORT_BACKOFF_SHARE)),
+        max_backoff: config.max_report_backoff.unwrap_or(ENTRY_TTL.mul_f64(REPORT_BACKOFF_SHARE)),
         server_count: config.settings.number("peers_total"),
     };
     RetryPacer::new(pacer_config, &config.seed, &config.name, Clock::unix_time())
@@ -159,8 +159,8 @@
             pool_was_cold: false,
             phase: Phase::Starting,
             read_config,
-            result_memory_bytes: (config.memory as f64 * CACHED_RESULTS_MEMORY_SHARE) as usize,
-            stop_timeout: config.stop,
+            result_memory_bytes: (config.memory_bytes as f64 * CACHED_RESULTS_MEMORY_SHARE) as usize,
+            stop_timeout: config.stop_timeout,
             config,
             socket_settings,
             read_buffer: Vec::new(),
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -456,7 +456,7 @@
             let mut net = self.net();
             let net = &mut *net;
             let before = net.clock.now();
-            net.clock.restart(age);
+            net.clock.set_elapsed(age);
             net.timers.rebase(before, age);
         }
         let mut settings = self.config.settings.clone();
@@ -464,7 +464,7 @@
         let core = Core::new(&settings, age, self.result_memory_bytes, self.core_ports());
         (self.core, self.pool_was_cold) = (Some(core), cold);
         if let (true, Some(core)) = (self.config.start.report_share, &mut self.core) {
-            core.follow_slow_start(age, &self.config.settings, cold);
+            core.track_slow_start(age, &self.config.settings, cold);
         }
         self.apply_config_to_new_core();
         self.schedule_first_report();
--- a/crates/aldercrank-server/src/operator_commands/command_line.rs
+++ b/crates/aldercrank-server/src/operator_commands/command_line.rs
@@ -130,7 +130,7 @@
 }
 
 /// The parser of the arguments after `aldercrank rules`.
-pub fn commands() -> OptionParser<RulesCommand> {
+pub fn command_parser() -> OptionParser<RulesCommand> {
     let (check, show, diff) = (check(), show(), diff());
     let (propose, withdraw, status) = (propose(), withdraw(), status());
     construct!([check, show, diff, propose, withdraw, status])
--- a/crates/aldercrank-server/src/operator_commands/mod.rs
+++ b/crates/aldercrank-server/src/operator_commands/mod.rs
@@ -8,7 +8,7 @@
 mod error;
 mod status_report;
 
-pub use command_line::{commands, RulesCommand};
+pub use command_line::{command_parser, RulesCommand};
 pub use error::{CommandError, RequestError, ResponseError};
 
 use crate::config::{Config, ConfigError, FileFaults};
--- a/crates/aldercrank-server/src/payload.rs
+++ b/crates/aldercrank-server/src/payload.rs
@@ -21,7 +21,7 @@
 static COPIED_BYTES: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the number of payload bytes that this process has copied.
-pub fn copied() -> u64 {
+pub fn copied_bytes() -> u64 {
     COPIED_BYTES.load(Ordering::Relaxed)
 }
 
--- a/crates/aldercrank-server/tests/suite/config.rs
+++ b/crates/aldercrank-server/tests/suite/config.rs
@@ -12,7 +12,7 @@
         "unheard":[1],"settings":{"profiles":[{"name":"p","odd":null}]}}"#;
     let no_variable = |_: &str| None;
     let config = Config::parse(good, no_variable).ok().unwrap();
-    assert_eq!((config.name.as_str(), config.stop, config.sockets), ("n3", S * 16 / 5, 1024));
+    assert_eq!((config.name.as_str(), config.stop_timeout, config.max_sockets), ("n3", S * 16 / 5, 1024));
     for (from, to, field) in [
         ("\"n3\"", "\"\"", "name"),
         ("\"n3\"", "\"a b\"", "name"),
@@ -38,7 +38,7 @@
     assert!(Config::parse(&without, no_variable).err().unwrap().to_string().contains("index"));
     let without_calls =
         without.replace("\"settings\":{", "\"settings\":{\"family_info\":{\"below\":\"none\"},");
-    assert_eq!(Config::parse(&without_calls, no_variable).ok().unwrap().index, None);
+    assert_eq!(Config::parse(&without_calls, no_variable).ok().unwrap().dependency_address, None);
     let var = |name: &str| (name == "ROUTER_NAME").then(|| "n9".to_string());
     assert_eq!(Config::parse(&good.replacen("\"name\"", "\"title\"", 1), var).ok().unwrap().name, "n9");
 }
@@ -53,8 +53,8 @@
         std::fs::write(&service, text).unwrap();
         Config::load(config.to_str(), service.to_str()).map_err(|error| error.to_string())
     };
-    assert_eq!(load("results {\n    longest-kb 512\n}\n").unwrap().result, 512 * 1024);
-    assert_eq!(load("").unwrap().result, 256 * 1024);
+    assert_eq!(load("results {\n    longest-kb 512\n}\n").unwrap().max_result_bytes, 512 * 1024);
+    assert_eq!(load("").unwrap().max_result_bytes, 256 * 1024);
     let why = load("results {\n    longest-kb 0\n}\nresult\n").err().unwrap();
     assert!(
         why.contains("service.kdl:2:16: longest-kb takes") && why.contains("service.kdl:4:1: result is not")
--- a/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/abandoned_requests.rs
@@ -38,7 +38,7 @@
         rank: 0.9,
         ..IncomingRequest::default()
     };
-    let received = ReceivedRequest { attempt, dedup_key: None, arrival, unread: MS, body: b"x" };
+    let received = ReceivedRequest { attempt, dedup_key: None, arrival, max_unread_time: MS, body: b"x" };
     core.request_received(now, reply_to, received);
 }
 
--- a/crates/aldercrank-server/tests/suite/core/requests.rs
+++ b/crates/aldercrank-server/tests/suite/core/requests.rs
@@ -52,7 +52,7 @@
         scenario.core.request_received(
             scenario.now(),
             reply_to,
-            ReceivedRequest { attempt, dedup_key, arrival, unread: Duration::MAX, body: &[] },
+            ReceivedRequest { attempt, dedup_key, arrival, max_unread_time: Duration::MAX, body: &[] },
         );
         scenario.exchange();
         assert_eq!((scenario.responses(reply_to), scenario.world().runs.len()), (1, 1), "{class}");
@@ -132,7 +132,7 @@
     scenario.core.request_received(
         scenario.now(),
         reply_to,
-        ReceivedRequest { attempt, dedup_key: None, arrival, unread: Duration::MAX, body: &[] },
+        ReceivedRequest { attempt, dedup_key: None, arrival, max_unread_time: Duration::MAX, body: &[] },
     );
     assert_eq!(scenario.responses(reply_to), 1);
     for _ in 0..10 {
@@ -172,7 +172,7 @@
             scenario.core.request_received(
                 now,
                 reply_to,
-                ReceivedRequest { attempt, dedup_key: None, arrival, unread, body: &[] },
+                ReceivedRequest { attempt, dedup_key: None, arrival, max_unread_time: unread, body: &[] },
             );
             scenario.exchange();
         }
--- a/crates/aldercrank-server/tests/suite/core/scenario.rs
+++ b/crates/aldercrank-server/tests/suite/core/scenario.rs
@@ -89,7 +89,7 @@
         self.core.request_received(
             now,
             reply_to,
-            ReceivedRequest { attempt, dedup_key, arrival, unread: unread_time, body: &body },
+            ReceivedRequest { attempt, dedup_key, arrival, max_unread_time: unread_time, body: &body },
         );
         reply_to
     }
@@ -180,7 +180,7 @@
             let next = self.world().timers.next().unwrap_or(end).max(self.now() + MS).min(end);
             self.world_mut().now = next;
             loop {
-                let timer = self.world_mut().timers.due(next);
+                let timer = self.world_mut().timers.pop_due(next);
                 let Some(timer) = timer else { break };
                 self.core.timer_fired(next, timer);
             }
--- a/crates/aldercrank-server/tests/suite/golden_config.rs
+++ b/crates/aldercrank-server/tests/suite/golden_config.rs
@@ -24,18 +24,18 @@
 /// Formats the fields other than the settings, by their names in the file.
 fn fields(config: &Config) -> String {
     let mut lines = format!("  name {:?}\n  listen {}\n", config.name, config.listen);
-    writeln!(lines, "  pool {}\n  members {}", config.pool, config.members).unwrap();
-    writeln!(lines, "  index {}", or_none(config.index)).unwrap();
-    writeln!(lines, "  stop {:?}", config.stop).unwrap();
-    writeln!(lines, "  memory {} bytes, sockets {}", config.memory, config.sockets).unwrap();
+    writeln!(lines, "  pool {}\n  members {}", config.pool_address, config.membership_address).unwrap();
+    writeln!(lines, "  index {}", or_none(config.dependency_address)).unwrap();
+    writeln!(lines, "  stop {:?}", config.stop_timeout).unwrap();
+    writeln!(lines, "  memory {} bytes, sockets {}", config.memory_bytes, config.max_sockets).unwrap();
     writeln!(lines, "  seed {:?}", config.seed).unwrap();
     lines + &service_fields(config)
 }
 
 /// Formats the fields that the service file sets.
 pub fn service_fields(config: &Config) -> String {
-    let mut lines = format!("  longest result {} bytes\n", config.result);
-    writeln!(lines, "  longest between reports {}", or_none(config.reports_longest)).unwrap();
+    let mut lines = format!("  longest result {} bytes\n", config.max_result_bytes);
+    writeln!(lines, "  longest between reports {}", or_none(config.max_report_backoff)).unwrap();
     writeln!(lines, "  log in JSON {}", config.json_log).unwrap();
     lines += &versioned_config(config);
     writeln!(lines, "  start: tell-share {}", config.start.report_share).unwrap();
--- a/crates/aldercrank-server/tests/suite/golden_reload.rs
+++ b/crates/aldercrank-server/tests/suite/golden_reload.rs
@@ -32,16 +32,16 @@
 }
 
 fn compared(old: &Config, new: &Config) -> String {
-    let fixed = old.fixed(new);
+    let fixed = old.restart_only_changes(new);
     let mut lines =
         format!("  can't change: {}\n", if fixed.is_empty() { "nothing".into() } else { fixed.join("; ") });
     writeln!(
         lines,
         "  foreign: {}",
-        old.foreign(new).map_or("no".to_string(), |foreign| foreign.to_string())
+        old.foreign_reason(new).map_or("no".to_string(), |foreign| foreign.to_string())
     )
     .unwrap();
-    match old.settings_of(new) {
+    match old.reloadable_settings(new) {
         None => writeln!(lines, "  settings: as they are").unwrap(),
         Some(settings) => write!(lines, "  settings:\n{}", differences(&old.settings, &settings)).unwrap(),
     }
--- a/crates/aldercrank-server/tests/suite/tables.rs
+++ b/crates/aldercrank-server/tests/suite/tables.rs
@@ -28,12 +28,12 @@
     deadlines.set('b', S * 3);
     deadlines.set('a', S);
     assert_eq!(
-        (deadlines.next(), deadlines.due(S / 2), deadlines.due(S * 2), deadlines.due(S * 2)),
+        (deadlines.next(), deadlines.pop_due(S / 2), deadlines.pop_due(S * 2), deadlines.pop_due(S * 2)),
         (Some(S), None, Some('a'), None)
     );
     // The clock, which had counted two seconds, is set to count from the pool's start one second ago.
     deadlines.rebase(S * 2, S);
-    assert_eq!((deadlines.due(S), deadlines.due(S * 2)), (None, Some('b')));
+    assert_eq!((deadlines.pop_due(S), deadlines.pop_due(S * 2)), (None, Some('b')));
 }
 
 #[test]
--- a/crates/aldercrank-testbench/src/server_modes.rs
+++ b/crates/aldercrank-testbench/src/server_modes.rs
@@ -30,7 +30,7 @@
         for _ in io::stdin().lines() {
             let heap = HEAP.stats();
             let allocations = heap.allocations + heap.reallocations;
-            let copied = aldercrank_server::payload::copied();
+            let copied = aldercrank_server::payload::copied_bytes();
             println!("{allocations} {} {copied}", heap.bytes_allocated);
         }
         // The process that reads the counts has ended.
--- a/crates/aldercrank-testbench/src/soak_check.rs
+++ b/crates/aldercrank-testbench/src/soak_check.rs
@@ -100,7 +100,7 @@
 fn advance(core: &mut Core<RecordingPorts>, server: &RecordingPorts, now: Duration) {
     server.0.borrow_mut().now = now;
     loop {
-        let due = server.0.borrow_mut().timers.due(now);
+        let due = server.0.borrow_mut().timers.pop_due(now);
         let Some(timer) = due else { break };
         core.timer_fired(now, timer);
     }
@@ -142,7 +142,13 @@
     core.request_received(
         now,
         reply_to,
-        ReceivedRequest { attempt, dedup_key, arrival: incoming, unread: REQUEST_INTERVAL, body: b"a body" },
+        ReceivedRequest {
+            attempt,
+            dedup_key,
+            arrival: incoming,
+            max_unread_time: REQUEST_INTERVAL,
+            body: b"a body",
+        },
     );
     let owed = core.responses_owed();
     // The caller of one request in a hundred goes away, and a closed connection takes the callers of all its open
--- a/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
@@ -23,10 +23,14 @@
 /// The decoded configuration, under the names in the file.
 fn decoded(config: &Config) -> String {
     let mut lines = format!("  name {:?}\n  listen {}\n", config.name, config.listen);
-    writeln!(lines, "  pool {}\n  members {}\n  index {:?}", config.pool, config.members, config.index)
-        .unwrap();
-    writeln!(lines, "  stop {:?}\n  seed {:?}", config.stop, config.seed).unwrap();
-    writeln!(lines, "  memory {} bytes, sockets {}", config.memory, config.sockets).unwrap();
+    writeln!(
+        lines,
+        "  pool {}\n  members {}\n  index {:?}",
+        config.pool_address, config.membership_address, config.dependency_address
+    )
+    .unwrap();
+    writeln!(lines, "  stop {:?}\n  seed {:?}", config.stop_timeout, config.seed).unwrap();
+    writeln!(lines, "  memory {} bytes, sockets {}", config.memory_bytes, config.max_sockets).unwrap();
     for (name, value) in &config.settings.0 {
         writeln!(lines, "  settings.{name} = {}", setting(value)).unwrap();
     }
