--- a/crates/aldercrank-protocol/src/http.rs
+++ b/crates/aldercrank-protocol/src/http.rs
@@ -148,11 +148,11 @@
     /// The path.
     pub path: String,
     /// `If-None-Match`: the entity tag of the version that the client has, without quotes.
-    pub have: Option<String>,
+    pub if_none_match: Option<String>,
     /// `Prefer: wait`: how long the response may be held back until there is another version.
     pub wait: Option<Duration>,
     /// `X-Parent-Id`: the id of the attempt that a dependency call is made for.
-    pub parent: Option<String>,
+    pub parent_id: Option<String>,
     /// `X-Budget-Ms`: how long the client waits for the result of a dependency call.
     pub budget: Option<Duration>,
     /// The byte range of the body in the input.
@@ -186,9 +186,9 @@
         length,
         method: parsed.method.unwrap_or_default().to_string(),
         path: parsed.path.unwrap_or_default().to_string(),
-        have: field("if-none-match").map(|tag| text(tag.trim_ascii()).trim_matches('"').to_string()),
+        if_none_match: field("if-none-match").map(|tag| text(tag.trim_ascii()).trim_matches('"').to_string()),
         wait: field("prefer").and_then(|value| parse_seconds(value.strip_prefix(b"wait=")?)),
-        parent: field("x-parent-id").map(text),
+        parent_id: field("x-parent-id").map(text),
         budget: field("x-budget-ms").and_then(parse_digits).map(|ms| Duration::from_millis(ms as u64)),
         body: head..length,
     }))
--- a/crates/aldercrank-protocol/src/msgpack_rpc/mod.rs
+++ b/crates/aldercrank-protocol/src/msgpack_rpc/mod.rs
@@ -7,11 +7,11 @@
 
 pub use request::{
     read_request, write_cancel, write_health_check, write_request, InvalidRequest, RequestFields,
-    RequestHandler, UnknownNotification, MAX_BODY_BYTES,
+    RequestHandler, UnexpectedMessage, MAX_BODY_BYTES,
 };
 pub use response::{
-    read_response, write_closing, write_completed, write_completed_end, write_failed, write_health,
-    write_notification, write_rejected, ReceivedFields, ResponseFields, ResponseHandler,
+    read_response, write_closing, write_consensus_notification, write_failed, write_health, write_rejected,
+    write_result_end, write_result_start, ReceivedFields, ResponseFields, ResponseHandler,
 };
 
 use rmp::decode;
--- a/crates/aldercrank-protocol/src/msgpack_rpc/request.rs
+++ b/crates/aldercrank-protocol/src/msgpack_rpc/request.rs
@@ -62,7 +62,7 @@
 
 /// Why a message that is not a request was not understood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum UnknownNotification {
+pub enum UnexpectedMessage {
     /// A notification with an unknown method or invalid parameters.
     #[error("notification with an unknown method or invalid parameters")]
     UnknownMethod,
@@ -82,7 +82,7 @@
     /// An invalid request. It has a message id, so it can be answered.
     fn invalid_request(&mut self, call: MessageId, reason: InvalidRequest);
     /// A message that is neither a request nor a known notification. It cannot be answered.
-    fn unknown_notification(&mut self, reason: UnknownNotification);
+    fn unexpected_message(&mut self, reason: UnexpectedMessage);
 }
 
 /// Reads one message from the front of `input`. Returns its length, or `None` until it is complete.
@@ -109,10 +109,10 @@
         }
         (KIND_NOTIFICATION, NOTIFICATION_ELEMENTS) => match read_cancellation(rest) {
             Some(call) => handler.cancel(call),
-            None => handler.unknown_notification(UnknownNotification::UnknownMethod),
+            None => handler.unexpected_message(UnexpectedMessage::UnknownMethod),
         },
         (KIND_RESPONSE, CALL_ELEMENTS) => {
-            handler.unknown_notification(UnknownNotification::UnexpectedResponse);
+            handler.unexpected_message(UnexpectedMessage::UnexpectedResponse);
         }
         _ => return Err(ProtocolError::UnknownKind),
     }
--- a/crates/aldercrank-protocol/src/msgpack_rpc/response.rs
+++ b/crates/aldercrank-protocol/src/msgpack_rpc/response.rs
@@ -68,8 +68,8 @@
 }
 
 /// Writes the part of a response before a result of this length. The result has to follow, and then
-/// [`write_completed_end`].
-pub fn write_completed(output: &mut Vec<u8>, call: MessageId, length: usize) {
+/// [`write_result_end`].
+pub fn write_result_start(output: &mut Vec<u8>, call: MessageId, length: usize) {
     write_head(output, call);
     let _ = encode::write_nil(output);
     let _ = encode::write_array_len(output, 2);
@@ -77,7 +77,7 @@
 }
 
 /// Writes the part of a response after the result.
-pub fn write_completed_end(output: &mut Vec<u8>, fields: ResponseFields) {
+pub fn write_result_end(output: &mut Vec<u8>, fields: ResponseFields) {
     write_fields(output, fields, RejectionFields::default());
 }
 
@@ -114,7 +114,7 @@
 }
 
 /// Writes a notification about the versioned configuration.
-pub fn write_notification(output: &mut Vec<u8>, body: &[u8]) {
+pub fn write_consensus_notification(output: &mut Vec<u8>, body: &[u8]) {
     write_notification_head(output, CONSENSUS_METHOD);
     let _ = encode::write_array_len(output, 1);
     let _ = encode::write_bin(output, body);
@@ -152,7 +152,7 @@
     /// The server accepts no new requests on this connection.
     fn closing(&mut self);
     /// A notification about the versioned configuration.
-    fn notified(&mut self, _body: &[u8]) {}
+    fn consensus_notification(&mut self, _body: &[u8]) {}
 }
 
 /// Reads one message of at most this length from the front of `input`. Returns its length, or `None` until it is
@@ -194,7 +194,7 @@
         NOTIFICATION_CLOSING => handler.closing(),
         CONSENSUS_METHOD if decode::read_array_len(rest).ok()? == 1 => {
             let length = decode::read_bin_len(rest).ok()? as usize;
-            handler.notified(rest.get(..length)?);
+            handler.consensus_notification(rest.get(..length)?);
         }
         _ => {}
     }
--- a/crates/aldercrank-protocol/src/worker_pool.rs
+++ b/crates/aldercrank-protocol/src/worker_pool.rs
@@ -107,7 +107,7 @@
 
     /// The length that the message at the front of `input` will have, payload included. `None` while its line is
     /// incomplete, and if the line does not state a payload length within the limit.
-    pub fn awaited_length(&self, input: &[u8]) -> Option<usize> {
+    pub fn message_length(&self, input: &[u8]) -> Option<usize> {
         let line_end = memchr::memmem::find(input, LINE_END)
             .filter(|line_end| !self.skipping_line && *line_end <= MAX_LINE_BYTES)?;
         payload_length(std::str::from_utf8(&input[..line_end]).ok()?)
@@ -322,7 +322,7 @@
 
 /// How a run ended, as the pool reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// It completed.
     Completed,
     /// It failed.
@@ -338,15 +338,15 @@
     output: &mut Vec<u8>,
     notice: NoticeNumber,
     attempt: AttemptId,
-    end: RunEnd,
+    end: RunOutcome,
     run_time: Duration,
     result: &[u8],
 ) {
     let end = match end {
-        RunEnd::Completed => "ok",
-        RunEnd::Failed => "failed",
-        RunEnd::Cancelled => "halted",
-        RunEnd::NeverStarted => "void",
+        RunOutcome::Completed => "ok",
+        RunOutcome::Failed => "failed",
+        RunOutcome::Cancelled => "halted",
+        RunOutcome::NeverStarted => "void",
     };
     let run_time = as_milliseconds(run_time);
     let _ = write!(output, "finished {} {attempt} {end} {run_time:.3} {}\r\n", notice.0, result.len());
--- a/crates/aldercrank-protocol/tests/golden/edge_answers.rs
+++ b/crates/aldercrank-protocol/tests/golden/edge_answers.rs
@@ -33,7 +33,7 @@
     fn closing(&mut self) {
         self.0.push("closing".to_string());
     }
-    fn notified(&mut self, body: &[u8]) {
+    fn consensus_notification(&mut self, body: &[u8]) {
         self.0.push(format!("notification about rules: {:?}", escaped(body)));
     }
 }
@@ -83,9 +83,9 @@
 
 fn completed_response(call: u32, result: &[u8], fields: ResponseFields) -> Vec<u8> {
     encoded(|output| {
-        msgpack_rpc::write_completed(output, MessageId(call), result.len());
+        msgpack_rpc::write_result_start(output, MessageId(call), result.len());
         output.extend(result);
-        msgpack_rpc::write_completed_end(output, fields);
+        msgpack_rpc::write_result_end(output, fields);
     })
 }
 
@@ -151,17 +151,17 @@
     record_message(
         cases,
         "a notification about rules",
-        &encoded(|b| msgpack_rpc::write_notification(b, b"a body")),
+        &encoded(|b| msgpack_rpc::write_consensus_notification(b, b"a body")),
     );
     record_message(
         cases,
         "a notification about rules, empty",
-        &encoded(|b| msgpack_rpc::write_notification(b, b"")),
+        &encoded(|b| msgpack_rpc::write_consensus_notification(b, b"")),
     );
     record_message(
         cases,
         "a notification about rules, 300 bytes",
-        &encoded(|b| msgpack_rpc::write_notification(b, &filler(300))),
+        &encoded(|b| msgpack_rpc::write_consensus_notification(b, &filler(300))),
     );
     let several =
         [completed_response(12, b"d", ALL_FIELDS), closing, completed_response(13, b"e", NO_FIELDS)].concat();
--- a/crates/aldercrank-protocol/tests/golden/edge_calls.rs
+++ b/crates/aldercrank-protocol/tests/golden/edge_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::text::{escaped, hex, Cases};
 use aldercrank_protocol::msgpack_rpc::{
-    self, InvalidRequest, MessageId, RequestFields, RequestHandler, UnknownNotification,
+    self, InvalidRequest, MessageId, RequestFields, RequestHandler, UnexpectedMessage,
 };
 
 /// Records the calls of the codec, one line each.
@@ -38,7 +38,7 @@
     fn invalid_request(&mut self, call: MessageId, reason: InvalidRequest) {
         self.0.push(format!("call {} is refused: {reason}", call.0));
     }
-    fn unknown_notification(&mut self, reason: UnknownNotification) {
+    fn unexpected_message(&mut self, reason: UnexpectedMessage) {
         self.0.push(format!("passed over: {reason}"));
     }
 }
@@ -158,7 +158,7 @@
     record_message(cases, "an interrupt", &cancellation(7));
     record_message(cases, "an interrupt of the highest number", &cancellation(u32::MAX));
     let mut notification = Vec::new();
-    msgpack_rpc::write_notification(&mut notification, b"rules text");
+    msgpack_rpc::write_consensus_notification(&mut notification, b"rules text");
     record_message(cases, "a notification about rules", &notification);
     let several = [request(8, "look", &all_fields(), b"b"), health_check(9), cancellation(8)].concat();
     record_message(cases, "three messages in one buffer", &several);
--- a/crates/aldercrank-protocol/tests/golden/http.rs
+++ b/crates/aldercrank-protocol/tests/golden/http.rs
@@ -44,7 +44,16 @@
     match http::read_request(bytes) {
         Ok(None) => vec!["not whole".to_string()],
         Err(error) => vec![format!("error: {error}")],
-        Ok(Some(Request { length, method, path, have, wait, parent, budget, body })) => vec![
+        Ok(Some(Request {
+            length,
+            method,
+            path,
+            if_none_match: have,
+            wait,
+            parent_id: parent,
+            budget,
+            body,
+        })) => vec![
             format!("request of {length} bytes: {method} {path:?} body {:?}", escaped(&bytes[body])),
             format!("if-none-match={have:?} wait={wait:?} x-parent-id={parent:?} x-budget-ms={budget:?}"),
         ],
--- a/crates/aldercrank-protocol/tests/golden/worker_pool.rs
+++ b/crates/aldercrank-protocol/tests/golden/worker_pool.rs
@@ -3,7 +3,9 @@
 use crate::text::{escaped, filler, Cases};
 use crate::worker_commands::attempt_id;
 use aldercrank::Outcome;
-use aldercrank_protocol::worker_pool::{self, AttemptId, EventHandler, EventReader, NoticeNumber, RunEnd};
+use aldercrank_protocol::worker_pool::{
+    self, AttemptId, EventHandler, EventReader, NoticeNumber, RunOutcome,
+};
 use std::time::Duration;
 
 /// Records the calls of the codec, one line each.
@@ -62,7 +64,7 @@
     let (mut recorder, mut reader, mut consumed) =
         (EventRecorder::default(), EventReader::with_limit(max_payload_bytes), 0);
     loop {
-        let announced = reader.awaited_length(&bytes[consumed..]);
+        let announced = reader.message_length(&bytes[consumed..]);
         match reader.read(&bytes[consumed..], &mut recorder) {
             Some(length) => {
                 consumed += length;
@@ -108,7 +110,7 @@
     bytes
 }
 
-fn run_finished(end: RunEnd, run_time: Duration, result: &[u8]) -> Vec<u8> {
+fn run_finished(end: RunOutcome, run_time: Duration, result: &[u8]) -> Vec<u8> {
     encoded(|b| {
         worker_pool::write_run_finished(
             b,
@@ -126,23 +128,27 @@
     let id = || attempt_id("0123456789abcdef");
     record_input(cases, "bound, cold", &encoded(|b| worker_pool::write_bound(b, true, Duration::ZERO)));
     record_input(cases, "bound, warm", &encoded(|b| worker_pool::write_bound(b, false, micros(12_345_678))));
-    record_input(cases, "finished ok", &run_finished(RunEnd::Completed, micros(18_500), b"r\r\n\x00\xff"));
-    record_input(cases, "finished failed", &run_finished(RunEnd::Failed, micros(1), b""));
+    record_input(
+        cases,
+        "finished ok",
+        &run_finished(RunOutcome::Completed, micros(18_500), b"r\r\n\x00\xff"),
+    );
+    record_input(cases, "finished failed", &run_finished(RunOutcome::Failed, micros(1), b""));
     record_input(
         cases,
         "finished halted",
-        &run_finished(RunEnd::Cancelled, Duration::from_nanos(1_499), b""),
+        &run_finished(RunOutcome::Cancelled, Duration::from_nanos(1_499), b""),
     );
-    record_input(cases, "finished void", &run_finished(RunEnd::NeverStarted, Duration::ZERO, b""));
+    record_input(cases, "finished void", &run_finished(RunOutcome::NeverStarted, Duration::ZERO, b""));
     record_input(
         cases,
         "finished after an hour",
-        &run_finished(RunEnd::Completed, Duration::from_secs(3600), b"r"),
+        &run_finished(RunOutcome::Completed, Duration::from_secs(3600), b"r"),
     );
-    let longest = run_finished(RunEnd::Completed, micros(9), &filler(worker_pool::MAX_PAYLOAD_BYTES));
+    let longest = run_finished(RunOutcome::Completed, micros(9), &filler(worker_pool::MAX_PAYLOAD_BYTES));
     record_input(cases, "finished with the longest result", &longest);
     record_input(cases, "finished, cut short", &longest[..longest.len() - 1]);
-    let short = run_finished(RunEnd::Completed, micros(9), b"12345678");
+    let short = run_finished(RunOutcome::Completed, micros(9), b"12345678");
     record_input_with_limit(cases, "a result as long as is taken", &short, 8);
     record_input_with_limit(cases, "a result longer than is taken", &short, 7);
     record_input(
@@ -177,7 +183,7 @@
     let several = [
         short,
         encoded(|b| worker_pool::write_metrics(b, "8", &[1.0])),
-        run_finished(RunEnd::NeverStarted, micros(2), b"z"),
+        run_finished(RunOutcome::NeverStarted, micros(2), b"z"),
     ];
     record_input(cases, "three messages in one buffer", &several.concat());
 }
--- a/crates/aldercrank-server/src/config/mod.rs
+++ b/crates/aldercrank-server/src/config/mod.rs
@@ -61,7 +61,7 @@
     /// The versioned configuration, if the service file names one.
     pub agreement: Option<AgreementConfig>,
     /// The start-up options from the service file.
-    pub start: aldercrank_service_config::Start,
+    pub start: aldercrank_service_config::StartConfig,
     /// The settings of the admission module.
     pub settings: Settings,
 }
--- a/crates/aldercrank-server/src/config/platform_file.rs
+++ b/crates/aldercrank-server/src/config/platform_file.rs
@@ -108,7 +108,7 @@
             max_report_backoff: None,
             json_log: false,
             agreement: None,
-            start: aldercrank_service_config::Start::default(),
+            start: aldercrank_service_config::StartConfig::default(),
             listen: file.address("listen", Some("ROUTER_LISTEN"))?,
             pool_address: file.address("pool", None)?,
             membership_address: file.address("members", None)?,
--- a/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/peer_requests.rs
@@ -50,9 +50,9 @@
         };
         self.net().answer(reply_to, |output, fields| {
             output.append_framing(|bytes| {
-                msgpack_rpc::write_completed(bytes, reply_to.call, encoded.len());
+                msgpack_rpc::write_result_start(bytes, reply_to.call, encoded.len());
                 bytes.extend_from_slice(&encoded);
-                msgpack_rpc::write_completed_end(bytes, fields);
+                msgpack_rpc::write_result_end(bytes, fields);
             });
         });
         true
@@ -86,7 +86,7 @@
         agreement.followers.retain(|_, conn| net.edge.get(*conn).is_some());
         for conn in agreement.followers.values() {
             net.edge.send(*conn, |output, _| {
-                output.append_framing(|bytes| msgpack_rpc::write_notification(bytes, &body));
+                output.append_framing(|bytes| msgpack_rpc::write_consensus_notification(bytes, &body));
             });
         }
     }
--- a/crates/aldercrank-server/src/net/core_ports.rs
+++ b/crates/aldercrank-server/src/net/core_ports.rs
@@ -17,9 +17,9 @@
     fn complete(&mut self, reply_to: ReplyTo, result: Payload) {
         self.0.borrow_mut().answer(reply_to, |output, fields| {
             let length = result.bytes().len();
-            output.append_framing(|bytes| msgpack_rpc::write_completed(bytes, reply_to.call, length));
+            output.append_framing(|bytes| msgpack_rpc::write_result_start(bytes, reply_to.call, length));
             output.append_result(&result);
-            output.append_framing(|bytes| msgpack_rpc::write_completed_end(bytes, fields));
+            output.append_framing(|bytes| msgpack_rpc::write_result_end(bytes, fields));
         });
     }
     fn reject(&mut self, reply_to: ReplyTo, retry_after: Option<Duration>, last: bool) {
--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -8,7 +8,7 @@
 use crate::core::{ConnId, MessageId, ReceivedRequest, ReplyTo};
 use crate::dedup::DedupKey;
 use crate::msgpack_rpc::{
-    self, InvalidRequest, ProtocolError, RequestFields, RequestHandler, UnknownNotification,
+    self, InvalidRequest, ProtocolError, RequestFields, RequestHandler, UnexpectedMessage,
 };
 use crate::payload::count_copied;
 use crate::worker_pool::{AttemptId, MAX_PAYLOAD_BYTES};
@@ -43,7 +43,7 @@
     InvalidRequest(#[from] InvalidRequest),
     /// A notification is unknown.
     #[error("{0}")]
-    UnknownNotification(#[from] UnknownNotification),
+    UnknownNotification(#[from] UnexpectedMessage),
     /// A request was received on a connection that has been removed.
     #[error("connection has been removed")]
     NoConnection,
@@ -175,7 +175,7 @@
         self.violation = Some(reason.into());
     }
 
-    fn unknown_notification(&mut self, reason: UnknownNotification) {
+    fn unexpected_message(&mut self, reason: UnexpectedMessage) {
         self.violation = Some(reason.into());
     }
 }
--- a/crates/aldercrank-server/src/net/peer_connections.rs
+++ b/crates/aldercrank-server/src/net/peer_connections.rs
@@ -105,7 +105,7 @@
     fn closing(&mut self) {
         self.closing = true;
     }
-    fn notified(&mut self, body: &[u8]) {
+    fn consensus_notification(&mut self, body: &[u8]) {
         self.notifications.extend(rmp_serde::from_slice::<Option<VersionId>>(body).ok());
     }
 }
--- a/crates/aldercrank-server/src/net/worker_pool_link.rs
+++ b/crates/aldercrank-server/src/net/worker_pool_link.rs
@@ -370,7 +370,7 @@
         let rest = &received[consumed..];
         // Once a message within the limit is known to be large, a buffer of its stated length is allocated for it.
         let awaited_length =
-            reader.awaited_length(rest).filter(|length| *length > rest.len().max(BY_REFERENCE_BYTES));
+            reader.message_length(rest).filter(|length| *length > rest.len().max(BY_REFERENCE_BYTES));
         let mut net = self.net();
         let net = &mut *net;
         (net.pool.reader, net.pool.awaited_length) = (reader, awaited_length);
--- a/crates/aldercrank-server/tests/suite/codecs.rs
+++ b/crates/aldercrank-server/tests/suite/codecs.rs
@@ -27,7 +27,7 @@
     fn invalid_request(&mut self, call: MessageId, _reason: msgpack_rpc::InvalidRequest) {
         self.0.push(format!("invalid request {}", call.0));
     }
-    fn unknown_notification(&mut self, _reason: msgpack_rpc::UnknownNotification) {
+    fn unexpected_message(&mut self, _reason: msgpack_rpc::UnexpectedMessage) {
         self.0.push("unknown notification".to_string());
     }
 }
@@ -180,9 +180,9 @@
 #[test]
 fn responses_carry_the_result_unchanged_and_the_given_fields() {
     let (mut plain, mut full) = (Vec::new(), Vec::new());
-    msgpack_rpc::write_completed(&mut plain, MessageId(7), 3);
+    msgpack_rpc::write_result_start(&mut plain, MessageId(7), 3);
     plain.extend([1, 2, 255]);
-    msgpack_rpc::write_completed_end(&mut plain, msgpack_rpc::ResponseFields::default());
+    msgpack_rpc::write_result_end(&mut plain, msgpack_rpc::ResponseFields::default());
     assert_eq!(plain, [0x94, 1, 7, 0xc0, 0x92, 0xc4, 3, 1, 2, 255, 0x80]);
     let fields = msgpack_rpc::ResponseFields { load_hint: Some("0.85"), version: None };
     msgpack_rpc::write_rejected(&mut full, MessageId(300), fields, Some(Duration::from_micros(1200)), true);
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -4,7 +4,7 @@
 use aldercrank_consensus::{CommittedState, PeerRequest, PeerResponse, ServerName, VersionId};
 use aldercrank_server::msgpack_rpc::{
     self, InvalidRequest, MessageId, ReceivedFields, RequestFields, RequestHandler, ResponseFields,
-    ResponseHandler, UnknownNotification, CONSENSUS_METHOD,
+    ResponseHandler, UnexpectedMessage, CONSENSUS_METHOD,
 };
 use serde::Serialize;
 use std::fmt::Write;
@@ -31,7 +31,7 @@
     fn invalid_request(&mut self, call: MessageId, reason: InvalidRequest) {
         self.0.push(format!("call {} makes no sense: {reason}", call.0));
     }
-    fn unknown_notification(&mut self, reason: UnknownNotification) {
+    fn unexpected_message(&mut self, reason: UnexpectedMessage) {
         self.0.push(format!("ignored: {reason}"));
     }
 }
@@ -60,7 +60,7 @@
     fn closing(&mut self) {
         self.0.push("closing".to_string());
     }
-    fn notified(&mut self, body: &[u8]) {
+    fn consensus_notification(&mut self, body: &[u8]) {
         self.0.push(format!("news with body {}", hex(body)));
     }
 }
@@ -103,15 +103,15 @@
 
 fn response(call: u32, body: &[u8], fields: ResponseFields) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack_rpc::write_completed(&mut bytes, MessageId(call), body.len());
+    msgpack_rpc::write_result_start(&mut bytes, MessageId(call), body.len());
     bytes.extend_from_slice(body);
-    msgpack_rpc::write_completed_end(&mut bytes, fields);
+    msgpack_rpc::write_result_end(&mut bytes, fields);
     bytes
 }
 
 fn notification(proposal: Option<VersionId>) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack_rpc::write_notification(&mut bytes, &encoded(&proposal));
+    msgpack_rpc::write_consensus_notification(&mut bytes, &encoded(&proposal));
     bytes
 }
 
--- a/crates/aldercrank-service-config/src/fault.rs
+++ b/crates/aldercrank-service-config/src/fault.rs
@@ -4,16 +4,16 @@
 use std::fmt;
 use thiserror::Error;
 
-/// A fault and its position, displayed as `line:column: what`. Faults are ordered by position.
+/// A fault and its position, displayed as `line:column: kind`. Faults are ordered by position.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
-#[error("{line}:{column}: {what}")]
+#[error("{line}:{column}: {kind}")]
 pub struct Fault {
     /// The line, counted from 1.
     pub line: usize,
     /// The column in characters, counted from 1.
     pub column: usize,
     /// What is wrong.
-    pub what: FaultKind,
+    pub kind: FaultKind,
 }
 
 /// What is wrong at a position. Kinds that are displayed alike are equal.
@@ -73,7 +73,7 @@
     WrongValue {
         /// What was expected.
         expected: String,
-        /// The value, described by [`kind`](crate::kind).
+        /// The value, described by [`describe_value`](crate::describe_value).
         found: String,
     },
     /// A fault that is found by the code that uses the reader.
--- a/crates/aldercrank-service-config/src/lib.rs
+++ b/crates/aldercrank-service-config/src/lib.rs
@@ -10,5 +10,7 @@
 
 pub use fault::{Fault, FaultKind};
 pub use parser::parse;
-pub use reader::{kind, Reader};
-pub use service::{LogConfig, ReportConfig, ResultConfig, ServiceConfig, Start, VersionedConfigOptions};
+pub use reader::{describe_value, Reader};
+pub use service::{
+    LogConfig, ReportConfig, ResultConfig, ServiceConfig, StartConfig, VersionedConfigOptions,
+};
--- a/crates/aldercrank-service-config/src/parser.rs
+++ b/crates/aldercrank-service-config/src/parser.rs
@@ -2,7 +2,9 @@
 
 use crate::fault::{Fault, FaultKind};
 use crate::reader::Reader;
-use crate::service::{LogConfig, ReportConfig, ResultConfig, ServiceConfig, Start, VersionedConfigOptions};
+use crate::service::{
+    LogConfig, ReportConfig, ResultConfig, ServiceConfig, StartConfig, VersionedConfigOptions,
+};
 use kdl::{KdlDocument, KdlNode};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,9 +24,9 @@
 pub fn parse(text: &str) -> Result<ServiceConfig, Vec<Fault>> {
     let mut reader = Reader::new(text);
     let mut service = ServiceConfig::default();
-    let Some(document) = reader.document() else { return Err(reader.faults()) };
+    let Some(document) = reader.parse_document() else { return Err(reader.into_faults()) };
     reader.nodes(&document, &["results", "reports", "log", "rules", "start"], |reader, node| {
-        reader.no_values(node);
+        reader.reject_values(node);
         let Some(children) = reader.children(node) else { return };
         match node.name().value() {
             "reports" => service.reports = reports(reader, children),
@@ -34,7 +36,7 @@
             _ => service.results = results(reader, children),
         }
     });
-    let faults = reader.faults();
+    let faults = reader.into_faults();
     if faults.is_empty() {
         Ok(service)
     } else {
@@ -45,7 +47,7 @@
 fn results(reader: &mut Reader, children: &KdlDocument) -> ResultConfig {
     let mut results = ResultConfig::default();
     reader.nodes(children, &["longest-kb"], |reader, child| {
-        let longest = reader.whole(child, 1, MAX_RESULT_KB);
+        let longest = reader.integer(child, 1, MAX_RESULT_KB);
         results.max_kb = longest.and_then(|kb| u32::try_from(kb).ok());
     });
     results
@@ -54,7 +56,7 @@
 fn reports(reader: &mut Reader, children: &KdlDocument) -> ReportConfig {
     let mut reports = ReportConfig::default();
     reader.nodes(children, &["longest-ms"], |reader, child| {
-        let longest = reader.whole(child, MIN_REPORT_BACKOFF_MS, MAX_REPORT_BACKOFF_MS);
+        let longest = reader.integer(child, MIN_REPORT_BACKOFF_MS, MAX_REPORT_BACKOFF_MS);
         reports.max_backoff = longest.and_then(|ms| u64::try_from(ms).ok()).map(Duration::from_millis);
     });
     reports
@@ -63,15 +65,15 @@
 fn log(reader: &mut Reader, children: &KdlDocument) -> LogConfig {
     let mut log = LogConfig::default();
     reader.nodes(children, &["json"], |reader, child| {
-        log.json = reader.flag(child).unwrap_or_default();
+        log.json = reader.boolean(child).unwrap_or_default();
     });
     log
 }
 
-fn start(reader: &mut Reader, children: &KdlDocument) -> Start {
-    let mut start = Start::default();
+fn start(reader: &mut Reader, children: &KdlDocument) -> StartConfig {
+    let mut start = StartConfig::default();
     reader.nodes(children, &["tell-share"], |reader, child| {
-        start.report_share = reader.flag(child).unwrap_or_default();
+        start.report_share = reader.boolean(child).unwrap_or_default();
     });
     start
 }
@@ -80,28 +82,28 @@
     let mut options = VersionedConfigOptions::default();
     reader.nodes(children, &["book", "dir", "read-list", "reach"], |reader, child| {
         match child.name().value() {
-            "book" => options.version_file = reader.text(child, "the name of a file").unwrap_or_default(),
-            "dir" => options.state_dir = reader.text(child, "the name of a directory"),
-            "read-list" => options.read_proposals = reader.flag(child).unwrap_or_default(),
+            "book" => options.version_file = reader.string(child, "the name of a file").unwrap_or_default(),
+            "dir" => options.state_dir = reader.string(child, "the name of a directory"),
+            "read-list" => options.read_proposals = reader.boolean(child).unwrap_or_default(),
             _ => member_addresses(reader, child, &mut options.member_addresses),
         }
     });
     if options.version_file.is_empty() {
         let what = "rules needs book \"FILE\", the file of the initial version";
-        reader.fault(node.name().span().offset(), FaultKind::Other(what.to_string()));
+        reader.record_fault(node.name().span().offset(), FaultKind::Other(what.to_string()));
     }
     options
 }
 
 fn member_addresses(reader: &mut Reader, node: &KdlNode, addresses: &mut BTreeMap<String, SocketAddr>) {
-    reader.no_values(node);
+    reader.reject_values(node);
     for member in reader.children(node).into_iter().flat_map(KdlDocument::nodes) {
-        let Some(text) = reader.text(member, "an IP address with a port") else { continue };
+        let Some(text) = reader.string(member, "an IP address with a port") else { continue };
         match text.parse() {
             Ok(address) => drop(addresses.insert(member.name().value().to_string(), address)),
             Err(_) => {
                 let offset = member.name().span().offset();
-                reader.fault(offset, format!("{text:?} is not an IP address with a port"));
+                reader.record_fault(offset, format!("{text:?} is not an IP address with a port"));
             }
         }
     }
--- a/crates/aldercrank-service-config/src/reader.rs
+++ b/crates/aldercrank-service-config/src/reader.rs
@@ -29,23 +29,23 @@
     }
 
     /// Returns the recorded faults in the order of the text, without duplicates.
-    pub fn faults(mut self) -> Vec<Fault> {
+    pub fn into_faults(mut self) -> Vec<Fault> {
         self.faults.sort();
         self.faults.dedup();
         self.faults
     }
 
     /// Records a fault at a byte offset of the text.
-    pub fn fault(&mut self, offset: usize, what: impl Into<FaultKind>) {
+    pub fn record_fault(&mut self, offset: usize, what: impl Into<FaultKind>) {
         let bytes = self.text.as_bytes();
         let before = String::from_utf8_lossy(&bytes[..offset.min(bytes.len())]);
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
-        self.faults.push(Fault { line, column, what: what.into() });
+        self.faults.push(Fault { line, column, kind: what.into() });
     }
 
     /// Parses the text. If it is not valid KDL, records a fault for each diagnostic of the parser and returns `None`.
-    pub fn document(&mut self) -> Option<KdlDocument> {
+    pub fn parse_document(&mut self) -> Option<KdlDocument> {
         let error = match KdlDocument::parse_v2(self.text) {
             Ok(document) => return Some(document),
             Err(error) => error,
@@ -54,10 +54,10 @@
         for diagnostic in &error.diagnostics {
             let message = diagnostic.message.clone().or(diagnostic.label.clone()).unwrap_or_else(invalid);
             let help = diagnostic.help.as_ref().map(ToString::to_string);
-            self.fault(diagnostic.span.offset(), FaultKind::InvalidKdl { message, help });
+            self.record_fault(diagnostic.span.offset(), FaultKind::InvalidKdl { message, help });
         }
         if self.faults.is_empty() {
-            self.fault(0, FaultKind::InvalidKdl { message: invalid(), help: None });
+            self.record_fault(0, FaultKind::InvalidKdl { message: invalid(), help: None });
         }
         None
     }
@@ -69,9 +69,9 @@
             let name = node.name().value();
             let offset = node.name().span().offset();
             if !known.contains(&name) {
-                self.unknown(offset, name, known);
+                self.record_unknown_name(offset, name, known);
             } else if seen.contains(&name) {
-                self.fault(offset, FaultKind::Duplicate { name: name.to_string() });
+                self.record_fault(offset, FaultKind::Duplicate { name: name.to_string() });
             } else {
                 seen.push(name);
                 each(self, node);
@@ -80,7 +80,7 @@
     }
 
     /// Records a fault for an unknown name. It suggests the most similar known name, or lists all if none is similar.
-    pub fn unknown(&mut self, offset: usize, name: &str, known: &[&str]) {
+    pub fn record_unknown_name(&mut self, offset: usize, name: &str, known: &[&str]) {
         let similarities = known.iter().map(|k| (strsim::normalized_damerau_levenshtein(name, k), k));
         let nearest = similarities
             .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
@@ -90,13 +90,13 @@
             suggestion: nearest.map(|(_, suggestion)| suggestion.to_string()),
             known: known.iter().map(ToString::to_string).collect(),
         };
-        self.fault(offset, fault);
+        self.record_fault(offset, fault);
     }
 
     /// Records a fault for each value of the node.
-    pub fn no_values(&mut self, node: &KdlNode) {
+    pub fn reject_values(&mut self, node: &KdlNode) {
         for entry in node.entries() {
-            self.fault(entry.span().offset(), FaultKind::UnexpectedValue { name: name_of(node) });
+            self.record_fault(entry.span().offset(), FaultKind::UnexpectedValue { name: name_of(node) });
         }
     }
 
@@ -104,7 +104,7 @@
     pub fn children<'n>(&mut self, node: &'n KdlNode) -> Option<&'n KdlDocument> {
         let children = node.children();
         if children.is_none() {
-            self.fault(node.name().span().offset(), FaultKind::MissingBlock { name: name_of(node) });
+            self.record_fault(node.name().span().offset(), FaultKind::MissingBlock { name: name_of(node) });
         }
         children
     }
@@ -115,16 +115,22 @@
         let expected = expected.to_string();
         if let Some(children) = node.children() {
             let fault = FaultKind::UnexpectedBlock { expected: expected.clone() };
-            self.fault(children.span().offset(), fault);
+            self.record_fault(children.span().offset(), fault);
         }
         let [entry] = node.entries() else {
             let span = node.entries().get(1).map_or(node.name().span(), |second| second.span());
-            self.fault(span.offset(), FaultKind::WrongValueCount { expected, found: node.entries().len() });
+            self.record_fault(
+                span.offset(),
+                FaultKind::WrongValueCount { expected, found: node.entries().len() },
+            );
             return None;
         };
         let offset = entry.span().offset();
         if let Some(name) = entry.name() {
-            self.fault(offset, FaultKind::UnexpectedProperty { expected, name: name.value().to_string() });
+            self.record_fault(
+                offset,
+                FaultKind::UnexpectedProperty { expected, name: name.value().to_string() },
+            );
             return None;
         }
         Some(LocatedValue { value: entry.value(), offset })
@@ -140,32 +146,32 @@
         let LocatedValue { value, offset } = self.single_value(node, &expected)?;
         let converted = convert(value);
         if converted.is_none() {
-            self.fault(offset, FaultKind::WrongValue { expected, found: kind(value) });
+            self.record_fault(offset, FaultKind::WrongValue { expected, found: describe_value(value) });
         }
         converted
     }
 
     /// Returns the node's value, which must be a whole number from `min` to `max`.
-    pub fn whole(&mut self, node: &KdlNode, min: i128, max: i128) -> Option<i128> {
+    pub fn integer(&mut self, node: &KdlNode, min: i128, max: i128) -> Option<i128> {
         let expected = format!("{} takes one whole number from {min} to {max}", node.name().value());
         self.converted(node, expected, |value| value.as_integer().filter(|n| (min..=max).contains(n)))
     }
 
     /// Returns the node's value, which must be `#true` or `#false`.
-    pub fn flag(&mut self, node: &KdlNode) -> Option<bool> {
+    pub fn boolean(&mut self, node: &KdlNode) -> Option<bool> {
         let expected = format!("{} takes #true or #false", node.name().value());
         self.converted(node, expected, KdlValue::as_bool)
     }
 
     /// Returns the node's value, which must be a string. `what` describes the expected value in a fault.
-    pub fn text(&mut self, node: &KdlNode, what: &str) -> Option<String> {
+    pub fn string(&mut self, node: &KdlNode, what: &str) -> Option<String> {
         let expected = format!("{} takes {what}", node.name().value());
         self.converted(node, expected, |value| value.as_string().map(str::to_string))
     }
 }
 
 /// Describes a value in the text of a fault.
-pub fn kind(value: &KdlValue) -> String {
+pub fn describe_value(value: &KdlValue) -> String {
     match value {
         KdlValue::String(text) => format!("the text \"{}\"", text.chars().take(40).collect::<String>()),
         KdlValue::Integer(n) => n.to_string(),
--- a/crates/aldercrank-service-config/src/service.rs
+++ b/crates/aldercrank-service-config/src/service.rs
@@ -16,12 +16,12 @@
     /// The block `rules`. Without it, the server takes no part in the versioned configuration.
     pub versioned_config: Option<VersionedConfigOptions>,
     /// The block `start`.
-    pub start: Start,
+    pub start: StartConfig,
 }
 
 /// How a server starts.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Start {
+pub struct StartConfig {
     /// Whether the progress of the slow start is tracked, logged and included in load reports.
     pub report_share: bool,
 }
--- a/crates/aldercrank-service-config/tests/service_file.rs
+++ b/crates/aldercrank-service-config/tests/service_file.rs
@@ -10,7 +10,7 @@
 )]
 
 use aldercrank_service_config::{
-    parse, LogConfig, ReportConfig, ResultConfig, ServiceConfig, Start, VersionedConfigOptions,
+    parse, LogConfig, ReportConfig, ResultConfig, ServiceConfig, StartConfig, VersionedConfigOptions,
 };
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
                 read_proposals: true,
                 member_addresses: [("n2".to_string(), "127.0.0.1:7102".parse().unwrap())].into(),
             }),
-            start: Start { report_share: true },
+            start: StartConfig { report_share: true },
         })
     );
     assert_eq!(parse("// nothing\n"), Ok(ServiceConfig::default()));
--- a/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -12,7 +12,7 @@
 use crate::testbed::{ConnectionOwner, RelayId, Timer};
 use crate::version_checker::VersionChecker;
 use aldercrank_protocol::http;
-use aldercrank_service_config::Start;
+use aldercrank_service_config::StartConfig;
 use aldercrank_versioned_config::{changes, Consistency, VersionNumber, VersionedConfig};
 use std::collections::HashMap;
 use std::io;
@@ -73,7 +73,7 @@
     /// Writes a server's service file; `None` if the scenario sets nothing in it.
     pub(super) fn write_service_file(&self, number: ServerNo) -> io::Result<Option<PathBuf>> {
         let mut text = String::new();
-        if self.scenario.start != Start::default() {
+        if self.scenario.start != StartConfig::default() {
             text += &config::start_section(&self.scenario.start);
         }
         if let Some(versions) = &self.versions {
@@ -241,7 +241,7 @@
         let status = match request.head.method.as_str() {
             "GET" => {
                 let wait = request.head.wait.unwrap_or_default();
-                match versions.store.read(now, conn, request.head.have.clone(), wait) {
+                match versions.store.read(now, conn, request.head.if_none_match.clone(), wait) {
                     Some(answer) => self.answer_config_read(now, conn, answer),
                     None => self.testbed.set_timer(now + wait, Timer::ConfigReadTimeout),
                 }
--- a/crates/aldercrank-test-cluster/src/cluster/pool_host.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/pool_host.rs
@@ -7,7 +7,7 @@
 use crate::scenario::{InjectedViolation, Scenario};
 use crate::testbed::{Testbed, Timer};
 use crate::worker_pool_stub::{RunPlan, WorkerPoolHost, WorkerPoolStub};
-use aldercrank_protocol::worker_pool::{AttemptId, RunEnd};
+use aldercrank_protocol::worker_pool::{AttemptId, RunOutcome};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -86,7 +86,7 @@
         self.call_results.insert(attempt, reply.to_vec());
     }
 
-    fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8> {
+    fn run_ended(&mut self, attempt: AttemptId, end: RunOutcome) -> Vec<u8> {
         let reply = self.call_results.remove(&attempt);
         self.testbed.checker.run_ended(attempt, end);
         let sent = self.testbed.checker.attempt(attempt).map(|sent| (sent.request, sent.class));
@@ -101,7 +101,7 @@
             None => CallOutcome::NotNeeded,
         };
         match end {
-            RunEnd::Completed => run_result(attempt, call),
+            RunOutcome::Completed => run_result(attempt, call),
             _ => Vec::new(),
         }
     }
--- a/crates/aldercrank-test-cluster/src/cluster/stub_services.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/stub_services.rs
@@ -70,7 +70,7 @@
         input: &mut Vec<u8>,
     ) -> Result<(), CloseConnection> {
         let Some(HttpRequest { head, body }) = take_http_request(input)? else { return Ok(()) };
-        let parent = head.parent.unwrap_or_default();
+        let parent = head.parent_id.unwrap_or_default();
         let request = self.request_of(&parent);
         self.testbed.record.note(now, request, Some(server), || format!("called the index for {parent}"));
         let link = LinkId { server, remote: RemoteEndpoint::Index };
--- a/crates/aldercrank-test-cluster/src/config.rs
+++ b/crates/aldercrank-test-cluster/src/config.rs
@@ -3,7 +3,7 @@
 use crate::ids::ServerNo;
 use crate::invariant_checker::Effect;
 use crate::scenario::{zone_name, RequestClass, Scenario};
-use aldercrank_service_config::Start;
+use aldercrank_service_config::StartConfig;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -92,7 +92,7 @@
 }
 
 /// The `start` section of a server's service file.
-pub fn start_section(start: &Start) -> String {
+pub fn start_section(start: &StartConfig) -> String {
     format!("start {{\n    tell-share #{}\n}}\n", start.report_share)
 }
 
--- a/crates/aldercrank-test-cluster/src/invariant_checker/checker.rs
+++ b/crates/aldercrank-test-cluster/src/invariant_checker/checker.rs
@@ -8,7 +8,7 @@
 use super::scheduling_delay::SchedulingDelay;
 use super::violation::{Counts, Rule, Violation};
 use crate::ids::{ClassNo, Incarnation, ReplyTo, ServerNo};
-use aldercrank_protocol::worker_pool::{AttemptId, RunEnd};
+use aldercrank_protocol::worker_pool::{AttemptId, RunOutcome};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -387,9 +387,10 @@
         }
     }
 
-    /// A run has ended. With [`RunEnd::NeverStarted`], the attempt counts as not run.
-    pub fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) {
-        let Some(&index) = self.by_attempt_id.get(&attempt).filter(|_| end == RunEnd::NeverStarted) else {
+    /// A run has ended. With [`RunOutcome::NeverStarted`], the attempt counts as not run.
+    pub fn run_ended(&mut self, attempt: AttemptId, end: RunOutcome) {
+        let Some(&index) = self.by_attempt_id.get(&attempt).filter(|_| end == RunOutcome::NeverStarted)
+        else {
             return;
         };
         self.attempts[index].ran = false;
--- a/crates/aldercrank-test-cluster/src/kdl_properties.rs
+++ b/crates/aldercrank-test-cluster/src/kdl_properties.rs
@@ -1,7 +1,7 @@
 //! Reads the arguments and properties of a KDL node, `node "argument" name=value`, and checks their types and ranges.
 //! Invalid values are reported as errors at their position, and so are arguments and properties that were never read.
 
-use aldercrank_service_config::{kind, Reader};
+use aldercrank_service_config::{describe_value, Reader};
 use kdl::{KdlNode, KdlValue};
 
 /// Reads the arguments and properties of one node.
@@ -27,7 +27,7 @@
     /// Reports an error at the position of the node's name.
     pub fn report_error(&mut self, message: impl Into<String>) {
         let message = format!("{}: {}", self.node.name().value(), message.into());
-        self.reader.fault(self.offset(), message);
+        self.reader.record_fault(self.offset(), message);
     }
 
     /// The value of a property and its offset in the text.
@@ -59,8 +59,9 @@
         };
         let in_range = number.filter(|n| (least..=most).contains(n));
         if in_range.is_none() {
-            let found = kind(value);
-            self.reader.fault(offset, format!("{name} takes a number from {least} to {most}, found {found}"));
+            let found = describe_value(value);
+            self.reader
+                .record_fault(offset, format!("{name} takes a number from {least} to {most}, found {found}"));
         }
         in_range
     }
@@ -85,8 +86,8 @@
         if let KdlValue::String(text) = value {
             return Some(text.clone());
         }
-        let found = kind(value);
-        self.reader.fault(offset, format!("{name} takes a string, found {found}"));
+        let found = describe_value(value);
+        self.reader.record_fault(offset, format!("{name} takes a string, found {found}"));
         None
     }
 
@@ -126,7 +127,7 @@
     fn keyword_index(&mut self, text: &str, offset: usize, known: &[&str]) -> Option<usize> {
         let index = known.iter().position(|k| *k == text);
         if index.is_none() {
-            self.reader.unknown(offset, text, known);
+            self.reader.record_unknown_name(offset, text, known);
         }
         index
     }
@@ -137,8 +138,8 @@
         if let KdlValue::Bool(flag) = value {
             return Some(*flag);
         }
-        let found = kind(value);
-        self.reader.fault(offset, format!("{name} takes #true or #false, found {found}"));
+        let found = describe_value(value);
+        self.reader.record_fault(offset, format!("{name} takes #true or #false, found {found}"));
         None
     }
 
@@ -149,7 +150,7 @@
             let offset = entry.span().offset();
             match entry.name() {
                 Some(name) if !self.known_names.contains(&name.value()) => {
-                    self.reader.unknown(offset, name.value(), &self.known_names);
+                    self.reader.record_unknown_name(offset, name.value(), &self.known_names);
                 }
                 Some(_) => {}
                 None => {
@@ -160,14 +161,14 @@
                             self.node.name().value(),
                             self.arguments_read
                         );
-                        self.reader.fault(offset, message);
+                        self.reader.record_fault(offset, message);
                     }
                 }
             }
         }
         if let Some(children) = self.node.children() {
             let message = format!("{} takes no child nodes", self.node.name().value());
-            self.reader.fault(children.span().offset(), message);
+            self.reader.record_fault(children.span().offset(), message);
         }
     }
 }
--- a/crates/aldercrank-test-cluster/src/scenario/defaults.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/defaults.rs
@@ -5,7 +5,7 @@
 use crate::edge_nodes::{CallerPolicy, ConnectionUsage, ServerChoice};
 use crate::index_stub::IndexSettings;
 use crate::invariant_checker::Effect;
-use aldercrank_service_config::Start;
+use aldercrank_service_config::StartConfig;
 use std::time::Duration;
 
 fn default_fleet() -> Fleet {
@@ -104,7 +104,7 @@
             },
             membership_capacity: 400.0,
             versioned_config: None,
-            start: Start::default(),
+            start: StartConfig::default(),
             from_start: false,
             timeline: Vec::new(),
             bounds: Bounds::default(),
--- a/crates/aldercrank-test-cluster/src/scenario/model.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/model.rs
@@ -7,7 +7,7 @@
 use crate::index_stub::IndexSettings;
 use crate::invariant_checker::Effect;
 use crate::random::RandomStream;
-use aldercrank_service_config::Start;
+use aldercrank_service_config::StartConfig;
 use std::time::Duration;
 
 /// The servers of the cluster.
@@ -146,7 +146,7 @@
     /// The versioned configuration, if servers use one.
     pub versioned_config: Option<VersionedConfigSettings>,
     /// The start section of the servers' service file.
-    pub start: Start,
+    pub start: StartConfig,
     /// Whether callers and timeline begin when the first server is started, instead of once all servers are listed.
     pub from_start: bool,
     /// The steps that inject faults.
--- a/crates/aldercrank-test-cluster/src/scenario/read.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/read.rs
@@ -115,11 +115,11 @@
 
     fn read(&mut self, text: &str, file: &str, errors: &mut Vec<ScenarioError>, include: &mut Include) {
         let mut reader = Reader::new(text);
-        if let Some(document) = reader.document() {
+        if let Some(document) = reader.parse_document() {
             for node in document.nodes() {
                 let name = node.name().value();
                 if !NODES.contains(&name) {
-                    reader.unknown(node.name().span().offset(), name, &NODES);
+                    reader.record_unknown_name(node.name().span().offset(), name, &NODES);
                     continue;
                 }
                 let mut properties = NodeProperties::new(&mut reader, node);
@@ -134,7 +134,7 @@
                 properties.reject_unread();
             }
         }
-        let faults = reader.faults();
+        let faults = reader.into_faults();
         let messages = faults.iter().map(|fault| fault.to_string());
         errors.extend(messages.map(|message| ScenarioError::Document { file: file.to_string(), message }));
     }
--- a/crates/aldercrank-test-cluster/src/worker_pool_stub.rs
+++ b/crates/aldercrank-test-cluster/src/worker_pool_stub.rs
@@ -2,7 +2,9 @@
 //! injected faults slow the pool down or delay its start. Its notices are numbered, and a new link is sent those that
 //! it has missed. It performs no I/O and reads no clock.
 
-use aldercrank_protocol::worker_pool::{self, AttemptId, CommandError, CommandHandler, NoticeNumber, RunEnd};
+use aldercrank_protocol::worker_pool::{
+    self, AttemptId, CommandError, CommandHandler, NoticeNumber, RunOutcome,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -33,7 +35,7 @@
     /// The result of the run's call was delivered.
     fn call_result_delivered(&mut self, attempt: AttemptId, reply: &[u8]);
     /// The run has ended. Returns its result, which is empty for a run that did not complete.
-    fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8>;
+    fn run_ended(&mut self, attempt: AttemptId, end: RunOutcome) -> Vec<u8>;
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -200,7 +202,7 @@
             let Some(run) = self.runs.get_mut(&attempt) else { continue };
             let reaches_call = run.plan.makes_call && !run.call_done;
             if reaches_call && run.request_over {
-                self.end_run(attempt, RunEnd::Cancelled, host);
+                self.end_run(attempt, RunOutcome::Cancelled, host);
             } else if reaches_call {
                 self.notices += 1;
                 let number = NoticeNumber(self.notices);
@@ -208,7 +210,7 @@
                 let body = host.call_body(attempt);
                 self.notify(number, |into| worker_pool::write_run_blocked(into, number, attempt, &body));
             } else {
-                let end = if run.plan.fails { RunEnd::Failed } else { RunEnd::Completed };
+                let end = if run.plan.fails { RunOutcome::Failed } else { RunOutcome::Completed };
                 self.end_run(attempt, end, host);
             }
         }
@@ -221,11 +223,11 @@
         let Some(run) = self.runs.get_mut(&attempt) else { return };
         run.request_over = true;
         if matches!(run.stage, Stage::WaitingForCall(_)) {
-            self.end_run(attempt, RunEnd::Cancelled, host);
+            self.end_run(attempt, RunOutcome::Cancelled, host);
         }
     }
 
-    fn end_run(&mut self, attempt: AttemptId, end: RunEnd, host: &mut impl WorkerPoolHost) {
+    fn end_run(&mut self, attempt: AttemptId, end: RunOutcome, host: &mut impl WorkerPoolHost) {
         let Some(run) = self.runs.remove(&attempt) else { return };
         self.notices += 1;
         let number = NoticeNumber(self.notices);
@@ -311,7 +313,7 @@
     }
 
     fn stop_run(&mut self, attempt: AttemptId) {
-        self.pool.end_run(attempt, RunEnd::Cancelled, self.host);
+        self.pool.end_run(attempt, RunOutcome::Cancelled, self.host);
     }
 
     fn deliver_call_result(&mut self, attempt: AttemptId, reply: &[u8]) {
--- a/crates/aldercrank-test-cluster/tests/components/worker_pool_stub.rs
+++ b/crates/aldercrank-test-cluster/tests/components/worker_pool_stub.rs
@@ -1,13 +1,13 @@
 //! The stub worker pool, compared with a slow reference model.
 
 use crate::{attempt, ms};
-use aldercrank_protocol::worker_pool::{AttemptId, RunEnd};
+use aldercrank_protocol::worker_pool::{AttemptId, RunOutcome};
 use aldercrank_test_cluster::random::RandomStream;
 use aldercrank_test_cluster::worker_pool_stub::{Cores, RunPlan, WorkerPoolHost, WorkerPoolStub};
 use std::time::Duration;
 
 #[derive(Default)]
-struct EndRecorder(Vec<(AttemptId, RunEnd)>);
+struct EndRecorder(Vec<(AttemptId, RunOutcome)>);
 
 impl WorkerPoolHost for EndRecorder {
     fn plan_run(&mut self, _attempt: AttemptId, class: &str, _body: &[u8]) -> Option<RunPlan> {
@@ -18,7 +18,7 @@
         Vec::new()
     }
     fn call_result_delivered(&mut self, _attempt: AttemptId, _reply: &[u8]) {}
-    fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8> {
+    fn run_ended(&mut self, attempt: AttemptId, end: RunOutcome) -> Vec<u8> {
         self.0.push((attempt, end));
         Vec::new()
     }
@@ -112,7 +112,7 @@
 /// and take its share of a core.
 #[test]
 fn a_run_of_an_ended_request_is_stopped_at_its_call() {
-    struct CallingHost(Vec<(AttemptId, RunEnd)>);
+    struct CallingHost(Vec<(AttemptId, RunOutcome)>);
     impl WorkerPoolHost for CallingHost {
         fn plan_run(&mut self, _attempt: AttemptId, _class: &str, _body: &[u8]) -> Option<RunPlan> {
             Some(RunPlan { work: ms(20), makes_call: true, fails: false })
@@ -121,7 +121,7 @@
             b"ask".to_vec()
         }
         fn call_result_delivered(&mut self, _attempt: AttemptId, _reply: &[u8]) {}
-        fn run_ended(&mut self, attempt: AttemptId, end: RunEnd) -> Vec<u8> {
+        fn run_ended(&mut self, attempt: AttemptId, end: RunOutcome) -> Vec<u8> {
             self.0.push((attempt, end));
             Vec::new()
         }
@@ -135,7 +135,7 @@
     pool.request_over(ms(5), attempt(1), &mut host);
     assert_eq!(host.0, [], "the run continues until it reaches its call");
     pool.advance(ms(15), &mut host);
-    assert_eq!(host.0, [(attempt(1), RunEnd::Cancelled)]);
+    assert_eq!(host.0, [(attempt(1), RunOutcome::Cancelled)]);
     pool.request_over(ms(20), attempt(2), &mut host);
     assert_eq!(host.0.len(), 2, "a run that already waits for its call ends at once");
 }
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/written.rs
@@ -1,7 +1,7 @@
 //! Golden file of the service files that the test cluster writes, parsed by the same parser that servers use.
 
 use crate::compare;
-use aldercrank_service_config::{parse, Start};
+use aldercrank_service_config::{parse, StartConfig};
 use aldercrank_test_cluster::config::{rules_section, start_section, MemberAddress};
 use aldercrank_test_cluster::ids::ServerNo;
 use std::path::Path;
@@ -31,8 +31,8 @@
         address: ([127, 0, 0, 1], 7100 + server).into(),
     };
     let texts = [
-        start_section(&Start { report_share: true }),
-        start_section(&Start { report_share: false }),
+        start_section(&StartConfig { report_share: true }),
+        start_section(&StartConfig { report_share: false }),
         rules_section(version_file, None, &[]),
         rules_section(version_file, Some(Path::new("/run/n1")), &[member_address(1), member_address(2)]),
     ];
--- a/crates/aldercrank-testbench/src/stub_services.rs
+++ b/crates/aldercrank-testbench/src/stub_services.rs
@@ -2,7 +2,7 @@
 //! end with the process.
 
 use aldercrank_protocol::http;
-use aldercrank_protocol::worker_pool::{self, AttemptId, CommandHandler, NoticeNumber, RunEnd};
+use aldercrank_protocol::worker_pool::{self, AttemptId, CommandHandler, NoticeNumber, RunOutcome};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -58,8 +58,8 @@
     }
 
     /// Writes the event that a run has ended.
-    fn end_run(&mut self, output: &mut Vec<u8>, attempt: AttemptId, end: RunEnd) {
-        let length = if end == RunEnd::Completed { self.behavior.result } else { 0 };
+    fn end_run(&mut self, output: &mut Vec<u8>, attempt: AttemptId, end: RunOutcome) {
+        let length = if end == RunOutcome::Completed { self.behavior.result } else { 0 };
         let run_time = self.started_at.remove(&attempt).map_or(SHORT_RUN, |at| at.elapsed());
         let notice = self.next_notice();
         worker_pool::write_run_finished(output, notice, attempt, end, run_time, &vec![b'r'; length]);
@@ -122,7 +122,7 @@
         let mut state = self.state();
         let mut bytes = Vec::new();
         let attempt = state.running.pop_front()?;
-        state.end_run(&mut bytes, attempt, RunEnd::Completed);
+        state.end_run(&mut bytes, attempt, RunOutcome::Completed);
         state.send(&bytes);
         Some(attempt.to_string())
     }
@@ -156,7 +156,7 @@
     fn run(&self, output: &mut Vec<u8>, attempt: AttemptId) {
         let mut state = self.state();
         match state.behavior.runs {
-            RunBehavior::Immediate => state.end_run(output, attempt, RunEnd::Completed),
+            RunBehavior::Immediate => state.end_run(output, attempt, RunOutcome::Completed),
             RunBehavior::OnDemand => state.running.push_back(attempt),
             RunBehavior::Work { span, cores } => {
                 state.running.push_back(attempt);
@@ -172,7 +172,7 @@
         let mut state = self.state();
         if state.remove_running(attempt) {
             let mut bytes = Vec::new();
-            state.end_run(&mut bytes, attempt, RunEnd::Completed);
+            state.end_run(&mut bytes, attempt, RunOutcome::Completed);
             state.send(&bytes);
         }
     }
@@ -203,7 +203,7 @@
     fn stop_run(&mut self, attempt: AttemptId) {
         let mut state = self.pool.state();
         if state.remove_running(attempt) {
-            state.end_run(self.output, attempt, RunEnd::Cancelled);
+            state.end_run(self.output, attempt, RunOutcome::Cancelled);
         }
     }
     fn deliver_call_result(&mut self, attempt: AttemptId, _reply: &[u8]) {
--- a/crates/aldercrank-versioned-config/src/parser.rs
+++ b/crates/aldercrank-versioned-config/src/parser.rs
@@ -6,7 +6,7 @@
 use crate::value::Value;
 use crate::version::VersionNumber;
 use crate::versioned_config::VersionedConfig;
-use aldercrank_service_config::{kind, Fault, Reader};
+use aldercrank_service_config::{describe_value, Fault, Reader};
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -47,17 +47,17 @@
         let mut reader = Reader::new(text);
         if text.len() > MAX_TEXT_BYTES {
             let fault = ParseFault::TooLong { bytes: text.len(), limit: MAX_TEXT_BYTES };
-            reader.fault(0, fault.to_string());
-            return Err(reader.faults());
+            reader.record_fault(0, fault.to_string());
+            return Err(reader.into_faults());
         }
         let mut parser = Parser { reader: &mut reader, items: BTreeMap::new(), offsets: BTreeMap::new() };
         let number = parser.document();
         let items = parser.items;
-        let faults = reader.faults();
+        let faults = reader.into_faults();
         match number {
             Some(number) if faults.is_empty() => Ok(VersionedConfig { number, items }),
             _ if faults.is_empty() => {
-                Err(vec![Fault { line: 1, column: 1, what: ParseFault::NoVersion.to_string().into() }])
+                Err(vec![Fault { line: 1, column: 1, kind: ParseFault::NoVersion.to_string().into() }])
             }
             _ => Err(faults),
         }
@@ -83,11 +83,11 @@
 
 impl Parser<'_, '_> {
     fn report(&mut self, offset: usize, fault: &ParseFault) {
-        self.reader.fault(offset, fault.to_string());
+        self.reader.record_fault(offset, fault.to_string());
     }
 
     fn document(&mut self) -> Option<VersionNumber> {
-        let document = self.reader.document()?;
+        let document = self.reader.parse_document()?;
         self.reader.nodes(&document, &["rules"], |_, _| {});
         let Some(node) = document.nodes().iter().find(|node| node.name().value() == "rules") else {
             self.report(0, &ParseFault::RulesMissing);
@@ -108,7 +108,7 @@
                     return Some(VersionNumber(*number as u64));
                 }
                 other => {
-                    let found = kind(other);
+                    let found = describe_value(other);
                     self.report(entry.span().offset(), &ParseFault::InvalidVersionNumber { found });
                 }
             },
@@ -122,7 +122,7 @@
         for node in document.nodes() {
             let name = node.name().value();
             if !BLOCKS.contains(&name) {
-                self.reader.unknown(offset_of(node), name, &BLOCKS);
+                self.reader.record_unknown_name(offset_of(node), name, &BLOCKS);
                 continue;
             }
             let class = if name == path::CLASS { self.class_name(node) } else { Some(String::new()) };
@@ -158,7 +158,7 @@
     }
 
     fn time_span(&mut self, node: &KdlNode, block: &'static str, limits: &RangeInclusive<i128>) {
-        if let Some(milliseconds) = self.reader.whole(node, *limits.start(), *limits.end()) {
+        if let Some(milliseconds) = self.reader.integer(node, *limits.start(), *limits.end()) {
             self.insert(offset_of(node), ItemPath::new(block, "", ""), Value::Number(milliseconds as f64));
         }
     }
@@ -168,7 +168,7 @@
             [entry] if entry.name().is_none() => match entry.value() {
                 KdlValue::String(name) if is_valid_name(name) => return Some(name.clone()),
                 other => {
-                    let found = kind(other);
+                    let found = describe_value(other);
                     self.report(entry.span().offset(), &ParseFault::InvalidClassName { found });
                 }
             },
@@ -180,14 +180,14 @@
     /// Parses a block whose items are declared in a table.
     fn table(&mut self, node: &KdlNode, block: &'static str, class: &str, table: &[Item]) {
         if class.is_empty() {
-            self.reader.no_values(node);
+            self.reader.reject_values(node);
         }
         let Some(children) = self.reader.children(node) else { return };
         let names: Vec<&str> = table.iter().map(|item| item.name).collect();
         for child in children.nodes() {
             let name = child.name().value();
             let Some(item) = table.iter().find(|item| item.name == name) else {
-                self.reader.unknown(offset_of(child), name, &names);
+                self.reader.record_unknown_name(offset_of(child), name, &names);
                 continue;
             };
             if let Some(value) = self.value(child, item.kind) {
@@ -198,15 +198,15 @@
 
     fn value(&mut self, node: &KdlNode, kind: ValueKind) -> Option<Value> {
         match kind {
-            ValueKind::Flag => self.reader.flag(node).map(Value::Flag),
+            ValueKind::Flag => self.reader.boolean(node).map(Value::Flag),
             ValueKind::Number { min, max } | ValueKind::TimeSpan { min, max } => {
                 self.number_in_range(node, min, max).map(Value::Number)
             }
             ValueKind::OneOf(choices) => {
                 let names: Vec<&str> = choices.iter().map(|choice| choice.name).collect();
-                let text = self.reader.text(node, &format!("one of {}", names.join(", ")))?;
+                let text = self.reader.string(node, &format!("one of {}", names.join(", ")))?;
                 if !names.contains(&text.as_str()) {
-                    self.reader.unknown(offset_of(node), &text, &names);
+                    self.reader.record_unknown_name(offset_of(node), &text, &names);
                     return None;
                 }
                 Some(Value::Text(text))
@@ -227,18 +227,18 @@
         };
         let in_range = number.filter(|number| (min..=max).contains(number));
         if in_range.is_none() {
-            let found = kind(entry.value());
+            let found = describe_value(entry.value());
             self.report(entry.span().offset(), &ParseFault::NumberOutOfRange { item, min, max, found });
         }
         in_range
     }
 
     fn committee(&mut self, node: &KdlNode) {
-        self.reader.no_values(node);
+        self.reader.reject_values(node);
         let Some(children) = self.reader.children(node) else { return };
         for child in children.nodes() {
             let name = child.name().value();
-            let Some(address) = self.reader.text(child, "an IP address with a port") else { continue };
+            let Some(address) = self.reader.string(child, "an IP address with a port") else { continue };
             if !is_valid_name(name) {
                 self.report(offset_of(child), &ParseFault::InvalidMemberName { name: name.to_string() });
             } else if address.parse::<SocketAddr>().is_err() {
@@ -256,7 +256,7 @@
 
     /// Parses the zones with their servers. A server may be in one zone only.
     fn servers(&mut self, node: &KdlNode) {
-        self.reader.no_values(node);
+        self.reader.reject_values(node);
         let Some(children) = self.reader.children(node) else { return };
         let mut all_names = BTreeSet::new();
         for child in children.nodes() {
@@ -281,7 +281,7 @@
                     names.insert(name.clone());
                 }
                 other => {
-                    let found = kind(other);
+                    let found = describe_value(other);
                     self.report(offset, &ParseFault::ServerNameExpected { found });
                 }
             }
@@ -290,7 +290,7 @@
     }
 
     fn quotas(&mut self, node: &KdlNode) {
-        self.reader.no_values(node);
+        self.reader.reject_values(node);
         let Some(children) = self.reader.children(node) else { return };
         for child in children.nodes() {
             if let Some(quota) = self.number_in_range(child, 0.0, MAX_QUOTA) {
@@ -308,7 +308,7 @@
                     callers.insert(*number as u64);
                 }
                 other => {
-                    let found = kind(other);
+                    let found = describe_value(other);
                     self.report(entry.span().offset(), &ParseFault::CallerNumberExpected { found });
                 }
             }
--- a/crates/aldercrank-versioned-config/tests/golden.rs
+++ b/crates/aldercrank-versioned-config/tests/golden.rs
@@ -63,8 +63,8 @@
         Err(faults) => {
             let mut out = "not readable\n".to_string();
             for fault in faults {
-                let _ = writeln!(out, "line {} column {}: {}", fault.line, fault.column, fault.what);
-                assert_eq!(fault.to_string(), format!("{}:{}: {}", fault.line, fault.column, fault.what));
+                let _ = writeln!(out, "line {} column {}: {}", fault.line, fault.column, fault.kind);
+                assert_eq!(fault.to_string(), format!("{}:{}: {}", fault.line, fault.column, fault.kind));
             }
             out
         }
