--- a/crates/aldercrank-test-cluster/src/cluster/connections.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/connections.rs
@@ -158,7 +158,7 @@
         let changed = self.inject_into_response(now, conn, bytes);
         let bytes = changed.as_deref().unwrap_or(bytes);
         if let Err(invalid) = self.edges.bytes_received(now, conn, bytes, &mut self.testbed) {
-            if !self.testbed.is_connection_corrupted(conn) {
+            if !self.testbed.is_connection_impaired(conn) {
                 let what = invalid.to_string();
                 self.testbed.checker.record_violation(now, Rule::Mixed, None, None, what);
             }
--- a/crates/aldercrank-test-cluster/src/cluster/faults.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/faults.rs
@@ -6,7 +6,7 @@
 use crate::index_stub::IndexState;
 use crate::membership_stub::MembershipState;
 use crate::random::RandomStream;
-use crate::relayed_link::Corruption;
+use crate::relayed_link::Impairment;
 use crate::scenario::{Fault, InjectedViolation};
 use crate::testbed::{LinkId, Timer};
 use std::io;
@@ -88,12 +88,12 @@
             Fault::Kill | Fault::Shutdown | Fault::Pause | Fault::InvalidConfig | Fault::InvalidStart => {
                 self.begin_process_fault(now, &step.fault, number, until)
             }
-            Fault::CorruptLink { remote, to_server, from_server } => {
+            Fault::ImpairLink { remote, to_server, from_server } => {
                 let link = LinkId { server: number, remote: *remote };
                 if *remote == RemoteEndpoint::EdgeNodes {
                     self.testbed.checker.add_fault_span(number, now, until);
                 }
-                self.testbed.set_corruption(now, link, to_server.clone(), from_server.clone());
+                self.testbed.set_impairment(now, link, to_server.clone(), from_server.clone());
                 Ok(())
             }
             Fault::RefuseConnections(remote) => self.set_accepts(number, *remote, Accepts::No),
@@ -198,7 +198,7 @@
             Fault::Publish(_) => self.publish_next(now, index),
             Fault::Withdraw => self.store_versions(now, Vec::new()),
             Fault::StoreCorruptConfig(corruption) => self.store_corrupted(now, *corruption),
-            Fault::StoreGenesis => self.store_initial_version(now)?,
+            Fault::StoreInitialVersion => self.store_initial_version(now)?,
             _ => {}
         }
         Ok(())
@@ -228,9 +228,9 @@
             Fault::SlowPool(_) => self.set_pool_speed(now, number, 1.0),
             Fault::FailingRuns(_) => self.server(number).failing_share = 0.0,
             Fault::PoolCrash => self.start_cold_pool(now, number)?,
-            Fault::CorruptLink { remote, to_server, from_server } => {
+            Fault::ImpairLink { remote, to_server, from_server } => {
                 let link = LinkId { server: number, remote: *remote };
-                self.end_corruption(now, link, to_server.as_ref(), from_server.as_ref());
+                self.end_impairment(now, link, to_server.as_ref(), from_server.as_ref());
             }
             Fault::RefuseConnections(remote) => self.set_accepts(number, *remote, Accepts::Yes)?,
             _ => self.end_shared_fault(now, &step.fault)?,
@@ -265,21 +265,21 @@
         Ok(())
     }
 
-    fn end_corruption(
+    fn end_impairment(
         &mut self,
         now: Duration,
         link: LinkId,
-        to_process: Option<&Corruption>,
-        from_process: Option<&Corruption>,
+        to_process: Option<&Impairment>,
+        from_process: Option<&Impairment>,
     ) {
         if link.remote == RemoteEndpoint::EdgeNodes {
             self.testbed.checker.add_fault_span(link.server, now, now);
         }
-        let none = |corruption: Option<&Corruption>| corruption.map(|_| Corruption::default());
-        self.testbed.set_corruption(now, link, none(to_process), none(from_process));
+        let none = |impairment: Option<&Impairment>| impairment.map(|_| Impairment::default());
+        self.testbed.set_impairment(now, link, none(to_process), none(from_process));
         // Lost and changed bytes are not sent again, so these connections are reset when the fault ends.
-        let loses_bytes = |corruption: &Corruption| {
-            corruption.silent_after_bytes.is_some() || corruption.bit_flip_probability > 0.0
+        let loses_bytes = |impairment: &Impairment| {
+            impairment.silent_after_bytes.is_some() || impairment.bit_flip_probability > 0.0
         };
         if to_process.into_iter().chain(from_process).any(loses_bytes) {
             for conn in self.testbed.connections_of(link) {
--- a/crates/aldercrank-test-cluster/src/cluster/finish.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/finish.rs
@@ -85,12 +85,12 @@
         let listed = scenario.fleet.servers as f64 / scenario.membership_capacity
             + scenario.callers.membership_lag.as_secs_f64();
         let mean_call = index.call_duration.as_secs_f64() * (1.0 + index.cold_slowdown) / 2.0;
-        let warm_by_slots = f64::from(index.warming) * mean_call / index.slots;
+        let warm_by_slots = f64::from(index.calls_to_warm) * mean_call / index.slots;
         // The index warms no faster than calls arrive.
         let calls_per_request: f64 =
             scenario.classes.iter().map(|class| class.share * class.call_probability).sum();
         let calls_per_second = calls_per_request * scenario.callers.rate;
-        let warm = warm_by_slots.max(f64::from(index.warming) / calls_per_second.max(1e-6));
+        let warm = warm_by_slots.max(f64::from(index.calls_to_warm) / calls_per_second.max(1e-6));
         let starts_cold = scenario.timeline.iter().any(|step| step.fault == Fault::IndexCachesEmptied);
         listed.max(if starts_cold { warm } else { 0.0 })
     }
--- a/crates/aldercrank-test-cluster/src/cluster/run.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/run.rs
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     /// If files or sockets fail, this process has too few descriptors, or the servers do not start.
-    pub fn play(scenario: &'a Scenario, options: &'a RunOptions) -> io::Result<Outcome> {
+    pub fn run_scenario(scenario: &'a Scenario, options: &'a RunOptions) -> io::Result<Outcome> {
         std::fs::create_dir_all(&options.dir)?;
         let outcome = TestCluster::prepare(scenario, options).and_then(|mut cluster| {
             cluster.start_all()?;
--- a/crates/aldercrank-test-cluster/src/cluster/start.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/start.rs
@@ -92,7 +92,7 @@
     ) -> io::Result<PathBuf> {
         let config_file = self.options.dir.join(format!("{number}.json"));
         let addresses = &self.servers[number.0 as usize].addresses;
-        let mut text = config::config(self.scenario, number, cold, addresses);
+        let mut text = config::server_config(self.scenario, number, cold, addresses);
         if start_config == StartConfig::Invalid {
             text["listen"] = "nowhere".into();
         }
--- a/crates/aldercrank-test-cluster/src/cluster/stub_services.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/stub_services.rs
@@ -74,7 +74,7 @@
         let request = self.request_of(&parent);
         self.testbed.record.note(now, request, Some(server), || format!("called the index for {parent}"));
         let link = LinkId { server, remote: RemoteEndpoint::Index };
-        if body != index_call_body(&parent) && !self.testbed.is_link_corrupted(link) {
+        if body != index_call_body(&parent) && !self.testbed.is_link_impaired(link) {
             let what = "the server sent the index a call with a body that differs from the one its run gave";
             let attempt = AttemptId::new(&parent);
             self.testbed.checker.record_violation(now, Rule::Mixed, attempt, Some(server), what);
@@ -138,7 +138,7 @@
         let is_up = contains(&request.body, b"\"UP\"");
         let offers_part = contains(&request.body, b"\"share\":0");
         let link = LinkId { server, remote: RemoteEndpoint::MembershipService };
-        if name != Some(server) && !self.testbed.is_link_corrupted(link) {
+        if name != Some(server) && !self.testbed.is_link_impaired(link) {
             let what = "the server sent a load report under the name of another server";
             self.testbed.checker.record_violation(now, Rule::Mixed, None, Some(server), what);
         }
--- a/crates/aldercrank-test-cluster/src/config.rs
+++ b/crates/aldercrank-test-cluster/src/config.rs
@@ -59,7 +59,12 @@
 }
 
 /// The JSON configuration of a server. `cold` tells whether its worker pool starts cold.
-pub fn config(scenario: &Scenario, server: ServerNo, cold: bool, addresses: &ServerAddresses) -> Value {
+pub fn server_config(
+    scenario: &Scenario,
+    server: ServerNo,
+    cold: bool,
+    addresses: &ServerAddresses,
+) -> Value {
     let fleet = &scenario.fleet;
     let classes: Vec<Value> = scenario.classes.iter().map(class_settings).collect();
     let makes_calls: Vec<bool> = scenario.classes.iter().map(|class| class.call_probability > 0.0).collect();
--- a/crates/aldercrank-test-cluster/src/edge_nodes/attempts.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/attempts.rs
@@ -145,8 +145,8 @@
         let class = &self.classes[request.class.0 as usize];
         let connection = self.connections.get_mut(&conn).expect("the chosen connection is in the table");
         let server = connection.server;
-        let piece_delay = self.policy.piece_delay.filter(|_| self.random.chance(SPLIT_WRITE_PROBABILITY));
-        let written_at = connection.plan_write(now, piece_delay);
+        let delay = self.policy.split_write_delay.filter(|_| self.random.chance(SPLIT_WRITE_PROBABILITY));
+        let written_at = connection.plan_write(now, delay);
         let reply_to = ReplyTo { conn, message_id: connection.next_message_id() };
         request.attempts += 1;
         (request.reply_to, request.last_sent_at) = (Some(reply_to), now);
--- a/crates/aldercrank-test-cluster/src/edge_nodes/choose_server.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/choose_server.rs
@@ -74,9 +74,9 @@
         let edge = &self.edges[edge_no.0 as usize];
         let open_calls = |server: ServerNo| edge.known.get(&server).map_or(0, |known| known.open_calls);
         let turn = edge.round_robin_turn;
-        match self.policy.choose {
+        match self.policy.server_choice {
             ServerChoice::RoundRobin => candidates[turn % candidates.len()],
-            ServerChoice::Least => {
+            ServerChoice::LeastOpenCalls => {
                 let order = (0..candidates.len()).map(|i| candidates[(i + turn) % candidates.len()]);
                 order.min_by_key(|server| open_calls(*server)).unwrap_or(candidates[0])
             }
--- a/crates/aldercrank-test-cluster/src/edge_nodes/policy.rs
+++ b/crates/aldercrank-test-cluster/src/edge_nodes/policy.rs
@@ -9,7 +9,7 @@
     /// Each in turn.
     RoundRobin,
     /// The one with the fewest open calls.
-    Least,
+    LeastOpenCalls,
     /// The one with fewer open calls of two chosen at random.
     TwoChoices,
     /// The same server until it rejects an attempt or fails.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerPolicy {
     /// How servers are chosen.
-    pub choose: ServerChoice,
+    pub server_choice: ServerChoice,
     /// The maximum number of attempts of one request.
     pub max_attempts: u32,
     /// How long one attempt of an idempotent request may take before another server is tried.
@@ -49,7 +49,7 @@
     /// The share of callers that cancel at a random time before their deadline.
     pub cancel_probability: f64,
     /// The delay between the two pieces in which half of the messages are written; all are written whole if `None`.
-    pub piece_delay: Option<Duration>,
+    pub split_write_delay: Option<Duration>,
     /// How long the connections to a server are used.
     pub connection_usage: ConnectionUsage,
     /// Whether a request with an idempotency key is retried, on the same server, after its connection failed.
--- a/crates/aldercrank-test-cluster/src/index_stub.rs
+++ b/crates/aldercrank-test-cluster/src/index_stub.rs
@@ -27,7 +27,7 @@
     /// The factor by which a call takes longer while the caches are empty.
     pub cold_slowdown: f64,
     /// The number of calls after which the caches are warm.
-    pub warming: u32,
+    pub calls_to_warm: u32,
 }
 
 /// The injected fault, if any.
@@ -115,7 +115,7 @@
             settings,
             state: IndexState::Healthy,
             open_calls: BTreeMap::new(),
-            calls_since_cold: settings.warming,
+            calls_since_cold: settings.calls_to_warm,
             open_call_seconds: 0.0,
             integrated_to: Duration::ZERO,
             most_open_calls: 0,
@@ -169,8 +169,9 @@
             return Some(IndexAnswer::Rejected);
         }
         let load_per_slot = (self.open_calls.len() as f64 + 1.0) / settings.slots.max(1.0);
-        let coldness =
-            1.0 - f64::from(self.calls_since_cold.min(settings.warming)) / f64::from(settings.warming.max(1));
+        let coldness = 1.0
+            - f64::from(self.calls_since_cold.min(settings.calls_to_warm))
+                / f64::from(settings.calls_to_warm.max(1));
         let slow = match self.state {
             IndexState::Slow(by) => by,
             _ => 1.0,
--- a/crates/aldercrank-test-cluster/src/process.rs
+++ b/crates/aldercrank-test-cluster/src/process.rs
@@ -15,18 +15,23 @@
     /// The executable `aldercrank`, of this build or of another.
     pub path: PathBuf,
     /// Arguments that come before those of each start.
-    pub first: Vec<String>,
-    /// A program of this repository whose command `hold PARENT PROGRAM ...` calls [`hold`].
+    pub leading_args: Vec<String>,
+    /// A program of this repository whose command `hold PARENT PROGRAM ...` calls [`exec_bound_to_parent`].
     pub launcher: PathBuf,
     /// The launcher's command and its arguments before the program: `hold`, or a command that also observes the
     /// program.
-    pub verb: (String, Vec<String>),
+    pub launcher_command: (String, Vec<String>),
 }
 
 impl Program {
     /// The program at `path`, started by the launcher's command `hold`.
     pub fn new(path: PathBuf, launcher: PathBuf) -> Program {
-        Program { path, first: Vec::new(), launcher, verb: (HOLD_COMMAND.to_string(), Vec::new()) }
+        Program {
+            path,
+            leading_args: Vec::new(),
+            launcher,
+            launcher_command: (HOLD_COMMAND.to_string(), Vec::new()),
+        }
     }
 }
 
@@ -34,7 +39,7 @@
 ///
 /// # Errors
 /// If the kernel refuses, or the parent has ended already.
-pub fn end_with(parent: u32) -> io::Result<()> {
+pub fn kill_on_parent_exit(parent: u32) -> io::Result<()> {
     rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?;
     // The parent may have ended before the signal was requested, which is then never sent.
     let current_parent = rustix::process::getppid().map(|pid| pid.as_raw_nonzero().get() as u32);
@@ -47,11 +52,11 @@
 
 /// Replaces this process with the program and arguments in `argv`, after making the kernel kill it when its parent
 /// ends. Returns only on failure.
-pub fn hold(parent: u32, argv: &[String]) -> io::Error {
+pub fn exec_bound_to_parent(parent: u32, argv: &[String]) -> io::Error {
     let Some((program, args)) = argv.split_first() else {
         return io::Error::other("hold: no program to run");
     };
-    if let Err(e) = end_with(parent) {
+    if let Err(e) = kill_on_parent_exit(parent) {
         return e;
     }
     Command::new(program).args(args).exec()
@@ -78,9 +83,12 @@
     pub fn start(program: &Program, args: &[&str], log: &Path) -> io::Result<Process> {
         let log = File::create(log)?;
         let mut command = Command::new(&program.launcher);
-        command.arg(&program.verb.0).arg(std::process::id().to_string()).args(&program.verb.1);
+        command
+            .arg(&program.launcher_command.0)
+            .arg(std::process::id().to_string())
+            .args(&program.launcher_command.1);
         // The launcher leaves what follows `--` to the program, flags included.
-        command.arg("--").arg(&program.path).args(&program.first).args(args);
+        command.arg("--").arg(&program.path).args(&program.leading_args).args(args);
         let child = command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log).spawn()?;
         Ok(Process { child, exit: None })
     }
--- a/crates/aldercrank-test-cluster/src/relayed_link.rs
+++ b/crates/aldercrank-test-cluster/src/relayed_link.rs
@@ -1,4 +1,4 @@
-//! One direction of a relayed connection between two processes, with the corruption that a scenario applies to it.
+//! One direction of a relayed connection between two processes, with the impairment that a scenario applies to it.
 //! No I/O and no clock: bytes are queued with their arrival time and released in order once their delay is over.
 
 use crate::random::RandomStream;
@@ -12,16 +12,16 @@
 
 /// What is done to the bytes of one direction. The default passes them unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Corruption {
+pub struct Impairment {
     /// Added latency.
     pub delay: Duration,
     /// The largest additional delay of a piece, as a share of `delay`.
     pub jitter: f64,
     /// Nothing passes while this is set; queued bytes follow afterwards, like segments that TCP retransmits.
     pub blocked: bool,
-    /// The connection is reset once this many bytes have passed under corruption.
+    /// The connection is reset once this many bytes have passed under impairment.
     pub reset_after_bytes: Option<u64>,
-    /// Nothing more passes on this connection once this many bytes have passed under corruption.
+    /// Nothing more passes on this connection once this many bytes have passed under impairment.
     pub silent_after_bytes: Option<u64>,
     /// Rate limit.
     pub bytes_per_second: Option<u64>,
@@ -31,14 +31,14 @@
     pub unread: bool,
 }
 
-impl Corruption {
+impl Impairment {
     /// Whether bytes pass unchanged and at once.
     pub fn is_none(&self) -> bool {
-        *self == Corruption::default()
+        *self == Impairment::default()
     }
 }
 
-/// The corruption's byte limit is reached: the connection must be reset.
+/// The impairment's byte limit is reached: the connection must be reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the connection reached its byte limit and is to be reset")]
 pub struct ResetDue;
@@ -53,8 +53,8 @@
 pub struct RelayedLink {
     queue: VecDeque<QueuedPiece>,
     queued_bytes: usize,
-    /// Bytes that have passed under corruption.
-    corrupted_bytes: u64,
+    /// Bytes that have passed under impairment.
+    impaired_bytes: u64,
     silent: bool,
     /// The release time of the newest piece. Later pieces are released no earlier, so that order is kept.
     last_release: Duration,
@@ -71,9 +71,9 @@
         self.queue.is_empty()
     }
 
-    /// Whether bytes may bypass the queue: nothing is queued and the corruption does nothing.
-    pub fn is_transparent(&self, corruption: &Corruption) -> bool {
-        self.queue.is_empty() && !self.silent && corruption.is_none()
+    /// Whether bytes may bypass the queue: nothing is queued and the impairment does nothing.
+    pub fn is_transparent(&self, impairment: &Impairment) -> bool {
+        self.queue.is_empty() && !self.silent && impairment.is_none()
     }
 
     /// Queues bytes that arrived at `now`.
@@ -81,20 +81,20 @@
         &mut self,
         now: Duration,
         mut bytes: Vec<u8>,
-        corruption: &Corruption,
+        impairment: &Impairment,
         random: &mut RandomStream,
     ) {
         if self.silent || bytes.is_empty() {
             return;
         }
-        if corruption.bit_flip_probability > 0.0 && random.chance(corruption.bit_flip_probability) {
+        if impairment.bit_flip_probability > 0.0 && random.chance(impairment.bit_flip_probability) {
             let position = random.below(bytes.len());
             bytes[position] ^= 1 << random.below(8);
         }
-        let delay = corruption.delay.mul_f64(1.0 + corruption.jitter * random.unit());
+        let delay = impairment.delay.mul_f64(1.0 + impairment.jitter * random.unit());
         self.last_release = self.last_release.max(now + delay);
         self.queued_bytes += bytes.len();
-        match corruption.bytes_per_second {
+        match impairment.bytes_per_second {
             Some(rate) => self.push_rate_limited(&bytes, rate.max(1)),
             None => self.queue.push_back(QueuedPiece { release_at: self.last_release, bytes }),
         }
@@ -109,51 +109,51 @@
     }
 
     /// When the next piece is due; `None` while nothing is queued or the link is blocked or silent.
-    pub fn next_release(&self, corruption: &Corruption) -> Option<Duration> {
-        let front = self.queue.front().filter(|_| !corruption.blocked && !self.silent);
+    pub fn next_release(&self, impairment: &Impairment) -> Option<Duration> {
+        let front = self.queue.front().filter(|_| !impairment.blocked && !self.silent);
         front.map(|piece| piece.release_at)
     }
 
     /// Appends the bytes that are due at `now` to `out`.
     ///
     /// # Errors
-    /// `ResetDue` if the corruption's byte limit is reached; `out` then holds the bytes up to the limit.
+    /// `ResetDue` if the impairment's byte limit is reached; `out` then holds the bytes up to the limit.
     pub fn release(
         &mut self,
         now: Duration,
-        corruption: &Corruption,
+        impairment: &Impairment,
         out: &mut Vec<u8>,
     ) -> Result<(), ResetDue> {
-        while let Some(release_at) = self.next_release(corruption) {
+        while let Some(release_at) = self.next_release(impairment) {
             if release_at > now {
                 break;
             }
             let Some(QueuedPiece { mut bytes, .. }) = self.queue.pop_front() else { break };
             self.queued_bytes -= bytes.len();
-            if !corruption.is_none() {
-                self.apply_byte_limits(&mut bytes, corruption, out)?;
+            if !impairment.is_none() {
+                self.apply_byte_limits(&mut bytes, impairment, out)?;
             }
             out.append(&mut bytes);
         }
         Ok(())
     }
 
-    /// Counts corrupted bytes and ends the stream at its limit, by silence or by a reset.
+    /// Counts impaired bytes and ends the stream at its limit, by silence or by a reset.
     fn apply_byte_limits(
         &mut self,
         bytes: &mut Vec<u8>,
-        corruption: &Corruption,
+        impairment: &Impairment,
         out: &mut Vec<u8>,
     ) -> Result<(), ResetDue> {
-        let before = self.corrupted_bytes;
-        self.corrupted_bytes += bytes.len() as u64;
-        if let Some(limit) = corruption.silent_after_bytes.filter(|limit| self.corrupted_bytes >= *limit) {
+        let before = self.impaired_bytes;
+        self.impaired_bytes += bytes.len() as u64;
+        if let Some(limit) = impairment.silent_after_bytes.filter(|limit| self.impaired_bytes >= *limit) {
             bytes.truncate(limit.saturating_sub(before) as usize);
             self.silent = true;
             self.queue.clear();
             self.queued_bytes = 0;
         }
-        if let Some(limit) = corruption.reset_after_bytes.filter(|limit| self.corrupted_bytes >= *limit) {
+        if let Some(limit) = impairment.reset_after_bytes.filter(|limit| self.impaired_bytes >= *limit) {
             bytes.truncate(limit.saturating_sub(before) as usize);
             out.append(bytes);
             return Err(ResetDue);
--- a/crates/aldercrank-test-cluster/src/scenario/read.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/read.rs
@@ -171,7 +171,7 @@
         set(&mut index.limit, properties.number("limit", 1.0, 1e6));
         set(&mut index.call_duration, properties.number("take-ms", 0.1, 1e5).map(milliseconds));
         set(&mut index.cold_slowdown, properties.number("cold", 1.0, 100.0));
-        set(&mut index.warming, properties.number("warming", 1.0, 1e6).map(|n| n as u32));
+        set(&mut index.calls_to_warm, properties.number("warming", 1.0, 1e6).map(|n| n as u32));
     }
 
     fn read_membership(&mut self, properties: &mut NodeProperties) {
@@ -276,10 +276,14 @@
         let policy = &mut callers.policy;
         set(&mut callers.rate, properties.number("rate", 0.1, 1e6));
         set(&mut callers.edges, properties.number("edges", 1.0, 1000.0).map(|n| n as usize));
-        let choices =
-            [ServerChoice::RoundRobin, ServerChoice::Least, ServerChoice::TwoChoices, ServerChoice::Sticky];
+        let choices = [
+            ServerChoice::RoundRobin,
+            ServerChoice::LeastOpenCalls,
+            ServerChoice::TwoChoices,
+            ServerChoice::Sticky,
+        ];
         let choice = properties.keyword("choose", &["round-robin", "least-open", "two-choices", "sticky"]);
-        set(&mut policy.choose, choice.map(|i| choices[i]));
+        set(&mut policy.server_choice, choice.map(|i| choices[i]));
         set(&mut policy.max_attempts, properties.number("tries", 1.0, 100.0).map(|n| n as u32));
         if let Some(timeout) = properties.number("patience-ms", 0.0, 120_000.0) {
             policy.attempt_timeout = (timeout > 0.0).then(|| milliseconds(timeout));
@@ -293,7 +297,10 @@
         set(&mut policy.idle_timeout, properties.number("idle-ms", 100.0, 600_000.0).map(milliseconds));
         set(&mut policy.cancel_probability, properties.number("leave", 0.0, 1.0));
         set(&mut policy.retries_keyed_after_failure, properties.flag("again"));
-        set_some(&mut policy.piece_delay, properties.number("pieces-ms", 0.1, 1000.0).map(milliseconds));
+        set_some(
+            &mut policy.split_write_delay,
+            properties.number("pieces-ms", 0.1, 1000.0).map(milliseconds),
+        );
         let usages = [ConnectionUsage::WhileListed, ConnectionUsage::UntilClosing, ConnectionUsage::UntilEnd];
         let usage = properties.keyword("use", &["while-listed", "until-closing", "until-end"]);
         set(&mut policy.connection_usage, usage.map(|i| usages[i]));
--- a/crates/aldercrank-test-cluster/src/scenario/read_step.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/read_step.rs
@@ -7,7 +7,7 @@
 use crate::index_stub::IndexState;
 use crate::kdl_properties::NodeProperties;
 use crate::membership_stub::MembershipState;
-use crate::relayed_link::Corruption;
+use crate::relayed_link::Impairment;
 use std::time::Duration;
 
 /// The names of faults in documents.
@@ -129,7 +129,7 @@
         "rules" => read_publication(properties).map(Fault::Publish),
         "rules-withdraw" => Some(Fault::Withdraw),
         "rules-broken" => Some(Fault::StoreCorruptConfig(read_config_corruption(properties))),
-        "rules-old" => Some(Fault::StoreGenesis),
+        "rules-old" => Some(Fault::StoreInitialVersion),
         "signals" => read_signals(properties).map(Fault::Signals),
         "idle-connections" => required_number(properties, "count", 1.0, 10_000.0)
             .map(|count| Fault::IdleConnections(count as usize)),
@@ -240,33 +240,33 @@
     if word == "refuse" {
         return remote.map(Fault::RefuseConnections);
     }
-    let corruption = read_corruption(word, properties)?;
+    let impairment = read_impairment(word, properties)?;
     let direction = properties.keyword("way", &["to", "from", "both"]).unwrap_or(2);
     let (to_server, from_server) = (direction != 1, direction != 0);
-    remote.map(|remote| Fault::CorruptLink {
+    remote.map(|remote| Fault::ImpairLink {
         remote,
-        to_server: to_server.then(|| corruption.clone()),
-        from_server: from_server.then_some(corruption),
+        to_server: to_server.then(|| impairment.clone()),
+        from_server: from_server.then_some(impairment),
     })
 }
 
-fn read_corruption(word: &str, properties: &mut NodeProperties) -> Option<Corruption> {
-    let mut corruption = Corruption::default();
+fn read_impairment(word: &str, properties: &mut NodeProperties) -> Option<Impairment> {
+    let mut impairment = Impairment::default();
     let mut bytes =
         |name: &'static str, least: f64| required_number(properties, name, least, 1e9).map(|n| n as u64);
     match word {
-        "cut" => corruption.blocked = true,
-        "reset" => corruption.reset_after_bytes = bytes("after", 0.0),
-        "half" => corruption.silent_after_bytes = bytes("after", 0.0),
-        "trickle" => corruption.bytes_per_second = bytes("rate", 1.0),
+        "cut" => impairment.blocked = true,
+        "reset" => impairment.reset_after_bytes = bytes("after", 0.0),
+        "half" => impairment.silent_after_bytes = bytes("after", 0.0),
+        "trickle" => impairment.bytes_per_second = bytes("rate", 1.0),
         "delay" => {
-            corruption.delay = required_number(properties, "ms", 0.0, 60_000.0).map(milliseconds)?;
-            corruption.jitter = properties.number("jitter", 0.0, 10.0).unwrap_or(0.0);
+            impairment.delay = required_number(properties, "ms", 0.0, 60_000.0).map(milliseconds)?;
+            impairment.jitter = properties.number("jitter", 0.0, 10.0).unwrap_or(0.0);
         }
         "garble" => {
-            corruption.bit_flip_probability = required_number(properties, "share-of-pieces", 0.0, 1.0)?;
+            impairment.bit_flip_probability = required_number(properties, "share-of-pieces", 0.0, 1.0)?;
         }
-        _ => corruption.unread = true,
+        _ => impairment.unread = true,
     }
-    Some(corruption)
+    Some(impairment)
 }
--- a/crates/aldercrank-test-cluster/src/scenario/timeline.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/timeline.rs
@@ -3,7 +3,7 @@
 use crate::ids::{RemoteEndpoint, ServerNo};
 use crate::index_stub::IndexState;
 use crate::membership_stub::MembershipState;
-use crate::relayed_link::Corruption;
+use crate::relayed_link::Impairment;
 use std::time::Duration;
 
 /// Why a text in the configuration store is not a valid version.
@@ -136,13 +136,13 @@
     /// Every link to the worker pool is reset once per interval.
     PoolLinkResets(Duration),
     /// Transmission on a link is impaired.
-    CorruptLink {
+    ImpairLink {
         /// The remote end of the servers' links.
         remote: RemoteEndpoint,
         /// The fault towards the server, if any.
-        to_server: Option<Corruption>,
+        to_server: Option<Impairment>,
         /// The fault from the server, if any.
-        from_server: Option<Corruption>,
+        from_server: Option<Impairment>,
     },
     /// Connections between the servers and this endpoint are refused.
     RefuseConnections(RemoteEndpoint),
@@ -171,7 +171,7 @@
     /// The configuration store returns a text that is not a valid version.
     StoreCorruptConfig(ConfigCorruption),
     /// The configuration store returns the version that the cluster started with.
-    StoreGenesis,
+    StoreInitialVersion,
 }
 
 impl Fault {
@@ -190,7 +190,7 @@
                 | Fault::Publish(_)
                 | Fault::Withdraw
                 | Fault::StoreCorruptConfig(_)
-                | Fault::StoreGenesis
+                | Fault::StoreInitialVersion
         )
     }
 
@@ -209,7 +209,7 @@
                     | Fault::EdgeNodesRestart(_)
                     | Fault::Withdraw
                     | Fault::StoreCorruptConfig(_)
-                    | Fault::StoreGenesis
+                    | Fault::StoreInitialVersion
             ),
         }
     }
--- a/crates/aldercrank-test-cluster/src/scenario/validate.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/validate.rs
@@ -26,7 +26,10 @@
         let needs_versions = |step: &&Step| {
             matches!(
                 step.fault,
-                Fault::Publish(_) | Fault::Withdraw | Fault::StoreCorruptConfig(_) | Fault::StoreGenesis
+                Fault::Publish(_)
+                    | Fault::Withdraw
+                    | Fault::StoreCorruptConfig(_)
+                    | Fault::StoreInitialVersion
             )
         };
         if let (Some(step), None) = (self.timeline.iter().find(needs_versions), &self.versioned_config) {
--- a/crates/aldercrank-test-cluster/src/testbed.rs
+++ b/crates/aldercrank-test-cluster/src/testbed.rs
@@ -1,4 +1,4 @@
-//! Connects the processes with the stub services: sockets, relayed links with their corruption, timers, the membership
+//! Connects the processes with the stub services: sockets, relayed links with their impairment, timers, the membership
 //! that edge nodes read, the invariant checker and the run's record. [`crate::cluster`] drives it.
 
 use crate::edge_nodes::EdgeTimer;
@@ -6,7 +6,7 @@
 use crate::invariant_checker::{InvariantChecker, Rule};
 use crate::membership_stub::MembershipStub;
 use crate::random::RandomStream;
-use crate::relayed_link::{Corruption, RelayedLink};
+use crate::relayed_link::{Impairment, RelayedLink};
 use crate::run_record::RunRecord;
 use crate::sockets::{ListenerId, SocketEvent, SocketSet};
 use crate::version_checker::VersionedDecision;
@@ -47,7 +47,7 @@
     }
 }
 
-/// All connections between one server and one kind of remote endpoint. Scenarios apply corruption to these.
+/// All connections between one server and one kind of remote endpoint. Scenarios apply impairment to these.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId {
     /// The server.
@@ -126,11 +126,11 @@
     closing: bool,
 }
 
-/// The corruption of both directions of a link.
+/// The impairment of both directions of a link.
 #[derive(Clone, Debug, Default)]
-struct LinkCorruption {
-    to_process: Corruption,
-    from_process: Corruption,
+struct LinkImpairment {
+    to_process: Impairment,
+    from_process: Impairment,
 }
 
 /// What the caller of [`Testbed::release_queued`] has to do with the connection.
@@ -158,7 +158,7 @@
     pub now: Duration,
     owners: HashMap<ConnNo, ConnectionOwner>,
     links: HashMap<ConnNo, ConnectionLinks>,
-    corruptions: BTreeMap<LinkId, LinkCorruption>,
+    impairments: BTreeMap<LinkId, LinkImpairment>,
     /// Servers to which edge nodes can't connect.
     pub unreachable: BTreeSet<ServerNo>,
     /// The link whose connections each listener of a stub service accepts.
@@ -214,7 +214,7 @@
             now: Duration::ZERO,
             owners: HashMap::new(),
             links: HashMap::new(),
-            corruptions: BTreeMap::new(),
+            impairments: BTreeMap::new(),
             unreachable: BTreeSet::new(),
             listener_links: HashMap::new(),
             relays: HashMap::new(),
@@ -277,7 +277,7 @@
     /// Registers a new connection.
     pub fn register(&mut self, conn: ConnNo, owner: ConnectionOwner) {
         self.owners.insert(conn, owner);
-        if self.corruptions.get(&owner.link()).is_some_and(|corruption| corruption.from_process.unread) {
+        if self.impairments.get(&owner.link()).is_some_and(|impairment| impairment.from_process.unread) {
             self.sockets.set_paused(conn, true);
         }
     }
@@ -307,18 +307,18 @@
         }
     }
 
-    fn corruption_of(&self, conn: ConnNo) -> Option<&LinkCorruption> {
-        self.corruptions.get(&self.owners.get(&conn)?.link())
+    fn impairment_of(&self, conn: ConnNo) -> Option<&LinkImpairment> {
+        self.impairments.get(&self.owners.get(&conn)?.link())
     }
 
-    /// Whether a link is under corruption.
-    pub fn is_link_corrupted(&self, link: LinkId) -> bool {
-        self.corruptions.contains_key(&link)
+    /// Whether a link is under impairment.
+    pub fn is_link_impaired(&self, link: LinkId) -> bool {
+        self.impairments.contains_key(&link)
     }
 
-    /// Whether the link of this connection is under corruption.
-    pub fn is_connection_corrupted(&self, conn: ConnNo) -> bool {
-        self.corruption_of(conn).is_some()
+    /// Whether the link of this connection is under impairment.
+    pub fn is_connection_impaired(&self, conn: ConnNo) -> bool {
+        self.impairment_of(conn).is_some()
     }
 
     /// The open connections of a link, in the order in which they were made.
@@ -329,24 +329,24 @@
         connections
     }
 
-    /// Sets the corruption of a link from now on; a direction that is `None` stays as it is.
-    pub fn set_corruption(
+    /// Sets the impairment of a link from now on; a direction that is `None` stays as it is.
+    pub fn set_impairment(
         &mut self,
         now: Duration,
         link: LinkId,
-        to_process: Option<Corruption>,
-        from_process: Option<Corruption>,
+        to_process: Option<Impairment>,
+        from_process: Option<Impairment>,
     ) {
-        let corruption = self.corruptions.entry(link).or_default();
+        let impairment = self.impairments.entry(link).or_default();
         if let Some(to_process) = to_process {
-            corruption.to_process = to_process;
+            impairment.to_process = to_process;
         }
         if let Some(from_process) = from_process {
-            corruption.from_process = from_process;
+            impairment.from_process = from_process;
         }
-        let unread = corruption.from_process.unread;
-        if corruption.to_process.is_none() && corruption.from_process.is_none() {
-            self.corruptions.remove(&link);
+        let unread = impairment.from_process.unread;
+        if impairment.to_process.is_none() && impairment.from_process.is_none() {
+            self.impairments.remove(&link);
         }
         for conn in self.connections_of(link) {
             self.sockets.set_paused(conn, unread);
@@ -354,22 +354,22 @@
         }
     }
 
-    /// Sends bytes to a process, subject to the corruption of the link.
+    /// Sends bytes to a process, subject to the impairment of the link.
     pub fn send_to_process(&mut self, now: Duration, conn: ConnNo, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
-        let corruption = self.corruption_of(conn).map_or_else(Corruption::default, |c| c.to_process.clone());
+        let impairment = self.impairment_of(conn).map_or_else(Impairment::default, |c| c.to_process.clone());
         match self.links.get(&conn) {
-            None if corruption.is_none() => return self.sockets.send(conn, bytes),
-            Some(links) if links.to_process.is_transparent(&corruption) => {
+            None if impairment.is_none() => return self.sockets.send(conn, bytes),
+            Some(links) if links.to_process.is_transparent(&impairment) => {
                 return self.sockets.send(conn, bytes);
             }
             _ => {}
         }
         let link = &mut self.links.entry(conn).or_default().to_process;
-        link.push(now, bytes.to_vec(), &corruption, &mut self.random);
-        if let Some(at) = link.next_release(&corruption) {
+        link.push(now, bytes.to_vec(), &impairment, &mut self.random);
+        if let Some(at) = link.next_release(&impairment) {
             self.set_timer(at, Timer::RelayedLink(conn));
         }
     }
@@ -377,16 +377,16 @@
     /// Takes bytes that a process has sent. Returns them if they pass at once; otherwise queues them.
     pub fn receive_from_process(&mut self, now: Duration, conn: ConnNo, bytes: Vec<u8>) -> Option<Vec<u8>> {
         self.now = self.now.max(now);
-        let corruption =
-            self.corruption_of(conn).map_or_else(Corruption::default, |c| c.from_process.clone());
+        let impairment =
+            self.impairment_of(conn).map_or_else(Impairment::default, |c| c.from_process.clone());
         match self.links.get(&conn) {
-            None if corruption.is_none() => return Some(bytes),
-            Some(links) if links.from_process.is_transparent(&corruption) => return Some(bytes),
+            None if impairment.is_none() => return Some(bytes),
+            Some(links) if links.from_process.is_transparent(&impairment) => return Some(bytes),
             _ => {}
         }
         let link = &mut self.links.entry(conn).or_default().from_process;
-        link.push(now, bytes, &corruption, &mut self.random);
-        let (full, next_release) = (link.is_full(), link.next_release(&corruption));
+        link.push(now, bytes, &impairment, &mut self.random);
+        let (full, next_release) = (link.is_full(), link.next_release(&impairment));
         if full {
             self.sockets.set_paused(conn, true);
         }
@@ -399,7 +399,7 @@
     /// Defers the handling of a close by the process if queued bytes come before it or the link is blocked. Returns
     /// whether it was deferred.
     pub fn defer_close_by_process(&mut self, conn: ConnNo) -> bool {
-        let blocked = self.corruption_of(conn).is_some_and(|corruption| corruption.from_process.blocked);
+        let blocked = self.impairment_of(conn).is_some_and(|impairment| impairment.from_process.blocked);
         match self.links.get_mut(&conn) {
             Some(links) if !links.from_process.is_empty() || blocked => {
                 links.closed_by_process = true;
@@ -423,19 +423,19 @@
         conn: ConnNo,
         from_process: &mut Vec<u8>,
     ) -> ReleaseAction {
-        let corruption = self.corruption_of(conn).cloned().unwrap_or_default();
+        let impairment = self.impairment_of(conn).cloned().unwrap_or_default();
         let Some(links) = self.links.get_mut(&conn) else { return ReleaseAction::KeepOpen };
         let mut to_process = Vec::new();
-        let sent = links.to_process.release(now, &corruption.to_process, &mut to_process);
-        let received = links.from_process.release(now, &corruption.from_process, from_process);
-        let next_to = links.to_process.next_release(&corruption.to_process);
-        let next_from = links.from_process.next_release(&corruption.from_process);
+        let sent = links.to_process.release(now, &impairment.to_process, &mut to_process);
+        let received = links.from_process.release(now, &impairment.from_process, from_process);
+        let next_to = links.to_process.next_release(&impairment.to_process);
+        let next_from = links.from_process.next_release(&impairment.from_process);
         let next_release = next_to.into_iter().chain(next_from).min();
-        let drained = links.from_process.is_empty() && !corruption.from_process.blocked;
+        let drained = links.from_process.is_empty() && !impairment.from_process.blocked;
         let close_delivered = links.closed_by_process && drained;
         let closes_now = links.closing && links.to_process.is_empty();
         let may_read =
-            !links.from_process.is_full() && !links.closed_by_process && !corruption.from_process.unread;
+            !links.from_process.is_full() && !links.closed_by_process && !impairment.from_process.unread;
         self.sockets.send(conn, &to_process);
         if closes_now {
             self.links.remove(&conn);
@@ -457,9 +457,9 @@
         }
     }
 
-    /// Records the violation that a server sent its worker pool an invalid command, unless a fault corrupts that link.
+    /// Records the violation that a server sent its worker pool an invalid command, unless a fault impairs that link.
     pub fn record_invalid_pool_command(&mut self, now: Duration, server: ServerNo, why: &CommandError) {
-        if !self.is_link_corrupted(LinkId { server, remote: RemoteEndpoint::WorkerPool }) {
+        if !self.is_link_impaired(LinkId { server, remote: RemoteEndpoint::WorkerPool }) {
             let what = format!("the server sent its worker pool an invalid command: {why}");
             self.checker.record_violation(now, Rule::Mixed, None, Some(server), what);
         }
--- a/crates/aldercrank-test-cluster/src/version_checker.rs
+++ b/crates/aldercrank-test-cluster/src/version_checker.rs
@@ -140,9 +140,9 @@
 }
 
 impl VersionChecker {
-    /// Creates a checker for a cluster that starts with the version `genesis`. Contradicting decisions may be at most
-    /// `bound` apart.
-    pub fn new(bound: Duration, classes: Vec<String>, genesis: &VersionedConfig) -> VersionChecker {
+    /// Creates a checker for a cluster that starts with the version `initial_version`. Contradicting decisions may be
+    /// at most `bound` apart.
+    pub fn new(bound: Duration, classes: Vec<String>, initial_version: &VersionedConfig) -> VersionChecker {
         let mut version_checker = VersionChecker {
             bound,
             classes,
@@ -153,7 +153,7 @@
             figures: Figures::default(),
             violations: Vec::new(),
         };
-        version_checker.add_version(Duration::ZERO, genesis, true);
+        version_checker.add_version(Duration::ZERO, initial_version, true);
         version_checker
     }
 
--- a/crates/aldercrank-test-cluster/tests/components/stub_services.rs
+++ b/crates/aldercrank-test-cluster/tests/components/stub_services.rs
@@ -8,7 +8,7 @@
 #[test]
 fn the_index_slows_down_under_load_and_rejects_calls_beyond_it() {
     let settings =
-        IndexSettings { slots: 4.0, limit: 8.0, call_duration: ms(10), cold_slowdown: 1.0, warming: 1 };
+        IndexSettings { slots: 4.0, limit: 8.0, call_duration: ms(10), cold_slowdown: 1.0, calls_to_warm: 1 };
     let mut index = IndexStub::new(settings);
     for n in 0..16 {
         assert_eq!(index.call_received(ms(0), ConnNo(n)), None);
--- a/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
+++ b/crates/aldercrank-test-cluster/tests/golden_scenarios/decoded.rs
@@ -4,7 +4,7 @@
 use aldercrank_test_cluster::index_stub::IndexState;
 use aldercrank_test_cluster::invariant_checker::Effect;
 use aldercrank_test_cluster::membership_stub::MembershipState;
-use aldercrank_test_cluster::relayed_link::Corruption;
+use aldercrank_test_cluster::relayed_link::Impairment;
 use aldercrank_test_cluster::scenario::{
     Bounds, ConfigCorruption, Fault, InjectedViolation, RequestClass, Scenario, Step, Target,
 };
@@ -92,9 +92,9 @@
 
 fn callers(scenario: &Scenario) -> String {
     let (callers, policy) = (&scenario.callers, &scenario.callers.policy);
-    let choose = match policy.choose {
+    let choose = match policy.server_choice {
         ServerChoice::RoundRobin => "round-robin",
-        ServerChoice::Least => "least-open",
+        ServerChoice::LeastOpenCalls => "least-open",
         ServerChoice::TwoChoices => "two-choices",
         ServerChoice::Sticky => "sticky",
     };
@@ -124,7 +124,7 @@
         index.limit,
         millis(index.call_duration),
         index.cold_slowdown,
-        index.warming,
+        index.calls_to_warm,
         scenario.membership_capacity,
         millis(callers.membership_lag),
         millis(callers.membership_refresh)
@@ -177,12 +177,12 @@
         Fault::PoolCrash => "pool-gone".into(),
         Fault::PoolDelayed(by) => format!("pool-late by-ms={}", millis(*by)),
         Fault::PoolLinkResets(every) => format!("pool-resets every-ms={}", millis(*every)),
-        Fault::CorruptLink { remote, to_server, from_server } => {
+        Fault::ImpairLink { remote, to_server, from_server } => {
             format!(
                 "pair with={} to=[{}] from=[{}]",
                 remote.scenario_name(),
-                corruption(to_server.as_ref()),
-                corruption(from_server.as_ref())
+                impairment(to_server.as_ref()),
+                impairment(from_server.as_ref())
             )
         }
         Fault::RefuseConnections(with) => format!("refuse with={}", with.scenario_name()),
@@ -205,23 +205,23 @@
         }
         Fault::Withdraw => "rules-withdraw".into(),
         Fault::StoreCorruptConfig(kind) => format!("rules-broken kind={}", config_corruption(*kind)),
-        Fault::StoreGenesis => "rules-old".into(),
+        Fault::StoreInitialVersion => "rules-old".into(),
     }
 }
 
 /// The faults of one direction of a link.
-fn corruption(corruption: Option<&Corruption>) -> String {
-    let Some(corruption) = corruption else { return "untouched".to_string() };
+fn impairment(impairment: Option<&Impairment>) -> String {
+    let Some(impairment) = impairment else { return "untouched".to_string() };
     format!(
         "delay-ms={} jitter={} cut={} reset-after={} silent-after={} rate={} share-of-pieces={} unread={}",
-        millis(corruption.delay),
-        corruption.jitter,
-        corruption.blocked,
-        or_none(corruption.reset_after_bytes),
-        or_none(corruption.silent_after_bytes),
-        or_none(corruption.bytes_per_second),
-        corruption.bit_flip_probability,
-        corruption.unread
+        millis(impairment.delay),
+        impairment.jitter,
+        impairment.blocked,
+        or_none(impairment.reset_after_bytes),
+        or_none(impairment.silent_after_bytes),
+        or_none(impairment.bytes_per_second),
+        impairment.bit_flip_probability,
+        impairment.unread
     )
 }
 
--- a/crates/aldercrank-testbench/src/cold_start.rs
+++ b/crates/aldercrank-testbench/src/cold_start.rs
@@ -138,7 +138,7 @@
         step.each = step.each.max(Duration::from_millis(4));
     }
     // The index takes a number of calls to warm up, and calls arrive faster by this factor.
-    scenario.index.warming = (f64::from(scenario.index.warming) * rate_factor) as u32;
+    scenario.index.calls_to_warm = (f64::from(scenario.index.calls_to_warm) * rate_factor) as u32;
     scenario.bounds.index_most = scenario.bounds.index_most.map(|most| (most as f64 * times) as u64);
     scenario.bounds.membership_rejected =
         scenario.bounds.membership_rejected.map(|most| (most as f64 * times) as u64);
--- a/crates/aldercrank-testbench/src/consensus_check.rs
+++ b/crates/aldercrank-testbench/src/consensus_check.rs
@@ -65,7 +65,7 @@
 /// This testbench as the server program, with this fault injected.
 fn faulty_program(program: &Program, injected_fault: &str) -> io::Result<Program> {
     let first = vec!["broken".to_string(), injected_fault.to_string()];
-    Ok(Program { path: std::env::current_exe()?, first, ..program.clone() })
+    Ok(Program { path: std::env::current_exe()?, leading_args: first, ..program.clone() })
 }
 
 /// The injected fault with this name on the command line.
--- a/crates/aldercrank-testbench/src/lib.rs
+++ b/crates/aldercrank-testbench/src/lib.rs
@@ -85,7 +85,7 @@
         Command::Why { directory, request } => request_trace::print_trace(&directory, &request),
         Command::Watch { parent, report, arguments } => platform_check::watch(parent, &report, &arguments),
         Command::Hold { parent, arguments } => {
-            Err(aldercrank_test_cluster::process::hold(parent, &arguments))
+            Err(aldercrank_test_cluster::process::exec_bound_to_parent(parent, &arguments))
         }
         Command::Faulty { fault, service, config } => server_modes::serve_faulty(&fault, config, service),
         Command::Counted { service, config } => server_modes::serve_counted(config, service),
--- a/crates/aldercrank-testbench/src/platform_check.rs
+++ b/crates/aldercrank-testbench/src/platform_check.rs
@@ -4,7 +4,7 @@
 
 use crate::scenario_command;
 use aldercrank_test_cluster::cluster::{run_dir, RunOptions, TestCluster};
-use aldercrank_test_cluster::process::end_with;
+use aldercrank_test_cluster::process::kill_on_parent_exit;
 use aldercrank_test_cluster::scenario::Scenario;
 use nix::sys::ptrace::{self, Options};
 use nix::sys::wait::{waitpid, WaitPidFlag, WaitStatus};
@@ -233,7 +233,7 @@
 /// directory `report`. This process exits with the program's exit code.
 pub(crate) fn watch(parent: u32, report: &Path, arguments: &[String]) -> io::Result<bool> {
     use nix::sys::signal::{SigSet, Signal};
-    end_with(parent)?;
+    kill_on_parent_exit(parent)?;
     let mut forwarded = SigSet::empty();
     forwarded.add(Signal::SIGTERM);
     forwarded.add(Signal::SIGHUP);
@@ -302,9 +302,9 @@
     let scenario = Scenario::parse(SCENARIO).map_err(io::Error::other)?;
     let report = run_dir("platform-report");
     std::fs::create_dir_all(&report)?;
-    program.verb = ("watch".to_string(), vec![report.to_string_lossy().into_owned()]);
+    program.launcher_command = ("watch".to_string(), vec![report.to_string_lossy().into_owned()]);
     let options = RunOptions { program, dir: run_dir("platform"), keep: false, verbose: false };
-    let outcome = TestCluster::play(&scenario, &options);
+    let outcome = TestCluster::run_scenario(&scenario, &options);
     let observations = merge_reports(&report);
     let _ = std::fs::remove_dir_all(&report);
     let (outcome, (incarnations, observations)) = (outcome?, observations?);
--- a/crates/aldercrank-testbench/src/scenario_command.rs
+++ b/crates/aldercrank-testbench/src/scenario_command.rs
@@ -47,7 +47,7 @@
 /// Plays one scenario in a directory of its own.
 pub(crate) fn play(scenario: &Scenario, program: &Program, verbose: bool) -> io::Result<Outcome> {
     let dir = run_dir("run");
-    TestCluster::play(scenario, &RunOptions { program: program.clone(), dir, keep: false, verbose })
+    TestCluster::run_scenario(scenario, &RunOptions { program: program.clone(), dir, keep: false, verbose })
 }
 
 /// Plays the same seed without faults if `requested` or if a bound is relative to it.
@@ -71,7 +71,7 @@
         Some(dir) => (dir.clone(), true),
         None => (run_dir("run"), false),
     };
-    let outcome = TestCluster::play(
+    let outcome = TestCluster::run_scenario(
         &scenario,
         &RunOptions { program: program.clone(), dir, keep, verbose: !options.quiet },
     )?;
--- a/crates/aldercrank-testbench/src/shutdown_soak.rs
+++ b/crates/aldercrank-testbench/src/shutdown_soak.rs
@@ -178,7 +178,7 @@
     let scenario = drawn.scenario()?;
     let dir = run_dir(&format!("soak-{seed}"));
     let options = RunOptions { program: program.clone(), dir: dir.clone(), keep: true, verbose: false };
-    let played = TestCluster::play(&scenario, &options);
+    let played = TestCluster::run_scenario(&scenario, &options);
     if played.is_err() {
         let _ = std::fs::remove_dir_all(&dir);
     }
--- a/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
@@ -4,7 +4,7 @@
 use crate::compare;
 use aldercrank::Value;
 use aldercrank_server::config::Config;
-use aldercrank_test_cluster::config::{config, ServerAddresses};
+use aldercrank_test_cluster::config::{server_config, ServerAddresses};
 use aldercrank_test_cluster::ids::ServerNo;
 use aldercrank_test_cluster::scenario::Scenario;
 use std::fmt::Write;
@@ -49,7 +49,7 @@
     };
     let mut recording = String::new();
     for (server, cold) in [(0, false), (1, true)] {
-        let json = config(&scenario, ServerNo(server), cold, &addresses);
+        let json = server_config(&scenario, ServerNo(server), cold, &addresses);
         let text = serde_json::to_string_pretty(&json).unwrap();
         let parsed = Config::parse(&text, |_| None).unwrap();
         writeln!(recording, "== server {}, cold {cold}\n{text}\n--\n{}", server + 1, decoded(&parsed))
