--- a/crates/aldercrank-server/tests/suite/codecs.rs
+++ b/crates/aldercrank-server/tests/suite/codecs.rs
@@ -63,7 +63,7 @@
     }
 }
 
-pub fn call(id: u32, method: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn request_message(id: u32, method: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     write_array_len(&mut out, 4).unwrap();
     write_uint(&mut out, 0).unwrap();
@@ -79,7 +79,7 @@
     out
 }
 
-pub fn interrupt(id: u32) -> Vec<u8> {
+pub fn cancellation_message(id: u32) -> Vec<u8> {
     let mut out = vec![0x93, 2];
     write_str(&mut out, "interrupt").unwrap();
     out.push(0x91);
@@ -87,7 +87,7 @@
     out
 }
 
-pub fn check(id: u32) -> Vec<u8> {
+pub fn health_check_message(id: u32) -> Vec<u8> {
     let mut out = vec![0x94, 0];
     write_uint(&mut out, u64::from(id)).unwrap();
     write_str(&mut out, "check").unwrap();
@@ -141,10 +141,10 @@
 fn messages_of_edge_nodes_are_read_however_they_are_split() {
     let fields =
         [("rid", ATTEMPT_ID), ("t0", "1764576000123"), ("mem", "24.5"), ("prio", "-1"), ("new", "x")];
-    let mut bytes = call(7, "checkout", &fields, &[0, 13, 10, 255]);
-    bytes.extend(interrupt(7));
-    bytes.extend(check(9));
-    bytes.extend(call(10, "checkout", &[], &[0; 3000]));
+    let mut bytes = request_message(7, "checkout", &fields, &[0, 13, 10, 255]);
+    bytes.extend(cancellation_message(7));
+    bytes.extend(health_check_message(9));
+    bytes.extend(request_message(10, "checkout", &[], &[0; 3000]));
     bytes.extend([0x93, 2, 0xa3, b'o', b'd', b'd', 0x90]);
     // A request whose fields are an array, not a map: it has an id, so it is reported as an invalid request.
     bytes.extend([0x94, 0, 11, 0xa1, b'p', 0x92, 0x90, 0xc0]);
@@ -329,7 +329,7 @@
 fn no_input_makes_a_codec_panic_or_stall() {
     fn codecs_terminate(bytes: Vec<u8>, position: usize) -> bool {
         // Random bytes, and valid messages with one byte changed.
-        let mut corrupted = call(3, "p", &[("rid", ATTEMPT_ID), ("t0", "12")], &bytes);
+        let mut corrupted = request_message(3, "p", &[("rid", ATTEMPT_ID), ("t0", "12")], &bytes);
         let index = position % corrupted.len();
         corrupted[index] ^= bytes.first().copied().unwrap_or(1);
         let mut text = format!("finished 1 {ATTEMPT_ID} ok 1 3\r\nabc\r\nblocked 2 {ATTEMPT_ID} 1\r\nx\r\n")
--- a/crates/aldercrank-server/tests/suite/crossings.rs
+++ b/crates/aldercrank-server/tests/suite/crossings.rs
@@ -1,9 +1,9 @@
 //! Pairs of concurrent events, each forced into its unfavourable order: the process is suspended while both are queued,
 //! or a stub controls the other end. docs/concurrent-events.md has the table that these tests belong to.
 
-use crate::codecs::check;
+use crate::codecs::health_check_message;
 use crate::harness::{
-    accept_within, attempt, count_responses, http, listen, listen_again, report_accepted, request,
+    accept_within, attempt, count_responses, listen, listen_again, report_accepted, request, serve_http,
     EdgeConnection, PoolConnection, Program, TIMEOUT,
 };
 use std::io::{Read, Write};
@@ -25,7 +25,7 @@
 fn complete_requests(edge: &mut EdgeConnection, pool: &mut PoolConnection, requests: u32) {
     (1..=requests).for_each(|n| edge.send_request(n, "map", &attempt(n), None, b""));
     for n in 1..=requests {
-        let (command, _) = pool.next();
+        let (command, _) = pool.next_command();
         pool.finish(n, &command[1], &[7; RESULT_BYTES]);
     }
 }
@@ -45,7 +45,7 @@
     let mut edge = program.connect_slow();
     complete_requests(&mut edge, &mut pool, 8);
     edge.send_request(9, "map", &attempt(9), None, b"");
-    assert_eq!(pool.next().0[1], attempt(9));
+    assert_eq!(pool.next_command().0[1], attempt(9));
     let mut writer = edge.0.try_clone().unwrap();
     let flood = std::thread::spawn(move || writer.write_all(&[0xc1; 300 * 1024]));
     let received = read_to_close(&mut edge);
@@ -76,7 +76,7 @@
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect_slow();
     complete_requests(&mut edge, &mut pool, 32);
-    program.term();
+    program.send_sigterm();
     // Longer than the idle timeout and the close timeout together.
     std::thread::sleep(Duration::from_millis(2000));
     assert_eq!(count_responses(&read_to_close(&mut edge)), 32);
@@ -94,7 +94,7 @@
     // The server has handled all results once it has sent this command.
     let mut other = program.connect();
     other.send_request(1, "map", &attempt(99), None, b"");
-    assert_eq!(pool.next().0[1], attempt(99));
+    assert_eq!(pool.next_command().0[1], attempt(99));
     edge.0.shutdown(std::net::Shutdown::Write).unwrap();
     std::thread::sleep(Duration::from_millis(1200));
     assert_eq!(count_responses(&read_to_close(&mut edge)), 32);
@@ -105,7 +105,7 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    edge.0.write_all(&check(1)).unwrap();
+    edge.0.write_all(&health_check_message(1)).unwrap();
     edge.read_until(&[b"closing"]);
     program.pause();
     edge.send_request(2, "map", &attempt(2), None, b"");
@@ -122,7 +122,7 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    edge.0.write_all(&check(1)).unwrap();
+    edge.0.write_all(&health_check_message(1)).unwrap();
     let received = read_to_close(&mut edge);
     assert!(received.windows(7).any(|w| w == b"closing"));
     edge.send_request(2, "map", &attempt(2), None, b"");
@@ -139,7 +139,7 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
-    edge.0.write_all(&check(1)).unwrap();
+    edge.0.write_all(&health_check_message(1)).unwrap();
     edge.read_until(&[b"closing"]);
     let message = request(2, "map", &attempt(2), None, b"");
     let (first, second) = message.split_at(message.len() / 2);
@@ -161,7 +161,7 @@
         edge
     };
     let mut all = vec![open(1)];
-    assert_eq!(pool.next().0[1], attempt(1));
+    assert_eq!(pool.next_command().0[1], attempt(1));
     all.extend((2..=60).map(open));
     all
 }
@@ -172,7 +172,7 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut all = exceed_connection_limit(&program, &mut pool);
-    program.term();
+    program.send_sigterm();
     // Longer than the grace period.
     std::thread::sleep(Duration::from_millis(500));
     pool.finish(1, &attempt(1), b"done");
@@ -192,7 +192,7 @@
     program.pause();
     let mut edge = program.connect();
     edge.send_request(1, "buy", &attempt(1), Some("t"), b"");
-    program.term();
+    program.send_sigterm();
     program.resume();
     assert_eq!(count_responses(&read_to_close(&mut edge)), 1);
     drop(edge);
@@ -205,9 +205,9 @@
     let _pool = program.wait_until_serving();
     let (members, addr) = listen(&program.edge.ip().to_string());
     let (report_sender, reports) = channel();
-    http(members, report_sender, report_accepted);
+    serve_http(members, report_sender, report_accepted);
     program.pause();
-    program.term();
+    program.send_sigterm();
     program.reload(&[("members", addr)]);
     program.resume();
     assert!(reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"OUT\"}"));
@@ -220,11 +220,11 @@
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     edge.send_request(1, "map", &attempt(1), None, b"");
-    assert_eq!(pool.next().0[1], attempt(1));
+    assert_eq!(pool.next_command().0[1], attempt(1));
     program.pause();
     std::fs::write(&program.config, "{\"name\": \"n1\"").unwrap();
     program.signal("-HUP");
-    program.term();
+    program.send_sigterm();
     program.resume();
     assert!(program.reports.iter().any(|r| r.ends_with("{\"phase\":\"OUT\"}")));
     program.signal("-HUP");
@@ -285,7 +285,7 @@
     pool.complete_next_run(4, 1, b"one");
     edge.read_until(&[b"one"]);
     edge.send_request(2, "map", &attempt(2), None, b"");
-    assert_eq!(pool.next().0[1], attempt(2));
+    assert_eq!(pool.next_command().0[1], attempt(2));
     program.pause();
     drop(pool);
     std::thread::sleep(Duration::from_millis(1200));
@@ -305,11 +305,11 @@
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     edge.send_request(1, "buy", &attempt(1), Some("t"), b"");
-    assert_eq!(pool.next().0[1], attempt(1));
+    assert_eq!(pool.next_command().0[1], attempt(1));
     program.restart();
     drop(edge);
     let mut pool = PoolConnection::accept(&program.pool);
-    assert_eq!(pool.next().0, ["bind", "0"]);
+    assert_eq!(pool.next_command().0, ["bind", "0"]);
     pool.send("bound warm 2000\r\n");
     // The result of a run that the previous process started is ignored.
     pool.finish(1, &attempt(1), b"one");
@@ -324,11 +324,11 @@
     let mut program = Program::start_with_stubs(None::<fn(&str) -> Option<String>>);
     let mut pool = PoolConnection::accept(&program.pool);
     for _ in 0..10 {
-        assert_eq!(pool.next().0, ["bind", "0"]);
+        assert_eq!(pool.next_command().0, ["bind", "0"]);
         program.restart();
         let started_at = Instant::now();
         pool = PoolConnection::accept(&program.pool);
-        assert_eq!(pool.next().0, ["bind", "0"]);
+        assert_eq!(pool.next_command().0, ["bind", "0"]);
         pool.send("bound cold 10\r\n");
         let mut edge = program.connect();
         edge.send_request(1, "map", &attempt(1), None, b"");
@@ -345,13 +345,13 @@
 /// can.
 #[test]
 fn idle_clients_leave_descriptors_for_the_servers_own_connections() {
-    let mut program = Program::limited(None::<fn(&str) -> Option<String>>, |_| (), 32);
+    let mut program = Program::start_with_descriptor_limit(None::<fn(&str) -> Option<String>>, |_| (), 32);
     let mut pool = PoolConnection::accept(&program.pool);
     pool.bind("0", "3.5");
     let mut idle: Vec<EdgeConnection> = Vec::new();
     for _ in 0..100 {
         let mut edge = program.connect();
-        let _ = edge.0.write_all(&check(1));
+        let _ = edge.0.write_all(&health_check_message(1));
         idle.push(edge);
     }
     // The link to the pool is lost and bound again, the membership service becomes available, and a new client is
@@ -359,13 +359,13 @@
     drop(pool);
     let mut pool = PoolConnection::accept(&program.pool);
     pool.bind("0", "60000");
-    let (addr, reports) = program.away.pop().unwrap();
-    http(listen_again(addr), reports, report_accepted);
+    let (addr, reports) = program.unstarted_stubs.pop().unwrap();
+    serve_http(listen_again(addr), reports, report_accepted);
     assert!(program.reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"UP\"}"));
     let mut edge = program.connect();
     // The connection waits in the accept queue until idle ones have been closed. A request sent before that would reach
     // the server late, and would be rejected if it had waited for nearly the latency target.
-    let _ = edge.0.write_all(&check(2));
+    let _ = edge.0.write_all(&health_check_message(2));
     edge.read_until(&[&[0x94, 1, 2]]);
     edge.send_request(1, "map", &attempt(1), None, b"");
     pool.complete_next_run(1, 1, b"one");
@@ -377,9 +377,9 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let mut all = exceed_connection_limit(&program, &mut pool);
-    let before = program.sleeps();
+    let before = program.voluntary_context_switches();
     std::thread::sleep(Duration::from_secs(1));
-    let sleeps = program.sleeps() - before;
+    let sleeps = program.voluntary_context_switches() - before;
     assert!(sleeps < 400, "{sleeps}");
     pool.finish(1, &attempt(1), b"done");
     // Connections whose calls are answered close and make room for the others.
@@ -424,12 +424,12 @@
 #[test]
 fn a_membership_service_that_does_not_answer_does_not_delay_the_shutdown() {
     let mut program = Program::start_with_stubs(None::<fn(&str) -> Option<String>>);
-    let silent = listen_again(program.away.pop().unwrap().0);
+    let silent = listen_again(program.unstarted_stubs.pop().unwrap().0);
     let mut pool = PoolConnection::accept(&program.pool);
     pool.bind("0", "3.5");
     let _first = accept_within(&silent, TIMEOUT).expect("no report was sent");
     let stop_requested_at = Instant::now();
-    program.term();
+    program.send_sigterm();
     assert!(program.wait_for_exit().success());
     assert!(
         stop_requested_at.elapsed() < Duration::from_millis(1500),
--- a/crates/aldercrank-server/tests/suite/edge_connections.rs
+++ b/crates/aldercrank-server/tests/suite/edge_connections.rs
@@ -1,6 +1,6 @@
 //! The program on loopback sockets: idle, silent and slow connections from edge nodes, and callers that disconnect.
 
-use crate::codecs::check;
+use crate::codecs::health_check_message;
 use crate::harness::{attempt, EdgeConnection, Program};
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -12,11 +12,11 @@
     let (mut partial, mut busy) = (program.connect(), program.connect());
     partial.0.write_all(&[0x94, 0, 1]).unwrap();
     busy.send_request(1, "map", &attempt(1), None, b"");
-    assert_eq!(pool.next().0[1], attempt(1));
+    assert_eq!(pool.next_command().0[1], attempt(1));
     // More connections than the limit: silent ones are closed to make room, a busy one is not.
     let mut silent: Vec<EdgeConnection> = (0..100).map(|_| program.connect()).collect();
     let mut good = program.connect();
-    good.0.write_all(&check(1)).unwrap();
+    good.0.write_all(&health_check_message(1)).unwrap();
     good.0.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     good.read_until(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc3]]);
     pool.finish(1, &attempt(1), b"done");
@@ -33,13 +33,13 @@
     let mut program = Program::start(|_| None);
     let mut pool = program.wait_until_serving();
     let (mut idle, mut busy) = (program.connect(), program.connect());
-    idle.0.write_all(&check(1)).unwrap();
+    idle.0.write_all(&health_check_message(1)).unwrap();
     busy.send_request(1, "map", &attempt(1), None, b"");
-    assert_eq!(pool.next().0[1], attempt(1));
+    assert_eq!(pool.next_command().0[1], attempt(1));
     // Health checks prevent the idle timeout of their connection.
     let mut checks = program.connect();
     for n in 1..=7 {
-        checks.0.write_all(&check(n)).unwrap();
+        checks.0.write_all(&health_check_message(n)).unwrap();
         assert!(!checks.read_until(&[&[0xc0, 0x92, 0xc3]]).windows(7).any(|w| w == b"closing"));
         std::thread::sleep(Duration::from_millis(100));
     }
--- a/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/memory.rs
@@ -1,5 +1,5 @@
 //! The format of the state file and what is read from valid and damaged files: two slots, written alternately. The
-//! golden file has a fixed boot id in index of the machine's.
+//! golden file has a fixed boot id in place of the machine's.
 
 use super::{compare, golden, hex, recording};
 use aldercrank_consensus::member::AcceptorState;
--- a/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
@@ -2,7 +2,7 @@
 //! member: the fields in their order, with their values unless these depend on time.
 
 use super::compare;
-use crate::harness::{http, listen, report_accepted, unused_address, TIMEOUT};
+use crate::harness::{listen, report_accepted, serve_http, unused_address, TIMEOUT};
 use aldercrank_consensus::{CommittedState, PeerRequest, PeerResponse, VersionId};
 use aldercrank_server::msgpack_rpc::{
     self, MessageId, ReceivedFields, RequestFields, ResponseHandler, CONSENSUS_METHOD,
@@ -76,7 +76,7 @@
     let service = file("service.kdl", service + "}\n");
     let config = file("config.json", config.to_string());
     let (report_sender, _) = channel();
-    http(members, report_sender, report_accepted);
+    serve_http(members, report_sender, report_accepted);
     let mut command = Command::new(env!("CARGO_BIN_EXE_aldercrank"));
     command.arg("serve").arg("--service").arg(service).arg(config);
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
--- a/crates/aldercrank-server/tests/suite/harness.rs
+++ b/crates/aldercrank-server/tests/suite/harness.rs
@@ -1,6 +1,6 @@
 //! Runs the program as a process on loopback addresses, with stubs of the services that it uses.
 
-use crate::codecs::call;
+use crate::codecs::request_message;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -74,7 +74,7 @@
     }
 
     /// Returns the next command with its payload. Panics if the link is closed.
-    pub fn next(&mut self) -> (Vec<String>, Vec<u8>) {
+    pub fn next_command(&mut self) -> (Vec<String>, Vec<u8>) {
         self.command().expect("the link has closed")
     }
 
@@ -127,13 +127,13 @@
 
     /// Expects the link to be bound from the notice `last`, and reports a warm pool of this age in seconds.
     pub fn bind(&mut self, last: &str, age: &str) {
-        assert_eq!(self.next().0, ["bind", last]);
+        assert_eq!(self.next_command().0, ["bind", last]);
         self.send(&format!("bound warm {age}\r\n"));
     }
 
     /// Expects the start command of this attempt next, and completes its run.
     pub fn complete_next_run(&mut self, notice: u32, number: u32, result: &[u8]) {
-        assert_eq!(self.next().0[1], attempt(number));
+        assert_eq!(self.next_command().0[1], attempt(number));
         self.finish(notice, &attempt(number), result);
     }
 
@@ -147,7 +147,7 @@
 
 /// Serves HTTP: forwards each request to `requests` and responds with what `answer` returns, or closes the connection
 /// if that is none.
-pub fn http(
+pub fn serve_http(
     listener: TcpListener,
     requests: Sender<String>,
     answer: impl Fn(&str) -> Option<String> + Send + 'static + Clone,
@@ -205,7 +205,7 @@
     pub config: std::path::PathBuf,
     /// The stubs that were not started, upstream dependency first, then membership service: the address of each, and
     /// where to send the requests that it receives.
-    pub away: Vec<(SocketAddr, Sender<String>)>,
+    pub unstarted_stubs: Vec<(SocketAddr, Sender<String>)>,
 }
 
 impl Program {
@@ -231,7 +231,7 @@
 
     /// Starts the program as `start_with` does, with `sockets` as the system's limit on descriptors and the configured
     /// limit on sockets.
-    pub fn limited(
+    pub fn start_with_descriptor_limit(
         answer: Option<impl Fn(&str) -> Option<String> + Send + 'static + Clone>,
         change: impl Fn(&mut serde_json::Value),
         sockets: usize,
@@ -264,13 +264,13 @@
         let (edge, (pool, pool_addr), (index, index_addr), (members, members_addr)) =
             (unused_address(&ip), listen(&ip), listen(&ip), listen(&ip));
         let ((call_sender, calls), (report_sender, reports)) = (channel(), channel());
-        let mut away = Vec::new();
+        let mut unstarted_stubs = Vec::new();
         match answer {
             Some(answer) => {
-                http(index, call_sender, answer);
-                http(members, report_sender, report_accepted);
+                serve_http(index, call_sender, answer);
+                serve_http(members, report_sender, report_accepted);
             }
-            None => away = vec![(index_addr, call_sender), (members_addr, report_sender)],
+            None => unstarted_stubs = vec![(index_addr, call_sender), (members_addr, report_sender)],
         }
         let class = |name: &str, effect: &str| {
             serde_json::json!({"name": name, "effect": effect, "goal_time": 2000000, "give_up": 5000000,
@@ -299,7 +299,7 @@
             calls,
             reports,
             config: path,
-            away,
+            unstarted_stubs,
         }
     }
 
@@ -326,7 +326,7 @@
     }
 
     /// Returns how often the process has blocked so far: its voluntary context switches.
-    pub fn sleeps(&self) -> u64 {
+    pub fn voluntary_context_switches(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|l| l.strip_prefix("voluntary_ctxt_switches:")).unwrap();
         line.trim().parse().unwrap()
@@ -370,7 +370,7 @@
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
     }
 
-    pub fn term(&mut self) {
+    pub fn send_sigterm(&mut self) {
         self.signal("-TERM");
     }
 
@@ -409,7 +409,7 @@
     let mut fields = vec![("rid", attempt), ("t0", &t0), ("peer", "4"), ("budget", "3000"), ("mem", "24.5")];
     fields.push(("prio", "0.9"));
     fields.extend(token.map(|t| ("token", t)));
-    call(id, class, &fields, body)
+    request_message(id, class, &fields, body)
 }
 
 /// A connection of an edge node.
--- a/crates/aldercrank-server/tests/suite/lifecycle.rs
+++ b/crates/aldercrank-server/tests/suite/lifecycle.rs
@@ -1,9 +1,10 @@
 //! The program on loopback sockets from start to shutdown: health checks, load reports, reloads and unavailable
 //! services.
 
-use crate::codecs::check;
+use crate::codecs::health_check_message;
 use crate::harness::{
-    accept_within, attempt, http, listen, listen_again, ok, report_accepted, PoolConnection, Program, TIMEOUT,
+    accept_within, attempt, listen, listen_again, ok, report_accepted, serve_http, PoolConnection, Program,
+    TIMEOUT,
 };
 use std::io::{Read, Write};
 use std::process::Command;
@@ -14,30 +15,33 @@
 fn requests_are_served_from_the_first_health_check_to_a_graceful_shutdown() {
     let mut program = Program::start(|_| ok("reply\r\n!"));
     let mut edge = program.connect();
-    edge.0.write_all(&check(1)).unwrap();
+    edge.0.write_all(&health_check_message(1)).unwrap();
     // The server is unhealthy before the pool is bound.
     edge.read_until(&[&[0x94, 1, 1, 0xc0, 0x92, 0xc2]]);
     let mut pool = program.wait_until_serving();
-    edge.0.write_all(&check(2)).unwrap();
+    edge.0.write_all(&health_check_message(2)).unwrap();
     edge.read_until(&[&[0x94, 1, 2, 0xc0, 0x92, 0xc3]]);
     // Two requests run at once and complete in the opposite order; the first makes an upstream call.
     edge.send_request(3, "map", &attempt(3), None, &[0, 13, 10]);
     edge.send_request(4, "buy", &attempt(4), Some("t"), b"");
-    assert_eq!(pool.next(), (vec!["spawn".into(), attempt(3), "map".into(), "3".into()], vec![0, 13, 10]));
-    assert_eq!(pool.next().0[1], attempt(4));
+    assert_eq!(
+        pool.next_command(),
+        (vec!["spawn".into(), attempt(3), "map".into(), "3".into()], vec![0, 13, 10])
+    );
+    assert_eq!(pool.next_command().0[1], attempt(4));
     pool.send(&format!("blocked 1 {} 2\r\n\r\n\r\n", attempt(3)));
     let call = program.calls.recv_timeout(TIMEOUT).unwrap();
     assert!(call.contains(&format!("X-Parent-Id: {}\r\n", attempt(3))) && call.ends_with("\r\n\r\n\r\n"));
-    assert_eq!(pool.next(), (vec!["supply".into(), attempt(3), "8".into()], b"reply\r\n!".to_vec()));
+    assert_eq!(pool.next_command(), (vec!["supply".into(), attempt(3), "8".into()], b"reply\r\n!".to_vec()));
     pool.finish(2, &attempt(4), b"\xff\0four");
     edge.read_until(&[&[0x94, 1, 4, 0xc0, 0x92, 0xc4, 6], b"\xff\0four", b"hint"]);
     // A repeated request is answered with the cached response.
     edge.send_request(5, "buy", &attempt(5), Some("t"), b"");
     edge.read_until(&[&[0x94, 1, 5, 0xc0, 0x92, 0xc4, 6], b"\xff\0four"]);
     // On SIGTERM the server reports OUT, becomes unhealthy, waits for the running requests and closes all connections.
-    program.term();
+    program.send_sigterm();
     assert!(program.reports.iter().any(|r| r.ends_with("{\"phase\":\"OUT\"}")));
-    edge.0.write_all(&check(6)).unwrap();
+    edge.0.write_all(&health_check_message(6)).unwrap();
     edge.read_until(&[&[0x94, 1, 6, 0xc0, 0x92, 0xc2]]);
     pool.finish(3, &attempt(3), b"three");
     edge.read_until(&[&[0x94, 1, 3, 0xc0, 0x92, 0xc4, 5], b"three", b"closing"]);
@@ -51,7 +55,7 @@
     let mut edge = program.connect();
     edge.send_request(1, "map", &attempt(1), None, b"");
     edge.read_until(&[&[0x94, 1, 1, 0x92], b"Overloaded"]);
-    program.term();
+    program.send_sigterm();
     edge.read_until(&[b"closing"]);
     drop(edge);
     assert!(program.wait_for_exit().success());
@@ -82,14 +86,14 @@
     let mut edge = program.connect();
     // A call whose connection was refused never ran: it is retried, and the request fails by its deadline.
     edge.send_request(1, "buy", &attempt(1), Some("t"), b"");
-    assert_eq!(pool.next().0[1], attempt(1));
+    assert_eq!(pool.next_command().0[1], attempt(1));
     pool.send(&format!("blocked 1 {} 1\r\n?\r\n", attempt(1)));
     edge.send_request(2, "map", &attempt(2), None, b"");
-    assert_eq!(pool.next().0[1], attempt(2));
+    assert_eq!(pool.next_command().0[1], attempt(2));
     pool.finish(2, &attempt(2), b"two");
     edge.read_until(&[b"two", &[0x94, 1, 1, 0x92], b"Internal"]);
-    let (addr, reports) = program.away.pop().unwrap();
-    http(listen_again(addr), reports, report_accepted);
+    let (addr, reports) = program.unstarted_stubs.pop().unwrap();
+    serve_http(listen_again(addr), reports, report_accepted);
     assert!(program.reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"UP\"}"));
 }
 
@@ -99,7 +103,7 @@
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     (1..=4).for_each(|n| edge.send_request(n, "buy", &attempt(n), Some(&attempt(n)), b""));
-    (1..=4).for_each(|n| assert_eq!(pool.next().0[1], attempt(n)));
+    (1..=4).for_each(|n| assert_eq!(pool.next_command().0[1], attempt(n)));
     program.signal("-STOP");
     // During the suspension one run completes, a repeat of its request arrives, and all deadlines pass.
     pool.finish(1, &attempt(1), b"one");
@@ -119,7 +123,7 @@
     assert_eq!(count_responses(&received), 5, "{received:?}");
     // The next command is for another request, so no request ran again.
     edge.send_request(6, "buy", &attempt(6), Some(&attempt(6)), b"");
-    assert_eq!(pool.next().0[1], attempt(6));
+    assert_eq!(pool.next_command().0[1], attempt(6));
 }
 
 #[test]
@@ -128,7 +132,7 @@
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     (1..=2).for_each(|n| edge.send_request(n, "buy", &attempt(n), Some(&attempt(n)), b""));
-    (1..=2).for_each(|n| assert_eq!(pool.next().0[1], attempt(n)));
+    (1..=2).for_each(|n| assert_eq!(pool.next_command().0[1], attempt(n)));
     // Neither a truncated file nor a reload with the same addresses changes anything.
     std::fs::write(&program.config, "{\"name\":").unwrap();
     program.signal("-HUP");
@@ -141,11 +145,11 @@
     let (new_pool, pool_addr) = listen(&ip);
     let ((call_sender, calls), (report_sender, reports)) = (channel(), channel());
     let ((index, index_addr), (members, members_addr)) = (listen(&ip), listen(&ip));
-    http(index, call_sender, |_| ok("new"));
-    http(members, report_sender, report_accepted);
+    serve_http(index, call_sender, |_| ok("new"));
+    serve_http(members, report_sender, report_accepted);
     program.reload(&[("pool", pool_addr), ("index", index_addr), ("members", members_addr)]);
     let mut new_link = PoolConnection::accept(&new_pool);
-    assert_eq!(new_link.next().0, ["bind", "1"]);
+    assert_eq!(new_link.next_command().0, ["bind", "1"]);
     // A request that arrives before the new link is bound is started on it. A result that arrives on both links is
     // sent to the caller once.
     pool.finish(2, &attempt(2), b"two");
@@ -153,9 +157,9 @@
     std::thread::sleep(Duration::from_millis(50));
     new_link.send("bound warm 99000\r\n");
     new_link.finish(2, &attempt(2), b"two");
-    assert_eq!(new_link.next().0[..2], ["spawn".to_string(), attempt(3)]);
+    assert_eq!(new_link.next_command().0[..2], ["spawn".to_string(), attempt(3)]);
     new_link.send(&format!("blocked 3 {} 1\r\n?\r\n", attempt(3)));
-    assert_eq!(new_link.next(), (vec!["supply".into(), attempt(3), "3".into()], b"new".to_vec()));
+    assert_eq!(new_link.next_command(), (vec!["supply".into(), attempt(3), "3".into()], b"new".to_vec()));
     assert!(calls.try_recv().is_ok() && program.calls.try_recv().is_err());
     new_link.finish(4, &attempt(3), b"three");
     let received = edge.read_until(&[b"two", b"three"]);
@@ -163,7 +167,7 @@
     assert!(reports.recv_timeout(TIMEOUT).unwrap().ends_with("{\"phase\":\"UP\"}"));
     while program.reports.try_recv().is_ok() {}
     // Reload once more while draining: the load report goes to the newest address.
-    program.term();
+    program.send_sigterm();
     assert!(reports.iter().any(|r| r.ends_with("{\"phase\":\"OUT\"}")));
     program.reload(&[]);
     let _back = PoolConnection::accept(&program.pool);
@@ -178,7 +182,7 @@
     let mut pool = program.wait_until_serving();
     let mut edge = program.connect();
     edge.send_request(1, "buy", &attempt(1), Some("t1"), b"");
-    assert_eq!(pool.next().0[1], attempt(1));
+    assert_eq!(pool.next_command().0[1], attempt(1));
     // A reload withdraws the class, and another one offers it again.
     let profiles = program.configuration["settings"]["profiles"].as_array().unwrap();
     let class = profiles.iter().position(|p| p["name"] == "buy").unwrap();
@@ -193,7 +197,7 @@
     program.reload(&[]);
     std::thread::sleep(Duration::from_millis(150));
     edge.send_request(3, "buy", &attempt(3), Some("t3"), b"");
-    assert_eq!(pool.next().0[1], attempt(3));
+    assert_eq!(pool.next_command().0[1], attempt(3));
     pool.finish(2, &attempt(3), b"again");
     edge.read_until(&[b"again"]);
 }
@@ -205,14 +209,14 @@
         config["settings"]["rules"]["stop_sending_within"] = serde_json::json!(120_000);
     };
     let mut program = Program::start_with(None::<fn(&str) -> Option<String>>, short_grace_period);
-    let silent = listen_again(program.away.pop().unwrap().0);
+    let silent = listen_again(program.unstarted_stubs.pop().unwrap().0);
     let mut pool = PoolConnection::accept(&program.pool);
     pool.bind("0", "3.5");
     let began = Instant::now();
     let mut reports = Vec::new();
     for phase in ["UP", "UP", "OUT"] {
         if phase == "OUT" {
-            program.term();
+            program.send_sigterm();
         }
         let mut stream =
             accept_within(&silent, TIMEOUT).unwrap_or_else(|| panic!("{phase} was never reported"));
--- a/crates/aldercrank-server/tests/suite/version_polling.rs
+++ b/crates/aldercrank-server/tests/suite/version_polling.rs
@@ -1,6 +1,6 @@
 //! Polling of the membership service for proposed configuration versions.
 
-use crate::harness::{http, listen, report_accepted, PoolConnection, Program, TIMEOUT};
+use crate::harness::{listen, report_accepted, serve_http, PoolConnection, Program, TIMEOUT};
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,7 @@
     assert!(next_poll(&program.reports, TIMEOUT).is_some());
     let (members, members_address) = listen(&program.edge.ip().to_string());
     let (sender, requests) = channel();
-    http(members, sender, report_accepted);
+    serve_http(members, sender, report_accepted);
     program.reload(&[("members", members_address)]);
     let poll = next_poll(&requests, AT_ONCE).expect("no poll at the new address");
     assert!(
