--- a/crates/aldercrank-server/src/net/config_agreement/applying.rs
+++ b/crates/aldercrank-server/src/net/config_agreement/applying.rs
@@ -29,7 +29,11 @@
             let Some(proposed) = agreement.context.notification.take() else { break };
             self.notify_followers(agreement, proposed);
             // This server's own follower is notified as well.
-            agreement.follower.notify(now, proposed, &mut FollowerPorts(&mut agreement.context));
+            agreement.follower.notification_received(
+                now,
+                proposed,
+                &mut FollowerPorts(&mut agreement.context),
+            );
             agreement.answer_local_requests(now);
         }
         if let (None, Some(member)) = (&agreement.member, agreement.follower.current_member()) {
@@ -52,7 +56,7 @@
             let platform = &agreement.context.platform;
             let own_limit = platform.number("family_info.calls_out").unwrap_or_default();
             // A call lasts no longer than its request.
-            let deadlines = (0..).map_while(|i| platform.span(&format!("profiles.{i}.give_up")));
+            let deadlines = (0..).map_while(|i| platform.duration(&format!("profiles.{i}.give_up")));
             let longest_call = deadlines.max().unwrap_or_default();
             let timing = &agreement.timing;
             let quotas =
--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -8,7 +8,7 @@
 use crate::core::{ConnId, MessageId, ReceivedRequest, ReplyTo};
 use crate::dedup::DedupKey;
 use crate::msgpack_rpc::{
-    self, InvalidRequest, ProtocolError, RequestFields, RequestHandler, UnknownNotification,
+    self, InvalidRequest, ProtocolError, RequestFields, RequestHandler, UnexpectedMessage,
 };
 use crate::payload::count_copied;
 use crate::worker_pool::{AttemptId, MAX_PAYLOAD_BYTES};
@@ -43,7 +43,7 @@
     InvalidRequest(#[from] InvalidRequest),
     /// A notification is unknown.
     #[error("{0}")]
-    UnknownNotification(#[from] UnknownNotification),
+    UnknownNotification(#[from] UnexpectedMessage),
     /// A request was received on a connection that has been removed.
     #[error("connection has been removed")]
     NoConnection,
@@ -130,7 +130,7 @@
             ..IncomingRequest::default()
         };
         let attempt = AttemptId::new(attempt).ok_or(FieldOutOfRange("rid"))?;
-        Ok(ReceivedRequest { attempt, dedup_key, arrival, unread, body })
+        Ok(ReceivedRequest { attempt, dedup_key, arrival, max_unread_time: unread, body })
     }
 }
 
@@ -175,7 +175,7 @@
         self.violation = Some(reason.into());
     }
 
-    fn unknown_notification(&mut self, reason: UnknownNotification) {
+    fn unexpected_message(&mut self, reason: UnexpectedMessage) {
         self.violation = Some(reason.into());
     }
 }
@@ -208,7 +208,7 @@
 
     fn add_edge_connection(&mut self, stream: TcpStream, input_empty_at: Duration) {
         let now = self.now();
-        let excess = self.config.result.saturating_sub(MAX_PAYLOAD_BYTES);
+        let excess = self.config.max_result_bytes.saturating_sub(MAX_PAYLOAD_BYTES);
         let send_buffer = SEND_BUFFER_BYTES.max(excess / SEND_BUFFER_DIVISOR);
         if let Err(e) = socket2::SockRef::from(&stream).set_send_buffer_size(send_buffer) {
             tracing::debug!(reason = %e, "could not set the send buffer size; keeping the default");
--- a/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/framing.rs
@@ -4,7 +4,7 @@
 use aldercrank_consensus::{CommittedState, PeerRequest, PeerResponse, ServerName, VersionId};
 use aldercrank_server::msgpack_rpc::{
     self, InvalidRequest, MessageId, ReceivedFields, RequestFields, RequestHandler, ResponseFields,
-    ResponseHandler, UnknownNotification, CONSENSUS_METHOD,
+    ResponseHandler, UnexpectedMessage, CONSENSUS_METHOD,
 };
 use serde::Serialize;
 use std::fmt::Write;
@@ -31,7 +31,7 @@
     fn invalid_request(&mut self, call: MessageId, reason: InvalidRequest) {
         self.0.push(format!("call {} makes no sense: {reason}", call.0));
     }
-    fn unknown_notification(&mut self, reason: UnknownNotification) {
+    fn unexpected_message(&mut self, reason: UnexpectedMessage) {
         self.0.push(format!("ignored: {reason}"));
     }
 }
@@ -60,7 +60,7 @@
     fn closing(&mut self) {
         self.0.push("closing".to_string());
     }
-    fn notified(&mut self, body: &[u8]) {
+    fn consensus_notification(&mut self, body: &[u8]) {
         self.0.push(format!("news with body {}", hex(body)));
     }
 }
@@ -103,15 +103,15 @@
 
 fn response(call: u32, body: &[u8], fields: ResponseFields) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack_rpc::write_completed(&mut bytes, MessageId(call), body.len());
+    msgpack_rpc::write_result_start(&mut bytes, MessageId(call), body.len());
     bytes.extend_from_slice(body);
-    msgpack_rpc::write_completed_end(&mut bytes, fields);
+    msgpack_rpc::write_result_end(&mut bytes, fields);
     bytes
 }
 
 fn notification(proposal: Option<VersionId>) -> Vec<u8> {
     let mut bytes = Vec::new();
-    msgpack_rpc::write_notification(&mut bytes, &encoded(&proposal));
+    msgpack_rpc::write_consensus_notification(&mut bytes, &encoded(&proposal));
     bytes
 }
 
@@ -142,14 +142,14 @@
     let mut out = String::new();
     let renew = PeerRequest::Renew {
         from: ServerName::new("n1"),
-        last: 8,
+        last_decided: 8,
         evaluation: Some((version(9), Ok(())).into()),
     };
     complete_block(&mut out, "request Status", &request(1, &encoded(&PeerRequest::Status)), read_as_server);
     complete_block(&mut out, "request Renew", &request(128, &encoded(&renew)), read_as_server);
     let fetch = request(u32::MAX, &encoded(&PeerRequest::Fetch { version_id: version(9) }));
     complete_block(&mut out, "request Fetch", &fetch, read_as_server);
-    let committed_state = CommittedState { last: 9, version_id: version(8) };
+    let committed_state = CommittedState { last_decided: 9, version_id: version(8) };
     let lease = PeerResponse::Lease {
         committed: committed_state,
         age: Some(Duration::from_millis(1500)),
--- a/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -12,7 +12,7 @@
 use crate::testbed::{ConnectionOwner, RelayId, Timer};
 use crate::version_checker::VersionChecker;
 use aldercrank_protocol::http;
-use aldercrank_service_config::Start;
+use aldercrank_service_config::StartConfig;
 use aldercrank_versioned_config::{changes, Consistency, VersionNumber, VersionedConfig};
 use std::collections::HashMap;
 use std::io;
@@ -27,7 +27,7 @@
 
 /// Whether the versions differ only in items whose values may differ between servers.
 fn changes_free_items_only(from: &VersionedConfig, to: &VersionedConfig) -> bool {
-    changes(from, to).iter().all(|change| change.role == Consistency::Free)
+    changes(from, to).iter().all(|change| change.consistency == Consistency::Free)
 }
 
 impl TestCluster<'_> {
@@ -73,7 +73,7 @@
     /// Writes a server's service file; `None` if the scenario sets nothing in it.
     pub(super) fn write_service_file(&self, number: ServerNo) -> io::Result<Option<PathBuf>> {
         let mut text = String::new();
-        if self.scenario.start != Start::default() {
+        if self.scenario.start != StartConfig::default() {
             text += &config::start_section(&self.scenario.start);
         }
         if let Some(versions) = &self.versions {
@@ -183,7 +183,7 @@
     pub(super) fn store_corrupted(&mut self, now: Duration, corruption: ConfigCorruption) {
         let Some(versions) = &mut self.versions else { return };
         versions.last_number += 1;
-        let text = versions.newest.next(VersionNumber(versions.last_number), []).text();
+        let text = versions.newest.with_changes(VersionNumber(versions.last_number), []).text();
         let text = match corruption {
             ConfigCorruption::Truncated => text[..text.len() / 2].to_string(),
             ConfigCorruption::Overlong => format!("{text}//{}", "x".repeat(OVERLONG_BYTES)),
@@ -241,7 +241,7 @@
         let status = match request.head.method.as_str() {
             "GET" => {
                 let wait = request.head.wait.unwrap_or_default();
-                match versions.store.read(now, conn, request.head.have.clone(), wait) {
+                match versions.store.read(now, conn, request.head.if_none_match.clone(), wait) {
                     Some(answer) => self.answer_config_read(now, conn, answer),
                     None => self.testbed.set_timer(now + wait, Timer::ConfigReadTimeout),
                 }
--- a/crates/aldercrank-test-cluster/src/config.rs
+++ b/crates/aldercrank-test-cluster/src/config.rs
@@ -3,7 +3,7 @@
 use crate::ids::ServerNo;
 use crate::invariant_checker::Effect;
 use crate::scenario::{zone_name, RequestClass, Scenario};
-use aldercrank_service_config::Start;
+use aldercrank_service_config::StartConfig;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -59,7 +59,12 @@
 }
 
 /// The JSON configuration of a server. `cold` tells whether its worker pool starts cold.
-pub fn config(scenario: &Scenario, server: ServerNo, cold: bool, addresses: &ServerAddresses) -> Value {
+pub fn server_config(
+    scenario: &Scenario,
+    server: ServerNo,
+    cold: bool,
+    addresses: &ServerAddresses,
+) -> Value {
     let fleet = &scenario.fleet;
     let classes: Vec<Value> = scenario.classes.iter().map(class_settings).collect();
     let makes_calls: Vec<bool> = scenario.classes.iter().map(|class| class.call_probability > 0.0).collect();
@@ -92,7 +97,7 @@
 }
 
 /// The `start` section of a server's service file.
-pub fn start_section(start: &Start) -> String {
+pub fn start_section(start: &StartConfig) -> String {
     format!("start {{\n    tell-share #{}\n}}\n", start.report_share)
 }
 
--- a/crates/aldercrank-test-cluster/src/scenario/defaults.rs
+++ b/crates/aldercrank-test-cluster/src/scenario/defaults.rs
@@ -5,7 +5,7 @@
 use crate::edge_nodes::{CallerPolicy, ConnectionUsage, ServerChoice};
 use crate::index_stub::IndexSettings;
 use crate::invariant_checker::Effect;
-use aldercrank_service_config::Start;
+use aldercrank_service_config::StartConfig;
 use std::time::Duration;
 
 fn default_fleet() -> Fleet {
@@ -68,7 +68,7 @@
         rate: 200.0,
         edges: 4,
         policy: CallerPolicy {
-            choose: ServerChoice::Least,
+            server_choice: ServerChoice::LeastOpenCalls,
             max_attempts: 4,
             attempt_timeout: Some(Duration::from_millis(600)),
             follows_advice: true,
@@ -77,7 +77,7 @@
             max_connections: 2,
             idle_timeout: Duration::from_secs(10),
             cancel_probability: 0.01,
-            piece_delay: None,
+            split_write_delay: None,
             connection_usage: ConnectionUsage::WhileListed,
             retries_keyed_after_failure: false,
         },
@@ -100,11 +100,11 @@
                 limit: 128.0,
                 call_duration: Duration::from_millis(10),
                 cold_slowdown: 4.0,
-                warming: 400,
+                calls_to_warm: 400,
             },
             membership_capacity: 400.0,
             versioned_config: None,
-            start: Start::default(),
+            start: StartConfig::default(),
             from_start: false,
             timeline: Vec::new(),
             bounds: Bounds::default(),
--- a/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
+++ b/crates/aldercrank-testbench/tests/suite/golden_written_config.rs
@@ -4,7 +4,7 @@
 use crate::compare;
 use aldercrank::Value;
 use aldercrank_server::config::Config;
-use aldercrank_test_cluster::config::{config, ServerAddresses};
+use aldercrank_test_cluster::config::{server_config, ServerAddresses};
 use aldercrank_test_cluster::ids::ServerNo;
 use aldercrank_test_cluster::scenario::Scenario;
 use std::fmt::Write;
@@ -23,10 +23,14 @@
 /// The decoded configuration, under the names in the file.
 fn decoded(config: &Config) -> String {
     let mut lines = format!("  name {:?}\n  listen {}\n", config.name, config.listen);
-    writeln!(lines, "  pool {}\n  members {}\n  index {:?}", config.pool, config.members, config.index)
-        .unwrap();
-    writeln!(lines, "  stop {:?}\n  seed {:?}", config.stop, config.seed).unwrap();
-    writeln!(lines, "  memory {} bytes, sockets {}", config.memory, config.sockets).unwrap();
+    writeln!(
+        lines,
+        "  pool {}\n  members {}\n  index {:?}",
+        config.pool_address, config.membership_address, config.dependency_address
+    )
+    .unwrap();
+    writeln!(lines, "  stop {:?}\n  seed {:?}", config.stop_timeout, config.seed).unwrap();
+    writeln!(lines, "  memory {} bytes, sockets {}", config.memory_bytes, config.max_sockets).unwrap();
     for (name, value) in &config.settings.0 {
         writeln!(lines, "  settings.{name} = {}", setting(value)).unwrap();
     }
@@ -45,7 +49,7 @@
     };
     let mut recording = String::new();
     for (server, cold) in [(0, false), (1, true)] {
-        let json = config(&scenario, ServerNo(server), cold, &addresses);
+        let json = server_config(&scenario, ServerNo(server), cold, &addresses);
         let text = serde_json::to_string_pretty(&json).unwrap();
         let parsed = Config::parse(&text, |_| None).unwrap();
         writeln!(recording, "== server {}, cold {cold}\n{text}\n--\n{}", server + 1, decoded(&parsed))
