--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -43,7 +43,7 @@
     InvalidRequest(#[from] InvalidRequest),
     /// A notification is unknown.
     #[error("{0}")]
-    UnknownNotification(#[from] UnexpectedMessage),
+    UnexpectedMessage(#[from] UnexpectedMessage),
     /// A request was received on a connection that has been removed.
     #[error("connection has been removed")]
     NoConnection,
--- a/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/config_versions.rs
@@ -1,7 +1,7 @@
 //! The versioned configuration of a run: publications by the timeline, the configuration store, each server's service
 //! file, and the relays between servers.
 
-use super::genesis::{initial_version, with_items};
+use super::initial_version::{initial_version, with_items};
 use super::state::{ConfigVersions, TestCluster};
 use super::stub_services::HttpRequest;
 use crate::config::{self, MemberAddress};
--- a/crates/aldercrank-test-cluster/src/cluster/mod.rs
+++ b/crates/aldercrank-test-cluster/src/cluster/mod.rs
@@ -6,7 +6,7 @@
 mod edge_host;
 mod faults;
 mod finish;
-mod genesis;
+mod initial_version;
 mod pool_host;
 mod prepare;
 mod run;
