--- a/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
+++ b/crates/aldercrank-server/tests/suite/golden_consensus/status.rs
@@ -40,8 +40,9 @@
     let pid = std::process::id() % 60_000;
     // Outside the range of addresses that the harness uses.
     let ip = format!("127.{}.{}.{}", 16 + pid / 250, 1 + pid % 250, 250 + number);
-    let (address, (pool, pool_address), (members, members_address)) =
-        (unused_address(&ip), listen(&ip), listen(&ip));
+    let ((pool, pool_address), (members, members_address)) = (listen(&ip), listen(&ip));
+    // Chosen last: a listener could otherwise get the same port.
+    let address = unused_address(&ip);
     let directory = std::env::temp_dir().join(format!("aldercrank-golden-status-{pid}-{number}"));
     std::fs::create_dir_all(&directory).unwrap();
     let file = |name: &str, text: String| {
--- a/crates/aldercrank-server/tests/suite/harness.rs
+++ b/crates/aldercrank-server/tests/suite/harness.rs
@@ -261,8 +261,10 @@
         static PROGRAMS: AtomicU32 = AtomicU32::new(1);
         let (pid, number) = (std::process::id() % 60_000, PROGRAMS.fetch_add(1, Ordering::Relaxed));
         let ip = format!("127.{}.{}.{number}", 16 + pid / 250, 1 + pid % 250);
-        let (edge, (pool, pool_addr), (index, index_addr), (members, members_addr)) =
-            (unused_address(&ip), listen(&ip), listen(&ip), listen(&ip));
+        let ((pool, pool_addr), (index, index_addr), (members, members_addr)) =
+            (listen(&ip), listen(&ip), listen(&ip));
+        // Chosen last: a listener could otherwise get the same port.
+        let edge = unused_address(&ip);
         let ((call_sender, calls), (report_sender, reports)) = (channel(), channel());
         let mut unstarted_stubs = Vec::new();
         match answer {
