--- a/crates/aldercrank-server/src/config/error.rs
+++ b/crates/aldercrank-server/src/config/error.rs
@@ -1,5 +1,6 @@
 //! Errors in loading a configuration. Their messages are shown to operators.
 
+use super::platform_file::MAX_NUMBER;
 use aldercrank_service_config::Fault;
 use std::{fmt, io};
 use thiserror::Error;
@@ -84,8 +85,8 @@
         /// The field's text.
         text: String,
     },
-    /// A field must be a number from 1 to 1e9.
-    #[error("{field} is not a number from 1 to 1e9")]
+    /// A numeric field is below 1 or above its highest value.
+    #[error("{field} is not a number from 1 to {MAX_NUMBER:e}")]
     OutOfRange {
         /// The field's path.
         field: String,
--- a/crates/aldercrank-server/src/config/platform_file.rs
+++ b/crates/aldercrank-server/src/config/platform_file.rs
@@ -6,6 +6,8 @@
 use std::time::Duration;
 
 const MIN_SOCKETS: usize = 32;
+/// The highest value of a numeric field, in the unit of the field.
+pub(super) const MAX_NUMBER: f64 = 1e9;
 
 /// The file's fields, and the environment variables that are the defaults of missing ones.
 struct PlatformFile<'a, V> {
@@ -81,7 +83,7 @@
 
 fn number_in_range(value: Option<&Json>, field: &str) -> Result<f64, PlatformConfigError> {
     let value = value.ok_or_else(|| PlatformConfigError::Missing { field: field.to_string() })?;
-    let number = value.as_f64().filter(|number| (1.0..=1e9).contains(number));
+    let number = value.as_f64().filter(|number| (1.0..=MAX_NUMBER).contains(number));
     number.ok_or_else(|| PlatformConfigError::OutOfRange { field: field.to_string() })
 }
 
--- a/crates/aldercrank-server/src/net/edge_requests.rs
+++ b/crates/aldercrank-server/src/net/edge_requests.rs
@@ -41,7 +41,7 @@
     /// A request is malformed.
     #[error("{0}")]
     InvalidRequest(#[from] InvalidRequest),
-    /// A notification is unknown.
+    /// A message is neither a request nor a known notification.
     #[error("{0}")]
     UnexpectedMessage(#[from] UnexpectedMessage),
     /// A request was received on a connection that has been removed.
--- a/crates/aldercrank-versioned-config/src/parse_fault.rs
+++ b/crates/aldercrank-versioned-config/src/parse_fault.rs
@@ -1,6 +1,6 @@
 //! Faults in the text of a version that the shared KDL reader does not report itself.
 
-use crate::parser::{MAX_NUMBER, VALID_NAME};
+use crate::parser::{MAX_NAME_BYTES, MAX_NUMBER, NAME_CHARACTERS};
 use crate::path::ItemPath;
 use thiserror::Error;
 
@@ -21,7 +21,7 @@
     RepeatedBlock { block: String },
     #[error("{path} is repeated; it may occur only once")]
     RepeatedItem { path: ItemPath },
-    #[error("product takes a name of {VALID_NAME}, found {found}")]
+    #[error("product takes a name of 1 to {MAX_NAME_BYTES} {NAME_CHARACTERS}, found {found}")]
     InvalidClassName { found: String },
     #[error("product takes exactly one name: product \"NAME\" {{ ... }}")]
     ClassNameExpected,
@@ -29,7 +29,7 @@
     NumberInRangeExpected { item: String, min: f64, max: f64 },
     #[error("{item} takes one number from {min} to {max}, found {found}")]
     NumberOutOfRange { item: String, min: f64, max: f64, found: String },
-    #[error("{name:?} is not a server name of {VALID_NAME}")]
+    #[error("{name:?} is not a server name of 1 to {MAX_NAME_BYTES} {NAME_CHARACTERS}")]
     InvalidMemberName { name: String },
     #[error("{address:?} is not an IP address with a port")]
     InvalidAddress { address: String },
@@ -37,9 +37,11 @@
     CommitteeTooLarge { members: usize, limit: usize },
     #[error("server {name} is listed more than once; a server belongs to one zone")]
     RepeatedServer { name: String },
-    #[error("a zone takes server names without keys, of {VALID_NAME}, found {found}")]
+    #[error(
+        "a zone takes server names without keys, of 1 to {MAX_NAME_BYTES} {NAME_CHARACTERS}, found {found}"
+    )]
     ServerNameExpected { found: String },
-    #[error("a zone has a name of {VALID_NAME}, and at least one server")]
+    #[error("a zone has a name of 1 to {MAX_NAME_BYTES} {NAME_CHARACTERS}, and at least one server")]
     ZoneExpected,
     #[error("turned-away takes caller numbers without keys, from 0 to {MAX_NUMBER}, found {found}")]
     CallerNumberExpected { found: String },
--- a/crates/aldercrank-versioned-config/src/parser.rs
+++ b/crates/aldercrank-versioned-config/src/parser.rs
@@ -18,9 +18,9 @@
 /// exact.
 pub(crate) const MAX_NUMBER: i128 = 1 << 53;
 const MAX_COMMITTEE_MEMBERS: usize = 9;
-const MAX_NAME_BYTES: usize = 64;
-/// The names that [`is_valid_name`] accepts, for faults.
-pub(crate) const VALID_NAME: &str = "1 to 64 ASCII letters, digits, '-', '_' or '.'";
+pub(crate) const MAX_NAME_BYTES: usize = 64;
+/// The characters that [`is_valid_name`] accepts, for faults.
+pub(crate) const NAME_CHARACTERS: &str = "ASCII letters, digits, '-', '_' or '.'";
 /// Allowed values of the agreement bound.
 const AGREEMENT_BOUND_MILLISECONDS: RangeInclusive<i128> = 500..=60_000;
 /// Allowed values of the isolation limit.
